--- a/crates/coordination/benches/leader.rs
+++ b/crates/coordination/benches/leader.rs
@@ -5,11 +5,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::ask::Place;
-use yuccalink_coordination::jobs::{Answer, Ask, Leader, LeaderConfig, Now, Token};
-use yuccalink_fakes::emulator::{EmulatedRunner, Truth};
+use yuccalink_coordination::jobs::ask::QueueAddress;
+use yuccalink_coordination::jobs::{
+    CellRequest, CellResponse, Leader, LeaderConfig, Now, RequestToken,
+};
+use yuccalink_fakes::emulator::{EmulatedRunner, TaskBehavior};
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{ChangeSet, JobCommand, JobId, JobSpec, Jobs, Pool, Queue, StepSpec};
+use yuccalink_state::jobs::{
+    CellState, ChangeSet, JobCommand, JobId, JobSpec, Pool, Queue, StepSpec,
+};
 
 /// Simulated time that is played.
 const PLAYED: Duration = Duration::from_secs(20);
@@ -58,7 +62,7 @@
 
 impl Cell {
     fn new(runners: usize) -> Self {
-        let mut jobs = Jobs::new();
+        let mut jobs = CellState::new();
         jobs.apply(JobCommand::Change(Box::new(change())));
         let now = Moment::from_millis(1_000);
         let leader = Leader::new(LeaderConfig::default(), 1, jobs, at(now));
@@ -71,19 +75,19 @@
     }
 
     /// Gives the leader work and counts the time that it takes.
-    fn ask(&mut self, ask: Ask) -> Vec<Answer> {
+    fn ask(&mut self, ask: CellRequest) -> Vec<CellResponse> {
         self.tokens += 1;
         let begun = Instant::now();
-        self.leader.ask(at(self.now), Token(self.tokens), ask);
+        self.leader.handle_request(at(self.now), RequestToken(self.tokens), ask);
         loop {
             let commands = self.leader.next_batch(512);
             if commands.is_empty() {
                 break;
             }
-            self.leader.proposed(self.index + 1);
+            self.leader.batch_appended(self.index + 1);
             for command in commands {
                 self.index += 1;
-                self.leader.committed(at(self.now), self.index, command);
+                self.leader.apply_committed(at(self.now), self.index, command);
             }
         }
         let answers = self.leader.take_answers();
@@ -99,20 +103,20 @@
             ..StepSpec::default()
         };
         let spec = Arc::new(JobSpec { payload: "p".into(), steps: vec![step], schedule: None });
-        let at = Place { host: "h".into(), path: "/q/".into() };
-        self.ask(Ask::Submit { at, id: JobId(number), spec });
+        let at = QueueAddress { host: "h".into(), path: "/q/".into() };
+        self.ask(CellRequest::Submit { at, id: JobId(number), spec });
     }
 
     fn report(&mut self, number: usize) {
         let now = self.now;
         self.runners[number].advance(now);
         let report = Box::new(self.runners[number].report(now));
-        let truth = Truth { work: WORK, need: NEED, ..Truth::default() };
-        for answer in self.ask(Ask::Heartbeat(report)) {
-            let Answer::Orders(orders) = answer else { continue };
+        let truth = TaskBehavior { run_time: WORK, actual_usage: NEED, ..TaskBehavior::default() };
+        for answer in self.ask(CellRequest::Heartbeat(report)) {
+            let CellResponse::Orders(orders) = answer else { continue };
             self.spent.heartbeats += 1;
             self.spent.starts += orders.start.len();
-            self.runners[number].obey(now, now, &orders, |_| Some(truth));
+            self.runners[number].apply_orders(now, now, &orders, |_| Some(truth));
         }
     }
 
--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::placement::plan;
-use yuccalink_coordination::router::{Admission, Arrival, Ended, Router};
-use yuccalink_state::command::{Apply, Submit};
-use yuccalink_state::document::{Document, GivesUp, TaskClass, TaskKind};
+use yuccalink_coordination::router::{Admission, Router, RoutingRequest, RunnerOutcome};
+use yuccalink_state::command::{Apply, TaskSubmission};
+use yuccalink_state::document::{DisruptionTolerance, Document, TaskClass, TaskKind};
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::RunnerSpec;
 use yuccalink_state::worker::WorkerSpec;
-use yuccalink_state::{Command, Machine, Resources};
+use yuccalink_state::{Command, Resources, StateMachine};
 
 const ROUTED: u32 = 200_000;
 
@@ -19,8 +19,8 @@
     Name::new(text).expect("a name")
 }
 
-fn machine(workers: u64, tasks: u32) -> Machine {
-    let mut machine = Machine::new();
+fn machine(workers: u64, tasks: u32) -> StateMachine {
+    let mut machine = StateMachine::new();
     let kind = TaskKind {
         name: name("k"),
         need: Resources { millicores: 700, memory_mib: 900, accelerators: 0 },
@@ -35,7 +35,7 @@
         peak: None,
         requests: [].into(),
         tasks: [kind].into(),
-        gives_up: GivesUp::default(),
+        disruption_tolerance: DisruptionTolerance::default(),
     };
     let apply = Apply { document, text: "".into(), digest: [0; 32], author: "a".into() };
     machine.apply(Command::Apply(Box::new(apply)));
@@ -49,7 +49,7 @@
             zone: name("z"),
         })));
     }
-    machine.apply(Command::Submit(Submit {
+    machine.apply(Command::Submit(TaskSubmission {
         key: "k".into(),
         service: name("s"),
         kind: name("k"),
@@ -90,7 +90,7 @@
                 connections: 64,
                 zone: name("z"),
             };
-            router.own(Moment::ZERO, spec, 0, &mut turns);
+            router.add_runner(Moment::ZERO, spec, 0, &mut turns);
         }
         let count = if runners > 100 { ROUTED / 100 } else { ROUTED };
         let started = Instant::now();
@@ -98,9 +98,9 @@
         for _ in 0..count {
             now = now + Duration::from_micros(10);
             let deadline = now + Duration::from_secs(1);
-            let arrival = Arrival { service: &service, deadline, worth: 1, avoid: None };
-            if let Admission::Go(grant) = router.admit(now, arrival) {
-                router.release(now, grant, Ended::Answered, &mut turns);
+            let arrival = RoutingRequest { service: &service, deadline, worth: 1, avoid: None };
+            if let Admission::Granted(grant) = router.admit(now, arrival) {
+                router.release(now, grant, RunnerOutcome::Answered, &mut turns);
             }
         }
         let each = started.elapsed().as_secs_f64() * 1e6 / f64::from(count);
--- a/crates/coordination/src/directory.rs
+++ b/crates/coordination/src/directory.rs
@@ -3,15 +3,15 @@
 //!
 //! It is soft state: a new leader learns it again from the heartbeats.
 
-use crate::entries::{Entries, Entry};
-use crate::moment::{Moment, surely_ended_after};
+use crate::entries::{EntryRecord, EntryTable};
+use crate::moment::{Moment, lease_span_with_drift};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 
 /// How often targets are asked to send a heartbeat.
-pub const HEARTBEAT: Duration = Duration::from_secs(1);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest silence after which a target is suspected.
 pub const SUSPECT_MIN: Duration = Duration::from_millis(2_500);
 /// A target is suspected after this many of its usual intervals.
@@ -66,7 +66,7 @@
     /// What it last said of its load.
     pub usage: Usage,
     /// When it was last heard.
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// The entry that routes to it, for runners.
     pub owner: Option<Name>,
     /// Requests of a former owner that it may still hold.
@@ -79,10 +79,10 @@
 
 impl Target {
     /// A runner as entries are told of it.
-    fn as_change(&self) -> Option<Change> {
+    fn as_change(&self) -> Option<RunnerUpdate> {
         match &self.spec {
             TargetSpec::Worker(_) => None,
-            TargetSpec::Runner(spec) => Some(Change {
+            TargetSpec::Runner(spec) => Some(RunnerUpdate {
                 spec: spec.clone(),
                 usable: self.health == Health::Live,
                 busy: self.usage.busy,
@@ -121,18 +121,18 @@
 
 /// What the directory makes of an announcement or heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// Known and noted.
     Noted,
     /// Not known, or another run of it: it must announce itself.
     AnnounceAgain,
     /// Another run of it may still be alive; try again after the given time.
-    Busy(Duration),
+    PreviousIncarnationAlive(Duration),
 }
 
 /// A runner as an entry needs to know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct RunnerUpdate {
     /// What it announced.
     pub spec: RunnerSpec,
     /// Whether it is to be used.
@@ -146,22 +146,22 @@
 /// All targets.
 ///
 /// ```
-/// use yuccalink_coordination::{Moment, directory::*, entries::{Entries, Hello}};
+/// use yuccalink_coordination::{Moment, directory::*, entries::{EntryTable, EntryReport}};
 /// use yuccalink_state::{id::{Incarnation, Name, Revision}, target::{RunnerSpec, TargetSpec}};
 /// let (run, now) = (Incarnation(1), Moment::from_millis(10_000));
-/// let mut entries = Entries::new(Moment::ZERO);
-/// entries.hear(now, &Hello {
-///     name: Name::new("e1")?, incarnation: run, callers: "127.0.0.1:8080".into(),
-///     zone: Name::new("brno")?, acked: Revision(0), draining: false,
+/// let mut entries = EntryTable::new(Moment::ZERO);
+/// entries.record_report(now, &EntryReport {
+///     name: Name::new("e1")?, incarnation: run, caller_address: "127.0.0.1:8080".into(),
+///     zone: Name::new("brno")?, acked_revision: Revision(0), draining: false,
 /// });
 /// let mut directory = Directory::new();
 /// let name = Name::new("r1")?;
-/// assert_eq!(directory.heartbeat(now, &name, run, Usage::default()), Heard::AnnounceAgain);
+/// assert_eq!(directory.heartbeat(now, &name, run, Usage::default()), HeartbeatOutcome::AnnounceAgain);
 /// let spec = RunnerSpec {
 ///     name: name.clone(), incarnation: run, service: Name::new("quotes")?,
 ///     address: "127.0.0.1:9".into(), slots: 8, connections: 64, zone: Name::new("brno")?,
 /// };
-/// assert_eq!(directory.announce(now, TargetSpec::Runner(spec), 0), Heard::Noted);
+/// assert_eq!(directory.announce(now, TargetSpec::Runner(spec), 0), HeartbeatOutcome::Noted);
 /// assert_eq!(directory.tick(now, &entries), [name.clone()], "e1 owns it now");
 /// directory.leave(&name, run);
 /// let (changes, version) = directory.changes(0, 10);
@@ -189,14 +189,14 @@
     }
 
     /// Takes in an announcement.
-    pub fn announce(&mut self, now: Moment, spec: TargetSpec, busy: u32) -> Heard {
+    pub fn announce(&mut self, now: Moment, spec: TargetSpec, busy: u32) -> HeartbeatOutcome {
         if let Some(known) = self.targets.get(spec.name())
             && known.health != Health::Gone
             && known.spec.incarnation() != spec.incarnation()
         {
             let wait = wait_for_old_run(now, known);
             if wait > Duration::ZERO {
-                return Heard::Busy(wait);
+                return HeartbeatOutcome::PreviousIncarnationAlive(wait);
             }
         }
         self.version += 1;
@@ -205,7 +205,7 @@
         match self.targets.get_mut(&name) {
             Some(known) if known.health != Health::Gone && same_place(&known.spec, &spec) => {
                 known.spec = spec;
-                known.heard = now;
+                known.last_heard = now;
                 known.health = Health::Live;
                 known.usage = usage;
                 known.changed = self.version;
@@ -215,28 +215,36 @@
                     spec,
                     health: Health::Live,
                     usage,
-                    heard: now,
+                    last_heard: now,
                     owner: None,
                     reserved: 0,
                     released: None,
                     changed: self.version,
-                    interval: HEARTBEAT,
+                    interval: HEARTBEAT_INTERVAL,
                 };
                 self.targets.insert(name, target);
             }
         }
-        Heard::Noted
+        HeartbeatOutcome::Noted
     }
 
     /// Takes in a heartbeat.
-    pub fn heartbeat(&mut self, now: Moment, name: &Name, run: Incarnation, usage: Usage) -> Heard {
-        let Some(target) = self.targets.get_mut(name) else { return Heard::AnnounceAgain };
+    pub fn heartbeat(
+        &mut self,
+        now: Moment,
+        name: &Name,
+        run: Incarnation,
+        usage: Usage,
+    ) -> HeartbeatOutcome {
+        let Some(target) = self.targets.get_mut(name) else {
+            return HeartbeatOutcome::AnnounceAgain;
+        };
         if target.spec.incarnation() != run || target.health == Health::Gone {
-            return Heard::AnnounceAgain;
+            return HeartbeatOutcome::AnnounceAgain;
         }
-        let gap = now.since(target.heard).min(DEAD);
+        let gap = now.since(target.last_heard).min(DEAD);
         target.interval = (target.interval * 7 + gap) / 8;
-        target.heard = now;
+        target.last_heard = now;
         // The owner counts its own requests; only what a former owner left there
         // must be told it.
         let tells_owner = target.reserved > 0 && target.usage.busy != usage.busy;
@@ -250,26 +258,28 @@
             self.version += 1;
             target.changed = self.version;
         }
-        Heard::Noted
+        HeartbeatOutcome::Noted
     }
 
     /// A target says that it leaves.
-    pub fn leave(&mut self, name: &Name, run: Incarnation) -> Heard {
-        let Some(target) = self.targets.get_mut(name) else { return Heard::AnnounceAgain };
+    pub fn leave(&mut self, name: &Name, run: Incarnation) -> HeartbeatOutcome {
+        let Some(target) = self.targets.get_mut(name) else {
+            return HeartbeatOutcome::AnnounceAgain;
+        };
         if target.spec.incarnation() != run {
-            return Heard::AnnounceAgain;
+            return HeartbeatOutcome::AnnounceAgain;
         }
         if target.health != Health::Gone {
             self.version += 1;
             target.health = Health::Leaving;
             target.changed = self.version;
         }
-        Heard::Noted
+        HeartbeatOutcome::Noted
     }
 
     /// Suspects and drops silent targets, and finds an owner for each runner.
     /// Returns runners that were given a new owner.
-    pub fn tick(&mut self, now: Moment, entries: &Entries) -> Vec<Name> {
+    pub fn tick(&mut self, now: Moment, entries: &EntryTable) -> Vec<Name> {
         if now.since(self.ticked) > TICK_GAP_MAX {
             self.awake_since = now;
         }
@@ -281,7 +291,7 @@
 
     fn note_silence(&mut self, now: Moment) {
         for (name, target) in &mut self.targets {
-            let silent = now.since(target.heard.max(self.awake_since));
+            let silent = now.since(target.last_heard.max(self.awake_since));
             let health = match (&target.spec, target.health) {
                 (_, Health::Gone) => continue,
                 (TargetSpec::Runner(_), _) if silent >= DEAD => Health::Gone,
@@ -294,12 +304,12 @@
             target.changed = self.version;
         }
         self.targets.retain(|_, target| {
-            target.health != Health::Gone || now.since(target.heard) < DEAD + TOMBSTONE
+            target.health != Health::Gone || now.since(target.last_heard) < DEAD + TOMBSTONE
         });
     }
 
-    fn take_from_lost_owners(&mut self, now: Moment, entries: &Entries) {
-        let usable = |e: &Entry| !e.draining && e.may_hold_lease(now);
+    fn take_from_lost_owners(&mut self, now: Moment, entries: &EntryTable) {
+        let usable = |e: &EntryRecord| !e.draining && e.may_hold_lease(now);
         let successor = entries.iter().any(|(_, entry)| usable(entry));
         for target in self.targets.values_mut() {
             let Some(owner) = &target.owner else { continue };
@@ -318,8 +328,8 @@
         }
     }
 
-    fn assign(&mut self, now: Moment, entries: &Entries) -> Vec<Name> {
-        if entries.too_new(now) {
+    fn assign(&mut self, now: Moment, entries: &EntryTable) -> Vec<Name> {
+        if entries.earlier_leases_may_run(now) {
             return Vec::new();
         }
         let mut load = self.load(now, entries);
@@ -331,7 +341,7 @@
             {
                 target.released = Some(Release::Ended(now));
             }
-            let waits = target.released.as_ref().is_some_and(|r| r.waits(target.heard));
+            let waits = target.released.as_ref().is_some_and(|r| r.waits(target.last_heard));
             if target.owner.is_some() || target.health == Health::Gone || waits {
                 continue;
             }
@@ -350,7 +360,7 @@
         given
     }
 
-    fn load(&self, now: Moment, entries: &Entries) -> BTreeMap<Name, Load> {
+    fn load(&self, now: Moment, entries: &EntryTable) -> BTreeMap<Name, Load> {
         let usable = entries.iter().filter(|(_, e)| !e.draining && e.may_hold_lease(now));
         let mut load: BTreeMap<Name, Load> =
             usable.map(|(name, e)| (name.clone(), Load::new(e.zone.clone()))).collect();
@@ -377,7 +387,7 @@
     }
 
     /// An owner says that nothing of its own is in flight at `name` any more.
-    pub fn let_go(&mut self, name: &Name, by: &Name) {
+    pub fn confirm_release(&mut self, name: &Name, by: &Name) {
         if let Some(target) = self.targets.get_mut(name)
             && matches!(&target.released, Some(Release::Asked(from)) if from == by)
         {
@@ -386,7 +396,7 @@
     }
 
     /// An entry says that it owns a runner since before this leader's time.
-    pub fn adopt(&mut self, now: Moment, spec: RunnerSpec, owner: &Name) {
+    pub fn restore_owner(&mut self, now: Moment, spec: RunnerSpec, owner: &Name) {
         let known = self.targets.get(&spec.name);
         if known.is_some_and(|t| t.owner.is_some() || t.spec.incarnation() != spec.incarnation) {
             return;
@@ -399,12 +409,12 @@
             spec,
             health: Health::Live,
             usage: Usage::default(),
-            heard: now,
+            last_heard: now,
             owner: None,
             reserved: 0,
             released: None,
             changed,
-            interval: HEARTBEAT,
+            interval: HEARTBEAT_INTERVAL,
         });
         target.owner = Some(owner.clone());
         target.changed = changed;
@@ -412,9 +422,9 @@
 
     /// Runners that changed after `version`, for an entry that knows up to there: the
     /// oldest changes first, about `most` of them, and the version up to which they go.
-    pub fn changes(&self, version: u64, most: usize) -> (Vec<Change>, u64) {
+    pub fn changes(&self, version: u64, most: usize) -> (Vec<RunnerUpdate>, u64) {
         let is_new = |target: &&Target| target.changed > version;
-        let mut changed: Vec<(u64, Change)> = self
+        let mut changed: Vec<(u64, RunnerUpdate)> = self
             .targets
             .values()
             .filter(is_new)
@@ -449,13 +459,13 @@
 /// stopped when its lease has run out, or when it said goodbye and holds nothing.
 fn wait_for_old_run(now: Moment, known: &Target) -> Duration {
     let lease = match &known.spec {
-        TargetSpec::Worker(_) => surely_ended_after(WORKER_LEASE),
+        TargetSpec::Worker(_) => lease_span_with_drift(WORKER_LEASE),
         TargetSpec::Runner(_) => return Duration::ZERO,
     };
     if known.health == Health::Leaving && known.usage.busy == 0 {
         return Duration::ZERO;
     }
-    lease.saturating_sub(now.since(known.heard))
+    lease.saturating_sub(now.since(known.last_heard))
 }
 
 fn same_place(old: &TargetSpec, new: &TargetSpec) -> bool {
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::moment::Moment;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
-use yuccalink_state::Machine;
+use yuccalink_state::StateMachine;
 use yuccalink_state::id::{Epoch, TaskId, WorkerKey};
 use yuccalink_state::task::{Task, TaskPhase};
 
@@ -27,7 +27,7 @@
 
 /// An order that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct DueOrder {
     /// The task.
     pub task: TaskId,
     /// The placement that the order is about.
@@ -52,18 +52,18 @@
     ///
     /// ```
     /// # use yuccalink_coordination::{Moment, dispatch::Dispatch};
-    /// # use yuccalink_state::{Machine, id::WorkerKey};
-    /// assert!(Dispatch::new().due(Moment::ZERO, &Machine::new(), WorkerKey(0)).is_empty());
+    /// # use yuccalink_state::{StateMachine, id::WorkerKey};
+    /// assert!(Dispatch::new().due(Moment::ZERO, &StateMachine::new(), WorkerKey(0)).is_empty());
     /// ```
-    pub fn due(&mut self, now: Moment, machine: &Machine, worker: WorkerKey) -> Vec<Due> {
+    pub fn due(&mut self, now: Moment, machine: &StateMachine, worker: WorkerKey) -> Vec<DueOrder> {
         let mut due = Vec::new();
-        for task in machine.held_by(worker) {
+        for task in machine.tasks_on_worker(worker) {
             let Some(order) = order_for(machine, task) else { continue };
             let at = self.sent.entry((task.id, task.epoch, order)).or_insert(Moment::ZERO);
             let first = *at == Moment::ZERO;
             if first || now.since(*at) >= RESEND {
                 *at = now.max(Moment(1));
-                due.push(Due { task: task.id, epoch: task.epoch, order });
+                due.push(DueOrder { task: task.id, epoch: task.epoch, order });
             }
             if due.len() == BATCH_MAX {
                 break;
@@ -73,7 +73,7 @@
     }
 
     /// Forgets orders that the state no longer asks for.
-    pub fn tidy(&mut self, machine: &Machine) {
+    pub fn tidy(&mut self, machine: &StateMachine) {
         self.sent.retain(|(id, epoch, order), _| {
             let task = machine.task(*id).filter(|task| task.epoch == *epoch);
             task.and_then(|task| order_for(machine, task)) == Some(*order)
@@ -81,7 +81,7 @@
     }
 
     /// Lets an order be sent again at once, after its sending failed.
-    pub fn failed(&mut self, due: &Due) {
+    pub fn failed(&mut self, due: &DueOrder) {
         self.sent.remove(&(due.task, due.epoch, due.order));
     }
 
@@ -96,13 +96,13 @@
     }
 }
 
-fn order_for(machine: &Machine, task: &Task) -> Option<Order> {
+fn order_for(machine: &StateMachine, task: &Task) -> Option<Order> {
     use yuccalink_state::task::StopReason;
     match task.phase {
         TaskPhase::Placed(_) => Some(Order::Start),
         TaskPhase::Stopping(_, StopReason::Cancel) => Some(Order::Stop),
         TaskPhase::Stopping(_, StopReason::Evict) => {
-            let checkpoint = machine.document_of(task).gives_up.checkpoint;
+            let checkpoint = machine.document_of(task).disruption_tolerance.checkpoint;
             Some(if checkpoint { Order::Checkpoint } else { Order::Stop })
         }
         TaskPhase::Waiting | TaskPhase::Running(_) | TaskPhase::Ended(_) => None,
@@ -131,12 +131,12 @@
     /// Compares one heartbeat with the state.
     pub fn compare(
         &mut self,
-        machine: &Machine,
+        machine: &StateMachine,
         worker: WorkerKey,
         held: &[(TaskId, Epoch)],
     ) -> Differences {
         let mut found = Differences::default();
-        for task in machine.held_by(worker) {
+        for task in machine.tasks_on_worker(worker) {
             let at = (task.id, task.epoch);
             let running = matches!(task.phase, TaskPhase::Running(_) | TaskPhase::Stopping(..));
             if !running || held.contains(&at) {
--- a/crates/coordination/src/entries.rs
+++ b/crates/coordination/src/entries.rs
@@ -1,7 +1,7 @@
 //! Entry VMs as the leader knows them: who holds a configuration lease, which
 //! revision each has put in force, and when a revision is in force everywhere.
 
-use crate::moment::{Moment, surely_ended_after};
+use crate::moment::{Moment, lease_span_with_drift};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yuccalink_state::id::{Incarnation, Name, Revision};
@@ -13,41 +13,41 @@
 
 /// One entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct EntryRecord {
     /// This run of its daemon.
     pub incarnation: Incarnation,
     /// Where it takes callers' requests, for other entries to hand them on.
-    pub callers: Box<str>,
+    pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
     /// The revision that it has put in force.
-    pub acked: Revision,
+    pub acked_revision: Revision,
     /// When it was last heard.
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// Whether it is about to stop.
     pub draining: bool,
 }
 
-impl Entry {
+impl EntryRecord {
     /// Whether it may still be serving under a lease granted here.
     pub fn may_hold_lease(&self, now: Moment) -> bool {
-        now.since(self.heard) <= surely_ended_after(CONFIG_LEASE)
+        now.since(self.last_heard) <= lease_span_with_drift(CONFIG_LEASE)
     }
 }
 
 /// What one entry says when it asks for news and for its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Hello {
+pub struct EntryReport {
     /// Its name.
     pub name: Name,
     /// This run of its daemon.
     pub incarnation: Incarnation,
     /// Where it takes callers' requests.
-    pub callers: Box<str>,
+    pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
     /// The revision that it has put in force.
-    pub acked: Revision,
+    pub acked_revision: Revision,
     /// Whether it is about to stop.
     pub draining: bool,
 }
@@ -57,29 +57,29 @@
 /// ```
 /// use yuccalink_coordination::{Moment, entries::*};
 /// use yuccalink_state::id::{Incarnation, Name, Revision};
-/// let mut entries = Entries::new(Moment::ZERO);
-/// let mut hello = Hello {
-///     name: Name::new("e1")?, incarnation: Incarnation(1), callers: "127.0.0.1:8080".into(),
-///     zone: Name::new("brno")?, acked: Revision(6), draining: false,
+/// let mut entries = EntryTable::new(Moment::ZERO);
+/// let mut hello = EntryReport {
+///     name: Name::new("e1")?, incarnation: Incarnation(1), caller_address: "127.0.0.1:8080".into(),
+///     zone: Name::new("brno")?, acked_revision: Revision(6), draining: false,
 /// };
 /// let at = |ms| Moment::from_millis(ms);
-/// entries.hear(at(10_000), &hello);
-/// assert_eq!(entries.in_force(at(10_100), Revision(7)), InForce::Not([hello.name.clone()].into()));
-/// assert_eq!(entries.in_force(at(14_000), Revision(7)), InForce::Everywhere, "its lease ended");
-/// hello.acked = Revision(7);
-/// entries.hear(at(10_200), &hello);
-/// assert_eq!(entries.in_force(at(10_200), Revision(7)), InForce::Everywhere);
+/// entries.record_report(at(10_000), &hello);
+/// assert_eq!(entries.rollout_status(at(10_100), Revision(7)), RolloutStatus::Not([hello.name.clone()].into()));
+/// assert_eq!(entries.rollout_status(at(14_000), Revision(7)), RolloutStatus::Everywhere, "its lease ended");
+/// hello.acked_revision = Revision(7);
+/// entries.record_report(at(10_200), &hello);
+/// assert_eq!(entries.rollout_status(at(10_200), Revision(7)), RolloutStatus::Everywhere);
 /// # Ok::<(), yuccalink_state::id::BadName>(())
 /// ```
 #[derive(Debug)]
-pub struct Entries {
-    all: BTreeMap<Name, Entry>,
+pub struct EntryTable {
+    all: BTreeMap<Name, EntryRecord>,
     since: Moment,
 }
 
 /// Where a revision is not yet in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum InForce {
+pub enum RolloutStatus {
     /// Every entry that may serve has it.
     Everywhere,
     /// These may still serve an older one.
@@ -88,15 +88,15 @@
     LeaderTooNew,
 }
 
-impl Entries {
+impl EntryTable {
     /// A leader's table at the moment it became leader.
     ///
     /// ```
     /// # use yuccalink_coordination::{Moment, entries::*};
     /// # use yuccalink_state::id::Revision;
-    /// let entries = Entries::new(Moment::ZERO);
-    /// assert_eq!(entries.in_force(Moment::ZERO, Revision(1)), InForce::LeaderTooNew);
-    /// assert_eq!(entries.in_force(Moment::from_millis(4_000), Revision(1)), InForce::Everywhere);
+    /// let entries = EntryTable::new(Moment::ZERO);
+    /// assert_eq!(entries.rollout_status(Moment::ZERO, Revision(1)), RolloutStatus::LeaderTooNew);
+    /// assert_eq!(entries.rollout_status(Moment::from_millis(4_000), Revision(1)), RolloutStatus::Everywhere);
     /// ```
     pub fn new(now: Moment) -> Self {
         Self { all: BTreeMap::new(), since: now }
@@ -104,13 +104,13 @@
 
     /// Takes in a hello, which renews the sender's lease. True when another run
     /// of its daemon was known before.
-    pub fn hear(&mut self, now: Moment, hello: &Hello) -> bool {
-        let entry = Entry {
+    pub fn record_report(&mut self, now: Moment, hello: &EntryReport) -> bool {
+        let entry = EntryRecord {
             incarnation: hello.incarnation,
-            callers: hello.callers.clone(),
+            caller_address: hello.caller_address.clone(),
             zone: hello.zone.clone(),
-            acked: hello.acked,
-            heard: now,
+            acked_revision: hello.acked_revision,
+            last_heard: now,
             draining: hello.draining,
         };
         let before = self.all.insert(hello.name.clone(), entry);
@@ -124,52 +124,52 @@
 
     /// Drops entries that were silent for [`FORGET`].
     pub fn tidy(&mut self, now: Moment) {
-        self.all.retain(|_, entry| now.since(entry.heard) < FORGET);
+        self.all.retain(|_, entry| now.since(entry.last_heard) < FORGET);
     }
 
     /// Every entry, by name.
-    pub fn iter(&self) -> impl Iterator<Item = (&Name, &Entry)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Name, &EntryRecord)> {
         self.all.iter()
     }
 
     /// The entry called `name`.
-    pub fn get(&self, name: &Name) -> Option<&Entry> {
+    pub fn get(&self, name: &Name) -> Option<&EntryRecord> {
         self.all.get(name)
     }
 
     /// Whether leases granted before this leader may still run.
-    pub fn too_new(&self, now: Moment) -> bool {
-        now.since(self.since) <= surely_ended_after(CONFIG_LEASE)
+    pub fn earlier_leases_may_run(&self, now: Moment) -> bool {
+        now.since(self.since) <= lease_span_with_drift(CONFIG_LEASE)
     }
 
     /// Whether `revision` is in force at every entry that may be serving.
     ///
     /// An entry that is cut off cannot acknowledge; it stops serving when its
     /// lease runs out, and is waited for until then and no longer.
-    pub fn in_force(&self, now: Moment, revision: Revision) -> InForce {
+    pub fn rollout_status(&self, now: Moment, revision: Revision) -> RolloutStatus {
         let behind: Box<[Name]> = self
             .all
             .iter()
-            .filter(|(_, entry)| entry.acked < revision && entry.may_hold_lease(now))
+            .filter(|(_, entry)| entry.acked_revision < revision && entry.may_hold_lease(now))
             .map(|(name, _)| name.clone())
             .collect();
         if !behind.is_empty() {
-            return InForce::Not(behind);
+            return RolloutStatus::Not(behind);
         }
-        match self.too_new(now) {
-            true => InForce::LeaderTooNew,
-            false => InForce::Everywhere,
+        match self.earlier_leases_may_run(now) {
+            true => RolloutStatus::LeaderTooNew,
+            false => RolloutStatus::Everywhere,
         }
     }
 }
 
 /// An entry's own view of its lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Lease {
+pub struct ConfigLease {
     until: Moment,
 }
 
-impl Lease {
+impl ConfigLease {
     /// Renews the lease by the answer to a request sent at `sent`. Counting
     /// from the sending is what lets the granter know an end that is not earlier.
     pub fn renew(&mut self, sent: Moment) {
@@ -179,8 +179,8 @@
     /// Whether it may serve.
     ///
     /// ```
-    /// # use yuccalink_coordination::{Moment, entries::Lease};
-    /// let mut lease = Lease::default();
+    /// # use yuccalink_coordination::{Moment, entries::ConfigLease};
+    /// let mut lease = ConfigLease::default();
     /// lease.renew(Moment::from_millis(100));
     /// assert!(lease.holds(Moment::from_millis(3_099)));
     /// assert!(!lease.holds(Moment::from_millis(3_100)));
--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, HashMap};
 use yuccalink_state::id::{Epoch, Name, TaskId, WorkerKey};
-use yuccalink_state::{Machine, Resources};
+use yuccalink_state::{Resources, StateMachine};
 
 /// A promise that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Breach {
+pub enum Violation {
     /// worker {0} is committed beyond what it has
     OverCommitted(Name),
     /// worker {0} counts commitments that its tasks do not add up to
@@ -44,9 +44,9 @@
 ///
 /// ```
 /// # use yuccalink_coordination::invariants::commitments;
-/// assert!(commitments(&yuccalink_state::Machine::new()).is_empty());
+/// assert!(commitments(&yuccalink_state::StateMachine::new()).is_empty());
 /// ```
-pub fn commitments(machine: &Machine) -> Vec<Breach> {
+pub fn commitments(machine: &StateMachine) -> Vec<Violation> {
     let mut sums: BTreeMap<WorkerKey, Resources> = BTreeMap::new();
     for task in machine.tasks() {
         if let Some(key) = task.worker() {
@@ -58,10 +58,10 @@
     for (key, worker) in machine.workers() {
         let sum = sums.get(&key).copied().unwrap_or_default();
         if sum != worker.committed {
-            found.push(Breach::WrongSum(worker.spec.name.clone()));
+            found.push(Violation::WrongSum(worker.spec.name.clone()));
         }
-        if !worker.spec.capacity.holds(sum) {
-            found.push(Breach::OverCommitted(worker.spec.name.clone()));
+        if !worker.spec.capacity.covers(sum) {
+            found.push(Violation::OverCommitted(worker.spec.name.clone()));
         }
     }
     found
@@ -70,25 +70,25 @@
 /// Watches what workers really do with tasks.
 ///
 /// ```
-/// use yuccalink_coordination::invariants::TaskWatch;
+/// use yuccalink_coordination::invariants::TaskChecker;
 /// use yuccalink_state::id::{Epoch, TaskId};
-/// let mut watch = TaskWatch::default();
-/// watch.started(TaskId(1), Epoch(1));
-/// watch.started(TaskId(1), Epoch(2));
-/// assert_eq!(watch.breaches()[0].to_string(), "task t1 ran as epoch 1 and epoch 2 at once");
+/// let mut checker = TaskChecker::default();
+/// checker.started(TaskId(1), Epoch(1));
+/// checker.started(TaskId(1), Epoch(2));
+/// assert_eq!(checker.violations()[0].to_string(), "task t1 ran as epoch 1 and epoch 2 at once");
 /// ```
 #[derive(Debug, Default)]
-pub struct TaskWatch {
+pub struct TaskChecker {
     running: HashMap<TaskId, Epoch>,
     finished: HashMap<TaskId, u32>,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
-impl TaskWatch {
+impl TaskChecker {
     /// A worker began to run a task.
     pub fn started(&mut self, task: TaskId, epoch: Epoch) {
         if let Some(first) = self.running.insert(task, epoch) {
-            self.breaches.push(Breach::TwoPlaces { task, first, second: epoch });
+            self.violations.push(Violation::TwoPlaces { task, first, second: epoch });
         }
     }
 
@@ -105,19 +105,19 @@
         let times = self.finished.entry(task).or_default();
         *times += 1;
         if *times > 1 {
-            self.breaches.push(Breach::FinishedTwice(task));
+            self.violations.push(Violation::FinishedTwice(task));
         }
     }
 
     /// What was found.
-    pub fn breaches(&self) -> &[Breach] {
-        &self.breaches
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 }
 
 /// What a caller was told of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CallerOutcome {
     /// A whole answer that carries this tag of the request it is for.
     Answer(u64),
     /// That the request did not run.
@@ -131,29 +131,29 @@
     once: bool,
     tag: u64,
     runs: u32,
-    told: Vec<Told>,
+    told: Vec<CallerOutcome>,
 }
 
 /// Watches what runners really do with requests and what callers are told. Each
 /// sending of a request that may be called "not run" wants a name of its own.
 ///
 /// ```
-/// use yuccalink_coordination::invariants::{RequestWatch, Told};
-/// let mut watch = RequestWatch::default();
-/// watch.sent("invoice", 7, true);
-/// watch.ran("invoice", "r1", 8);
-/// watch.done("r1");
-/// watch.told("invoice", Told::NotRun);
-/// assert_eq!(watch.breaches()[0].to_string(), "request invoice was called \"not run\" and had run");
+/// use yuccalink_coordination::invariants::{RequestChecker, CallerOutcome};
+/// let mut checker = RequestChecker::default();
+/// checker.sent("invoice", 7, true);
+/// checker.ran("invoice", "r1", 8);
+/// checker.done("r1");
+/// checker.record_outcome("invoice", CallerOutcome::NotRun);
+/// assert_eq!(checker.violations()[0].to_string(), "request invoice was called \"not run\" and had run");
 /// ```
 #[derive(Debug, Default)]
-pub struct RequestWatch {
+pub struct RequestChecker {
     requests: BTreeMap<Box<str>, Request>,
     held: BTreeMap<Box<str>, u32>,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
-impl RequestWatch {
+impl RequestChecker {
     /// A caller sends a request; `tag` is what its answer must carry.
     pub fn sent(&mut self, name: &str, tag: u64, once: bool) {
         let request = self.requests.entry(name.into()).or_default();
@@ -167,8 +167,8 @@
         let held = self.held.entry(runner.into()).or_default();
         *held += 1;
         if *held > slots {
-            let breach = Breach::OverSlots { runner: runner.into(), held: *held, slots };
-            self.breaches.push(breach);
+            let breach = Violation::OverSlots { runner: runner.into(), held: *held, slots };
+            self.violations.push(breach);
         }
     }
 
@@ -180,26 +180,26 @@
     }
 
     /// A caller is told something.
-    pub fn told(&mut self, name: &str, told: Told) {
+    pub fn record_outcome(&mut self, name: &str, told: CallerOutcome) {
         self.requests.entry(name.into()).or_default().told.push(told);
     }
 
     /// What was found, at the end of a run.
-    pub fn breaches(&self) -> Vec<Breach> {
-        let mut found = self.breaches.clone();
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut found = self.violations.clone();
         for (name, request) in &self.requests {
             if request.once && request.runs > 1 {
-                found.push(Breach::RanAgain(name.clone(), request.runs));
+                found.push(Violation::RanAgain(name.clone(), request.runs));
             }
             for told in &request.told {
                 match told {
-                    Told::Answer(tag) if *tag != request.tag => {
-                        found.push(Breach::WrongAnswer(name.clone()));
+                    CallerOutcome::Answer(tag) if *tag != request.tag => {
+                        found.push(Violation::WrongAnswer(name.clone()));
                     }
-                    Told::NotRun if request.runs > 0 => {
-                        found.push(Breach::FalseNotRun(name.clone()));
+                    CallerOutcome::NotRun if request.runs > 0 => {
+                        found.push(Violation::FalseNotRun(name.clone()));
                     }
-                    Told::Answer(_) | Told::NotRun | Told::Unknown => {}
+                    CallerOutcome::Answer(_) | CallerOutcome::NotRun | CallerOutcome::Unknown => {}
                 }
             }
         }
--- a/crates/coordination/src/jobs.rs
+++ b/crates/coordination/src/jobs.rs
@@ -33,6 +33,9 @@
 pub mod swing;
 mod waves;
 
-pub use ask::{Answer, Ask, Finished, JobState, Orders, Report, RunnerState, Running, StartOrder};
-pub use leader::{Leader, LeaderConfig, Now, Token};
-pub use report::Counts;
+pub use ask::{
+    CellRequest, CellResponse, FinishedRun, JobState, ReportedRun, RunnerOrders, RunnerReport,
+    RunnerState, StartOrder,
+};
+pub use leader::{Leader, LeaderConfig, Now, RequestToken};
+pub use report::LeaderCounters;
--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -4,7 +4,7 @@
 //! be added up by cause from logs alone.
 
 use super::leader::{Leader, Now};
-use super::ready::GroupKey;
+use super::ready::StepKey;
 use super::runner::{RunView, Runner, Trust};
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -119,7 +119,7 @@
 struct Vacancies<'a> {
     by_pool: HashMap<&'a str, Vec<&'a Runner>>,
     /// Runners looked at so far.
-    looked_at: u64,
+    runners_scanned: u64,
 }
 
 impl<'a> Vacancies<'a> {
@@ -127,9 +127,9 @@
     fn with_room(&mut self, pool: &str, need: Resources) -> Vec<&'a Runner> {
         let runners = self.by_pool.get(pool).into_iter().flatten().copied();
         let enough = runners.take_while(|runner| runner.free.millicores >= need.millicores);
-        let looked_at: Vec<&Runner> = enough.take(LOOKED_AT_MAX).collect();
-        self.looked_at += looked_at.len() as u64;
-        looked_at.into_iter().filter(|runner| runner.free.holds(need)).collect()
+        let runners_scanned: Vec<&Runner> = enough.take(LOOKED_AT_MAX).collect();
+        self.runners_scanned += runners_scanned.len() as u64;
+        runners_scanned.into_iter().filter(|runner| runner.free.covers(need)).collect()
     }
 }
 
@@ -139,7 +139,7 @@
         let mut held_up = Vec::new();
         let mut overdue = Vec::new();
         let mut vacancies = self.vacancies(now);
-        for (id, job) in self.jobs.all() {
+        for (id, job) in self.state.all() {
             if job.phase != JobPhase::Active || self.ready.lasts_or_comes_later(id) {
                 continue;
             }
@@ -150,7 +150,7 @@
                 overdue.push(id);
             }
         }
-        self.counts.looked_at += vacancies.looked_at;
+        self.counts.runners_scanned += vacancies.runners_scanned;
         for (id, cause) in held_up {
             self.accounts.add(id, cause);
         }
@@ -183,22 +183,22 @@
     fn vacancies(&self, now: Now) -> Vacancies<'_> {
         let mut by_pool: HashMap<&str, Vec<&Runner>> = HashMap::new();
         for runner in self.runners.values() {
-            if runner.takes_tasks() && runner.is_heard_lately(now.at) {
+            if runner.takes_tasks() && runner.reported_recently(now.at) {
                 by_pool.entry(&runner.pool).or_default().push(runner);
             }
         }
         for runners in by_pool.values_mut() {
             runners.sort_by_key(|runner| Reverse(runner.free.millicores));
         }
-        Vacancies { by_pool, looked_at: self.runners.len() as u64 }
+        Vacancies { by_pool, runners_scanned: self.runners.len() as u64 }
     }
 
     /// Why a step's next task has not started.
-    fn why_waits(&self, now: Now, group: GroupKey, vacancies: &mut Vacancies<'_>) -> HeldUp {
+    fn why_waits(&self, now: Now, group: StepKey, vacancies: &mut Vacancies<'_>) -> HeldUp {
         let Some(step) = self.ready.step(group.job, group.step) else { return HeldUp::Order };
-        let Some(job) = self.jobs.job(group.job) else { return HeldUp::Order };
+        let Some(job) = self.state.job(group.job) else { return HeldUp::Order };
         let mut cause = HeldUp::Room;
-        for runner in vacancies.with_room(self.pool_of(job), step.committed) {
+        for runner in vacancies.with_room(self.pool_of(job), step.reserved) {
             let Some((job, spec)) = self.may_host(now, runner, group) else { continue };
             let trust = self.trust(now, runner);
             let takes_more = matches!(trust, Trust::Full | Trust::SecondTryOnly);
@@ -220,11 +220,11 @@
         now: Now,
         job: &Job,
         step: &StepSpec,
-        group: GroupKey,
+        group: StepKey,
         runner: &Runner,
         trust: Trust,
     ) -> bool {
-        let GroupKey { job: id, occurrence, step: at } = group;
+        let StepKey { job: id, occurrence, step: at } = group;
         (0..step.count).any(|index| {
             let index = u16::try_from(index).unwrap_or(u16::MAX);
             let task = TaskKey { job: id, occurrence, step: at, index };
@@ -247,8 +247,8 @@
                 let step = u16::try_from(s).unwrap_or(u16::MAX);
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
                 let key = TaskKey { job: id, occurrence, step, index };
-                let hold = task.holds.last()?;
-                let view = self.runners.get(&hold.life)?.running.get(&key)?;
+                let assignment = task.assignments.last()?;
+                let view = self.runners.get(&assignment.incarnation)?.running.get(&key)?;
                 Some((key, task.last_run, view))
             })
         })
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -2,12 +2,12 @@
 //! most room, asked before a step is to start and kept for as long as they are valid.
 
 use super::leader::{Leader, Now};
-use super::outside::{Call, CallId, Told};
-use super::ready::GroupKey;
+use super::outside::{ExternalCall, ExternalCallId, ExternalReply};
+use super::ready::StepKey;
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use yuccalink_state::jobs::LifeKey;
+use yuccalink_state::jobs::IncarnationKey;
 
 /// Runners asked about at once: as many as a job's objective allows for.
 const ASKED_MAX: usize = 30;
@@ -19,46 +19,51 @@
 /// What is known for one step.
 #[derive(Debug, Default)]
 struct Known {
-    tickets: BTreeMap<LifeKey, Box<str>>,
+    tickets: BTreeMap<IncarnationKey, Box<str>>,
     until: Moment,
-    asked: BTreeSet<LifeKey>,
+    asked: BTreeSet<IncarnationKey>,
 }
 
 /// The question under way.
 #[derive(Debug)]
 struct Asked {
-    call: CallId,
-    group: GroupKey,
+    call: ExternalCallId,
+    group: StepKey,
     /// The runners asked about, by name.
-    lives: BTreeMap<Box<str>, LifeKey>,
+    incarnations: BTreeMap<Box<str>, IncarnationKey>,
     since: Moment,
 }
 
 /// All of it.
 #[derive(Debug, Default)]
 pub(super) struct Advice {
-    known: BTreeMap<GroupKey, Known>,
+    known: BTreeMap<StepKey, Known>,
     asked: Option<Asked>,
 }
 
 impl Advice {
     /// The ticket for a step's tasks on a runner, if it is valid for long enough.
-    pub(super) fn ticket(&self, group: GroupKey, life: LifeKey, now: Moment) -> Option<&str> {
+    pub(super) fn ticket(
+        &self,
+        group: StepKey,
+        incarnation: IncarnationKey,
+        now: Moment,
+    ) -> Option<&str> {
         let known = self.known.get(&group).filter(|known| known.until > now + TICKET_MARGIN)?;
-        known.tickets.get(&life).map(|ticket| &**ticket)
+        known.tickets.get(&incarnation).map(|ticket| &**ticket)
     }
 
     /// Takes an answer in; false when it is not to a question of ours.
-    pub(super) fn told(&mut self, call: CallId, told: &Told) -> bool {
+    pub(super) fn told(&mut self, call: ExternalCallId, told: &ExternalReply) -> bool {
         let Some(asked) = self.asked.take_if(|asked| asked.call == call) else { return false };
-        let Told::Advice { allowed, validity_ms } = told else { return true };
+        let ExternalReply::Advice { allowed, validity_ms } = told else { return true };
         let known = self.known.entry(asked.group).or_default();
         // Valid from some moment between question and answer; the earliest counts.
         known.until = asked.since + Duration::from_millis(*validity_ms);
-        known.asked.extend(asked.lives.values());
+        known.asked.extend(asked.incarnations.values());
         for (name, ticket) in allowed {
-            if let Some(life) = asked.lives.get(name) {
-                known.tickets.insert(*life, ticket.clone());
+            if let Some(incarnation) = asked.incarnations.get(name) {
+                known.tickets.insert(*incarnation, ticket.clone());
             }
         }
         true
@@ -67,8 +72,8 @@
 
 impl Leader {
     /// Whether a step's tasks need a ticket.
-    pub(super) fn needs_ticket(&self, group: GroupKey) -> bool {
-        let job = self.jobs.job(group.job);
+    pub(super) fn needs_ticket(&self, group: StepKey) -> bool {
+        let job = self.state.job(group.job);
         let queue = job.and_then(|job| self.routes.queue(&job.queue));
         queue.is_some_and(|queue| queue.advisor.is_some())
     }
@@ -81,40 +86,48 @@
         self.advice.asked = None;
         // Tickets too old to be used count as none, or nobody would ask for new ones.
         self.advice.known.retain(|_, known| known.until > now.at + TICKET_MARGIN);
-        let wants =
-            |group: &GroupKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
+        let wants = |group: &StepKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
         let Some(group) = self.ready.order().find(wants) else { return };
-        let lives = self.lives_to_ask(group);
-        if lives.is_empty() {
+        let incarnations = self.incarnations_to_ask(group);
+        if incarnations.is_empty() {
             return;
         }
-        let call = self.call(Call::Advise {
+        let call = self.call(ExternalCall::Advise {
             job: group.job,
             occurrence: group.occurrence,
             step: group.step,
-            runners: lives.keys().cloned().collect(),
+            runners: incarnations.keys().cloned().collect(),
         });
-        log::info!("advice asked job={} step={} runners={}", group.job, group.step, lives.len());
-        self.advice.asked = Some(Asked { call, group, lives, since: now.at });
+        log::info!(
+            "advice asked job={} step={} runners={}",
+            group.job,
+            group.step,
+            incarnations.len()
+        );
+        self.advice.asked = Some(Asked { call, group, incarnations, since: now.at });
     }
 
     /// Whether a runner with a ticket has room for a task of the step.
-    fn has_room_by_ticket(&self, group: GroupKey) -> bool {
+    fn has_room_by_ticket(&self, group: StepKey) -> bool {
         let Some(known) = self.advice.known.get(&group) else { return false };
         let Some(step) = self.ready.step(group.job, group.step) else { return false };
-        known.tickets.keys().any(|life| {
-            self.runners.get(life).is_some_and(|r| r.takes_tasks() && r.free.holds(step.committed))
+        known.tickets.keys().any(|incarnation| {
+            self.runners
+                .get(incarnation)
+                .is_some_and(|r| r.takes_tasks() && r.free.covers(step.reserved))
         })
     }
 
     /// The runners with the most room that were not asked about yet; all of them once
     /// none is left.
-    fn lives_to_ask(&self, group: GroupKey) -> BTreeMap<Box<str>, LifeKey> {
+    fn incarnations_to_ask(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
         let Some(step) = self.ready.step(group.job, group.step) else { return BTreeMap::new() };
         let known = self.advice.known.get(&group);
-        let asked = |life: LifeKey| known.is_some_and(|known| known.asked.contains(&life));
+        let asked = |incarnation: IncarnationKey| {
+            known.is_some_and(|known| known.asked.contains(&incarnation))
+        };
         let fits = |r: &&super::runner::Runner| {
-            r.takes_tasks() && r.free.holds(step.committed) && !asked(r.key)
+            r.takes_tasks() && r.free.covers(step.reserved) && !asked(r.key)
         };
         let mut runners: Vec<_> = self.runners.values().filter(fits).collect();
         runners.sort_by_key(|runner| std::cmp::Reverse(runner.free.millicores));
--- a/crates/coordination/src/jobs/ask.rs
+++ b/crates/coordination/src/jobs/ask.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{ChangeSet, How, JobId, JobSpec, TaskKey, Wave};
+use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, RunOutcome, TaskKey, Wave};
 
 /// Where a caller's request goes: the host that it names, and the path up to the
 /// job's number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct QueueAddress {
     /// As the caller wrote it, without a port.
     pub host: Box<str>,
     /// With the slash at its end.
@@ -20,11 +20,11 @@
 
 /// What is asked of the leader. Each may be sent again, with the same effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum CellRequest {
     /// Add a job.
     Submit {
         /// Its queue.
-        at: Place,
+        at: QueueAddress,
         /// Its number.
         id: JobId,
         /// What to do.
@@ -33,35 +33,36 @@
     /// How far is a job?
     State {
         /// Its queue.
-        at: Place,
+        at: QueueAddress,
         /// Its number.
         id: JobId,
     },
     /// Cancel a job.
     Cancel {
         /// Its queue.
-        at: Place,
+        at: QueueAddress,
         /// Its number.
         id: JobId,
     },
     /// How many jobs of a queue have not begun?
     Pending {
         /// The queue.
-        at: Place,
+        at: QueueAddress,
     },
     /// A request that no interface knows: is there a queue at all?
     Other {
         /// Where it goes.
-        at: Place,
+        at: QueueAddress,
     },
     /// A runner reports.
-    Heartbeat(Box<Report>),
+    Heartbeat(Box<RunnerReport>),
     /// A runner has left.
     Leave {
         /// Its name.
         runner: Box<str>,
         /// When its life began, where it says so.
-        born_ms: Option<u64>,
+        #[serde(rename = "born_ms")]
+        started_ms: Option<u64>,
     },
     /// Put a change set in force.
     Change(Arc<ChangeSet>),
@@ -89,11 +90,12 @@
 /// What a runner says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Report {
+pub struct RunnerReport {
     /// Its name.
     pub runner: Box<str>,
     /// When its life began, in Unix milliseconds by its own clock.
-    pub born_ms: u64,
+    #[serde(rename = "born-ms")]
+    pub started_ms: u64,
     /// Higher with each report of this life.
     pub sequence: u64,
     /// Its pool.
@@ -113,31 +115,33 @@
     /// Its rack.
     pub rack: Box<str>,
     /// What runs.
-    pub running: Vec<Running>,
+    pub running: Vec<ReportedRun>,
     /// What ended and was not yet noted.
-    pub finished: Vec<Finished>,
+    pub finished: Vec<FinishedRun>,
 }
 
 /// A run under way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Running {
+pub struct ReportedRun {
     /// Whose.
     pub task: TaskKey,
     /// Which.
     pub run: u32,
     /// The newest checkpoint, empty for none.
-    pub saved: Box<str>,
+    #[serde(rename = "saved")]
+    pub checkpoint: Box<str>,
     /// How far it is; 100 for a long-running task at work.
     pub percent: u8,
     /// A tail in milliseconds for a task with a target, else processors in use.
-    pub gauge: Option<u64>,
+    #[serde(rename = "gauge")]
+    pub usage_or_tail: Option<u64>,
 }
 
 /// The end of a run, as its runner lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Finished {
+pub struct FinishedRun {
     /// From 1 on in each life.
     pub number: u64,
     /// Whose, where the name is one of ours.
@@ -145,9 +149,11 @@
     /// Which run.
     pub run: u32,
     /// How.
-    pub how: How,
+    #[serde(rename = "how")]
+    pub outcome: RunOutcome,
     /// The newest checkpoint, empty for none.
-    pub saved: Box<str>,
+    #[serde(rename = "saved")]
+    pub checkpoint: Box<str>,
 }
 
 /// How far a job is, as its caller is told.
@@ -182,7 +188,8 @@
     /// The job's payload.
     pub payload: Arc<str>,
     /// The checkpoint to resume from, empty for none.
-    pub saved: Box<str>,
+    #[serde(rename = "saved")]
+    pub checkpoint: Box<str>,
     /// Of the outside policy, where the queue has one.
     pub ticket: Option<Box<str>>,
 }
@@ -190,13 +197,14 @@
 /// What a runner is to do; without a lease it keeps what it has and starts nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Orders {
+pub struct RunnerOrders {
     /// Lease on all that runs, counted from when the report was sent; 0 for none.
     pub lease_ms: u64,
     /// Orders with a lower one are of an earlier leader.
     pub token: u64,
     /// Ends up to this number are noted for good.
-    pub noted: u64,
+    #[serde(rename = "noted")]
+    pub acked_through: u64,
     /// Runs to start.
     pub start: Vec<StartOrder>,
     /// Runs to stop.
@@ -211,7 +219,7 @@
 
 /// What the leader answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum CellResponse {
     /// The job is stored.
     Accepted,
     /// How far the job is.
@@ -238,7 +246,7 @@
     /// It may or may not have been done; ask again with the same number.
     Unknown,
     /// What a runner is to do.
-    Orders(Box<Orders>),
+    Orders(Box<RunnerOrders>),
     /// Whether a wave is done.
     Wave {
         /// All its machines are up again.
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -1,10 +1,10 @@
 //! What the log is given, and what follows once it has it.
 
-use super::ask::Answer;
-use super::leader::{Leader, Now, Then};
+use super::ask::CellResponse;
+use super::leader::{Leader, Now, OnCommit};
 use super::routes::Routes;
 use std::collections::BTreeSet;
-use yuccalink_state::jobs::{End, How, JobCommand, JobId, JobOutcome, Jobs};
+use yuccalink_state::jobs::{CellState, JobCommand, JobId, JobOutcome, RunEnd, RunOutcome};
 
 /// Commands waiting for the log; more are refused as "not run".
 const QUEUE_MAX: usize = 8 * 1024;
@@ -12,11 +12,11 @@
 impl Leader {
     /// Whether the log has so much to write that more must be refused.
     pub(super) fn is_full(&self) -> bool {
-        self.proposed.len() >= QUEUE_MAX
+        self.proposal_queue.len() >= QUEUE_MAX
     }
 
-    pub(super) fn propose(&mut self, command: JobCommand, then: Then) {
-        self.proposed.push_back((command, then));
+    pub(super) fn propose(&mut self, command: JobCommand, then: OnCommit) {
+        self.proposal_queue.push_back((command, then));
     }
 
     /// The next batch for the log, if none is under way: what comes meanwhile
@@ -25,9 +25,9 @@
         if !self.committing.is_empty() || !self.batch.is_empty() {
             return Vec::new();
         }
-        let count = self.proposed.len().min(most);
+        let count = self.proposal_queue.len().min(most);
         let mut commands = Vec::with_capacity(count);
-        for (command, then) in self.proposed.drain(..count) {
+        for (command, then) in self.proposal_queue.drain(..count) {
             commands.push(command);
             self.batch.push(then);
         }
@@ -35,28 +35,28 @@
     }
 
     /// The batch stands in the log from index `first` on.
-    pub fn proposed(&mut self, first: u64) {
+    pub fn batch_appended(&mut self, first: u64) {
         self.committing.extend((first..).zip(self.batch.drain(..)));
     }
 
     /// A command is agreed on: applies it and answers.
-    pub fn committed(&mut self, now: Now, index: u64, command: JobCommand) {
-        let touched = touched(&command, &self.jobs);
+    pub fn apply_committed(&mut self, now: Now, index: u64, command: JobCommand) {
+        let touched = touched(&command, &self.state);
         let detail = command.clone();
         let open: Vec<JobId> =
-            touched.iter().copied().filter(|id| self.jobs.is_active(*id)).collect();
+            touched.iter().copied().filter(|id| self.state.is_active(*id)).collect();
         let unknown = match &command {
-            JobCommand::Meet(_) => self.jobs.losses().unknown(),
+            JobCommand::Meet(_) => self.state.losses().unknown(),
             _ => BTreeSet::new(),
         };
-        let outcome = self.jobs.apply(command);
+        let outcome = self.state.apply(command);
         self.log_fates(now, &unknown);
         self.after(now, &detail, &outcome);
         for id in open {
             self.log_ended(id, now);
-            if !self.jobs.is_active(id) {
+            if !self.state.is_active(id) {
                 self.accounts.close(id);
-                if let Some(job) = self.jobs.job(id) {
+                if let Some(job) = self.state.job(id) {
                     self.ready.ended(id, job, now.at);
                 }
             }
@@ -96,13 +96,13 @@
                 }
             }
             JobCommand::Change(_) => {
-                self.routes = Routes::new(self.jobs.change());
-                self.ready.changed(&self.jobs, &self.routes);
+                self.routes = Routes::new(self.state.change_set());
+                self.ready.changed(&self.state, &self.routes);
             }
             JobCommand::UpkeepDone { wave, machine } => {
                 self.noting.remove(&(*wave, machine.clone()));
             }
-            JobCommand::Alive(life) => self.revived(*life),
+            JobCommand::Alive(incarnation) => self.revived(*incarnation),
             JobCommand::Cancel { .. }
             | JobCommand::Meet(_)
             | JobCommand::Learn(_)
@@ -111,61 +111,64 @@
         }
     }
 
-    fn note_end(&mut self, now: Now, end: &End) {
-        let name = self.jobs.life(end.life).map_or("unheard", |life| &*life.id);
-        log::info!("end task={} run={} runner={name} how={:?}", end.task, end.run, end.how);
-        let lasts = self.jobs.step_spec(end.task).is_some_and(|step| step.long_running);
-        match end.how {
-            How::Done => self.counts.done += 1,
-            How::Failed => self.counts.failed += 1,
-            How::Crashed(_) => {
+    fn note_end(&mut self, now: Now, end: &RunEnd) {
+        let name = self
+            .state
+            .incarnation(end.incarnation)
+            .map_or("unheard", |incarnation| &*incarnation.id);
+        log::info!("end task={} run={} runner={name} how={:?}", end.task, end.run, end.outcome);
+        let lasts = self.state.step_spec(end.task).is_some_and(|step| step.long_running);
+        match end.outcome {
+            RunOutcome::Done => self.counts.done += 1,
+            RunOutcome::Failed => self.counts.failed += 1,
+            RunOutcome::Crashed(_) => {
                 self.counts.lost += 1;
                 self.counts.crashed += 1;
             }
-            How::Gone | How::Lapsed | How::Silent(_) => self.counts.lost += 1,
-            How::Stopped | How::Broken | How::Alone | How::Refused => {}
+            RunOutcome::Gone | RunOutcome::Lapsed | RunOutcome::Silent(_) => self.counts.lost += 1,
+            RunOutcome::Stopped | RunOutcome::Broken | RunOutcome::Alone | RunOutcome::Refused => {}
         }
-        if let Some(runner) = self.runners.get_mut(&end.life) {
-            match end.how {
-                How::Done => runner.health.went_well(),
-                How::Failed if !lasts => runner.health.went_badly(now.at),
+        if let Some(runner) = self.runners.get_mut(&end.incarnation) {
+            match end.outcome {
+                RunOutcome::Done => runner.health.went_well(),
+                RunOutcome::Failed if !lasts => runner.health.went_badly(now.at),
                 _ => {}
             }
         }
-        if matches!(end.how, How::Crashed(_) | How::Silent(_)) {
+        if matches!(end.outcome, RunOutcome::Crashed(_) | RunOutcome::Silent(_)) {
             self.log_standing(now, end.task);
         }
     }
 
-    fn finish(&mut self, now: Now, then: Then, outcome: &JobOutcome) {
+    fn finish(&mut self, now: Now, then: OnCommit, outcome: &JobOutcome) {
         match then {
-            Then::Submitted { id, token } => {
+            OnCommit::Submitted { id, token } => {
                 if *outcome == (JobOutcome::Accepted { new: true }) {
                     self.counts.accepted += 1;
                     self.log_accepted(id);
                 }
-                self.answer(token, Answer::Accepted);
+                self.answer(token, CellResponse::Accepted);
             }
-            Then::Cancelled { id, token } => {
+            OnCommit::Cancelled { id, token } => {
                 log::info!("job={id} cancelled");
                 let known = *outcome == JobOutcome::Cancelled(true);
-                self.answer(token, if known { Answer::Ok } else { Answer::Gone });
+                self.answer(token, if known { CellResponse::Ok } else { CellResponse::Gone });
             }
-            Then::Changed { version, token } => {
+            OnCommit::Changed { version, token } => {
                 let now_in_force = *outcome == JobOutcome::Changed(true);
                 log::info!("change version={version} in-force={now_in_force}");
-                self.answer(token, Answer::Ok);
+                self.answer(token, CellResponse::Ok);
             }
-            Then::Met { token, report } => self.met(now, token, &report, outcome),
-            Then::Heartbeat(at) => self.heartbeat_committed(now, at),
-            Then::Acknowledged(token) => self.answer(token, Answer::Ok),
-            Then::Nothing => {}
+            OnCommit::Met { token, report } => self.met(now, token, &report, outcome),
+            OnCommit::Heartbeat(at) => self.heartbeat_committed(now, at),
+            OnCommit::Acknowledged(token) => self.answer(token, CellResponse::Ok),
+            OnCommit::Nothing => {}
         }
     }
 }
 
 /// Jobs that a command may change.
-fn touched(command: &JobCommand, jobs: &Jobs) -> BTreeSet<JobId> {
+fn touched(command: &JobCommand, jobs: &CellState) -> BTreeSet<JobId> {
     match command {
         JobCommand::Submit(submit) => BTreeSet::from([submit.id]),
         JobCommand::Cancel { id, .. } => BTreeSet::from([*id]),
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -10,12 +10,12 @@
 use super::leader::{Leader, Now};
 use super::place::{Chosen, label_fits};
 use super::policy::{Millis, Switch};
-use super::ready::GroupKey;
-use super::room::less;
+use super::ready::StepKey;
+use super::room::saturating_sub;
 use super::runner::{RunView, Runner, Trust};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
-use yuccalink_state::jobs::{Start, TaskKey};
+use yuccalink_state::jobs::{RunStart, TaskKey};
 
 /// Tasks that lag get second copies, where their step allows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
                     continue;
                 };
                 running += 1;
-                let twice = self.jobs.task(*task).is_some_and(|state| state.holds.len() > 1);
+                let twice = self.state.task(*task).is_some_and(|state| state.assignments.len() > 1);
                 if twice {
                     copies += 1;
                 } else if let Some(left) = policy.lag(now, runner, view, step.estimate_ms) {
@@ -94,47 +94,47 @@
             }
             if let Some(start) = self.copy_of(*task, runner, chosen) {
                 let Some(step) = self.ready.step_of(*task) else { continue };
-                chosen.free = less(chosen.free, step.committed);
+                chosen.free = saturating_sub(chosen.free, step.reserved);
                 chosen.starts.push(start);
             }
         }
     }
 
-    fn copy_of(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<Start> {
-        let job = self.jobs.job(task.job)?;
+    fn copy_of(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<RunStart> {
+        let job = self.state.job(task.job)?;
         let step = job.spec.steps.get(usize::from(task.step))?;
-        let state = self.jobs.task(task)?;
-        let [original] = state.holds.as_slice() else { return None };
-        let group = GroupKey::of(task);
+        let state = self.state.task(task)?;
+        let [original] = state.assignments.as_slice() else { return None };
+        let group = StepKey::of(task);
         let chosen_here =
-            chosen.starts.iter().filter(|start| GroupKey::of(start.task) == group).count();
+            chosen.starts.iter().filter(|start| StepKey::of(start.task) == group).count();
         let here = self.count_here(runner.key, group) as usize + chosen_here;
         let fits = !state.done
-            && original.life != runner.key
+            && original.incarnation != runner.key
             && !self.starting.contains_key(&task)
             // A failure of the copy beside one of the original would end the job.
             && state.failures == 0
             && self.may_have_copy(task)
             && !step.gang
             && !step.opportunistic
-            && chosen.free.holds(step.committed())
+            && chosen.free.covers(step.committed())
             && self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
             && step.data_rack.as_ref().is_none_or(|rack| *rack == runner.rack)
             && (step.per_runner_max == 0 || here < step.per_runner_max as usize);
-        fits.then(|| Start { task, run: state.last_run + 1, life: runner.key })
+        fits.then(|| RunStart { task, run: state.last_run + 1, incarnation: runner.key })
     }
 }
 
 impl CopiesPolicy {
     /// How long a run is expected to take still, where that is much more than a copy would.
     fn lag(&self, now: Now, runner: &Runner, view: &RunView, estimate_ms: u64) -> Option<Duration> {
-        if view.stopping || !runner.is_heard_lately(now.at) {
+        if view.stopping || !runner.reported_recently(now.at) {
             return None;
         }
         let usual = Duration::from_millis(estimate_ms);
-        let gain = self.gain.span();
-        let stands = view.percent < 100 && now.at.since(view.moved) > self.unmoved.span();
+        let gain = self.gain.to_duration();
+        let stands = view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
         let left = match stands {
             true => usual * self.lags_by + gain,
             false => view.time_left(now.at, estimate_ms),
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -1,13 +1,13 @@
 //! What is due as time passes: ranking, leases that have ended, occurrences, forgetting.
 
 use super::account::LOOK_EVERY;
-use super::ask::{Answer, Orders};
-use super::leader::{Leader, Now, Then, startable};
+use super::ask::{CellResponse, RunnerOrders};
+use super::leader::{Leader, Now, OnCommit, startable};
 use super::lost::Why;
-use super::ready::GroupKey;
-use super::runner::lease_surely_ended_after;
+use super::ready::StepKey;
+use super::runner::lease_expiry_bound;
 use std::time::Duration;
-use yuccalink_state::jobs::{End, JobCommand, JobId, JobPhase};
+use yuccalink_state::jobs::{JobCommand, JobId, JobPhase, RunEnd};
 
 /// Longest wait of a heartbeat for the log: a runner drops what comes later than
 /// a second, and the way back takes time as well.
@@ -24,7 +24,7 @@
     pub fn tick(&mut self, now: Now) {
         if now.at.since(self.ranked) >= RANK_EVERY {
             self.ranked = now.at;
-            self.ready.rank_all(&self.jobs, now.at);
+            self.ready.rank_all(&self.state, now.at);
             self.measure_pools();
             self.count_moving_out();
             self.find_laggards(now);
@@ -55,32 +55,33 @@
         for waiting in self.heartbeats.values_mut() {
             if !waiting.answered && now.at.since(waiting.since) > HEARTBEAT_WAIT {
                 waiting.answered = true;
-                late.push((waiting.token, waiting.life));
+                late.push((waiting.token, waiting.incarnation));
             }
         }
-        for (token, life) in late {
+        for (token, incarnation) in late {
             // The log is slow: the lease is renewed all the same, since this process
             // still leads; what was decided comes with the next heartbeat.
-            self.send_orders(now, token, life);
+            self.send_orders(now, token, incarnation);
         }
     }
 
     /// Gives up runs whose lease has surely ended. Starting them elsewhere any
     /// earlier could run a task twice.
     fn end_lapsed(&mut self, now: Now) {
-        let inherited = self.started + lease_surely_ended_after(self.cfg.lease);
+        let inherited = self.started + lease_expiry_bound(self.cfg.lease);
         let mut ends = Vec::new();
-        for life in self.jobs.lives_with_holds() {
-            let granted = self.runners.get(&life).map_or(inherited, |runner| runner.lease_end);
+        for incarnation in self.state.incarnations_with_runs() {
+            let granted =
+                self.runners.get(&incarnation).map_or(inherited, |runner| runner.lease_end);
             let until = granted.max(inherited);
             if now.at > until {
-                self.collect_lost(now, life, Why::Lease, &mut ends);
+                self.collect_lost(now, incarnation, Why::Lease, &mut ends);
             }
         }
-        self.propose_ends(now, ends, Then::Nothing);
+        self.propose_ends(now, ends, OnCommit::Nothing);
     }
 
-    pub(super) fn propose_ends(&mut self, now: Now, ends: Vec<End>, then: Then) {
+    pub(super) fn propose_ends(&mut self, now: Now, ends: Vec<RunEnd>, then: OnCommit) {
         if ends.is_empty() {
             return;
         }
@@ -92,7 +93,7 @@
     fn open_due(&mut self, now: Now) {
         let due: Vec<JobId> = self.ready.scheduled();
         for id in due {
-            let Some(job) = self.jobs.job(id) else { continue };
+            let Some(job) = self.state.job(id) else { continue };
             let keys = if job.phase == JobPhase::Active {
                 let mut keys = startable(id, job);
                 keys.extend(due_occurrences(id, job, now.unix_ms));
@@ -100,39 +101,39 @@
             } else {
                 Vec::new()
             };
-            self.ready.set_groups(id, &keys, &self.jobs, now.at);
+            self.ready.set_groups(id, &keys, &self.state, now.at);
         }
     }
 
     /// Leaves what was learnt to a later leader: relearning costs serving tasks their
     /// bounds for some ten seconds, with each change of leader.
     fn remember(&mut self) {
-        let learnt = self.interference.remember();
-        if !learnt.is_empty() && learnt != self.jobs.learnt() {
-            self.propose(JobCommand::Learn(learnt), Then::Nothing);
+        let learnt = self.interference.learned_weights();
+        if !learnt.is_empty() && learnt != self.state.learnt() {
+            self.propose(JobCommand::Learn(learnt), OnCommit::Nothing);
         }
     }
 
     fn forget(&mut self, now: Now) {
-        let keep = u64::try_from(self.cfg.remember.as_millis()).unwrap_or(u64::MAX);
-        let ids = self.jobs.forgettable(now.unix_ms.saturating_sub(keep), FORGET_MAX);
+        let keep = u64::try_from(self.cfg.job_retention.as_millis()).unwrap_or(u64::MAX);
+        let ids = self.state.forgettable(now.unix_ms.saturating_sub(keep), FORGET_MAX);
         if !ids.is_empty() {
-            self.propose(JobCommand::Forget(ids), Then::Nothing);
+            self.propose(JobCommand::Forget(ids), OnCommit::Nothing);
         }
     }
 
     fn forget_loads(&mut self) {
-        let jobs = &self.jobs;
+        let jobs = &self.state;
         self.loads.keep(|group| jobs.is_active(group.job));
     }
 
-    pub(super) fn empty_orders(&self) -> Answer {
-        Answer::Orders(Box::new(Orders { token: self.term, ..Orders::default() }))
+    pub(super) fn empty_orders(&self) -> CellResponse {
+        CellResponse::Orders(Box::new(RunnerOrders { token: self.term, ..RunnerOrders::default() }))
     }
 }
 
 /// First steps of occurrences that are due and have not begun.
-fn due_occurrences(id: JobId, job: &yuccalink_state::jobs::Job, unix_ms: u64) -> Vec<GroupKey> {
+fn due_occurrences(id: JobId, job: &yuccalink_state::jobs::Job, unix_ms: u64) -> Vec<StepKey> {
     let Some(schedule) = job.spec.schedule else { return Vec::new() };
     let begun = u32::try_from(job.occurrences.len()).unwrap_or(u32::MAX);
     let mut keys = Vec::new();
@@ -142,9 +143,9 @@
             break;
         }
         for (s, step) in job.spec.steps.iter().enumerate() {
-            if step.after.is_empty() {
+            if step.depends_on.is_empty() {
                 let s = u16::try_from(s).unwrap_or(u16::MAX);
-                keys.push(GroupKey { job: id, occurrence: k, step: s });
+                keys.push(StepKey { job: id, occurrence: k, step: s });
             }
         }
     }
--- a/crates/coordination/src/jobs/estimate.rs
+++ b/crates/coordination/src/jobs/estimate.rs
@@ -48,7 +48,7 @@
         // Steps only come after earlier ones, so one pass from the end is enough.
         for at in (0..spec.steps.len()).rev() {
             let own = tails[at];
-            for before in &spec.steps[at].after {
+            for before in &spec.steps[at].depends_on {
                 let before = usize::from(*before);
                 let through = length(spec.steps[before].estimate_ms) + own;
                 tails[before] = tails[before].max(through);
--- a/crates/coordination/src/jobs/gangs.rs
+++ b/crates/coordination/src/jobs/gangs.rs
@@ -2,16 +2,16 @@
 //! is found over many runners at once. Each runner is told with its next report,
 //! which comes within a second; the members wait for each other that long.
 
-use super::leader::{Leader, Now, Then};
+use super::leader::{Leader, Now, OnCommit};
 use super::policy::Switch;
-use super::ready::GroupKey;
+use super::ready::StepKey;
 use super::runner::{Runner, Trust};
-use super::suspects::Standing;
+use super::suspects::CrashSuspicion;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{Job, JobCommand, LifeKey, Start, Step, StepSpec, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, Job, JobCommand, RunStart, Step, StepSpec, TaskKey};
 
 /// A runner that has not reported for this long may not do so in time.
 const HEARD_LATELY: Duration = Duration::from_millis(1_200);
@@ -35,35 +35,35 @@
 impl Leader {
     /// Starts gangs for which there is room.
     pub(super) fn place_gangs(&mut self, now: Now) {
-        let is_gang = |group: &GroupKey| {
-            let job = self.jobs.job(group.job);
+        let is_gang = |group: &StepKey| {
+            let job = self.state.job(group.job);
             job.and_then(|j| j.spec.steps.get(usize::from(group.step))).is_some_and(|s| s.gang)
         };
-        let groups: Vec<GroupKey> = self.ready.order().filter(is_gang).take(TRIED_MAX).collect();
+        let groups: Vec<StepKey> = self.ready.order().filter(is_gang).take(TRIED_MAX).collect();
         for group in groups {
             if let Some(starts) = self.gang_starts(now, group) {
                 log::info!("gang job={} step={} members={}", group.job, group.step, starts.len());
                 for start in &starts {
-                    self.take_room(group, start.life);
+                    self.take_room(group, start.incarnation);
                     self.starting.insert(start.task, *start);
                 }
                 self.counts.starts += starts.len() as u64;
-                self.propose(JobCommand::Start(starts), Then::Nothing);
+                self.propose(JobCommand::Start(starts), OnCommit::Nothing);
             }
         }
     }
 
-    fn take_room(&mut self, group: GroupKey, life: LifeKey) {
-        let Some(need) = self.ready.step(group.job, group.step).map(|step| step.committed) else {
+    fn take_room(&mut self, group: StepKey, incarnation: IncarnationKey) {
+        let Some(need) = self.ready.step(group.job, group.step).map(|step| step.reserved) else {
             return;
         };
-        if let Some(runner) = self.runners.get_mut(&life) {
+        if let Some(runner) = self.runners.get_mut(&incarnation) {
             runner.free = runner.free.minus(need).unwrap_or(Resources::ZERO);
         }
     }
 
-    fn gang_starts(&self, now: Now, group: GroupKey) -> Option<Vec<Start>> {
-        let job = self.jobs.job(group.job)?;
+    fn gang_starts(&self, now: Now, group: StepKey) -> Option<Vec<RunStart>> {
+        let job = self.state.job(group.job)?;
         let spec = job.spec.steps.get(usize::from(group.step))?;
         let step =
             job.occurrences.get(group.occurrence as usize)?.steps.get(usize::from(group.step))?;
@@ -75,30 +75,35 @@
         };
         let whole = step.tasks.iter().enumerate().all(|(index, task)| {
             !task.done
-                && task.holds.is_empty()
+                && task.assignments.is_empty()
                 && !self.starting.contains_key(&key(index))
-                && self.standing(now, key(index)) != Standing::HeldBack
+                && self.standing(now, key(index)) != CrashSuspicion::HeldBack
         });
         if !whole {
             return None;
         }
         let run = step.tasks.iter().map(|task| task.last_run).max().unwrap_or(0) + 1;
         let candidates = self.gang_candidates(now, job, spec, step);
-        let lives = match self.cfg.policy.gangs.one_rack {
+        let incarnations = match self.cfg.policy.gangs.one_rack {
             Switch::On => seats(spec, &candidates)?,
             Switch::Off => seats_among(spec, &candidates)?,
         };
-        let starts = lives.into_iter().enumerate();
-        Some(starts.map(|(index, life)| Start { task: key(index), run, life }).collect())
+        let starts = incarnations.into_iter().enumerate();
+        Some(
+            starts
+                .map(|(index, incarnation)| RunStart { task: key(index), run, incarnation })
+                .collect(),
+        )
     }
 
     fn gang_candidates(&self, now: Now, job: &Job, spec: &StepSpec, step: &Step) -> Vec<&Runner> {
-        let failed_on = |life| step.tasks.iter().any(|task| task.failed_on.contains(&life));
+        let failed_on =
+            |incarnation| step.tasks.iter().any(|task| task.failed_on.contains(&incarnation));
         let pool = self.pool_of(job);
         let fits = |runner: &&Runner| {
             runner.takes_tasks()
                 && &*runner.pool == pool
-                && now.at.since(runner.heard) < HEARD_LATELY
+                && now.at.since(runner.last_report_at) < HEARD_LATELY
                 && self.trust(now, runner) == Trust::Full
                 && spec.required_label.as_ref().is_none_or(|label| runner.has_label(label))
                 && !failed_on(runner.key)
@@ -109,7 +114,7 @@
 
 /// A runner for each member: in one rack where there is one with room, since members
 /// in several racks take twice as long, else wherever there is room.
-fn seats(spec: &StepSpec, candidates: &[&Runner]) -> Option<Vec<LifeKey>> {
+fn seats(spec: &StepSpec, candidates: &[&Runner]) -> Option<Vec<IncarnationKey>> {
     let mut racks: BTreeMap<&str, Vec<&Runner>> = BTreeMap::new();
     for runner in candidates {
         racks.entry(&runner.rack).or_default().push(runner);
@@ -120,7 +125,7 @@
     in_one_rack.or_else(|| seats_among(spec, candidates))
 }
 
-fn seats_among(spec: &StepSpec, runners: &[&Runner]) -> Option<Vec<LifeKey>> {
+fn seats_among(spec: &StepSpec, runners: &[&Runner]) -> Option<Vec<IncarnationKey>> {
     let need = spec.committed();
     let wanted = spec.count as usize;
     let mut seats = Vec::with_capacity(wanted);
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -1,17 +1,18 @@
 //! Heartbeats of runners: what they tell is taken in, what is to be started or
 //! stopped goes back with the answer.
 
-use super::ask::{Answer, Finished, Orders, Report, RunnerState, StartOrder};
-use super::leader::{Leader, Now, Then, Token, Waiting};
+use super::ask::{CellResponse, FinishedRun, RunnerOrders, RunnerReport, RunnerState, StartOrder};
+use super::leader::{Leader, Now, OnCommit, PendingHeartbeat, RequestToken};
 use super::lost::Why;
 use super::policy::{Millis, Switch};
-use super::ready::{GroupKey, StepInfo};
-use super::runner::{Runner, lease_surely_ended_after};
+use super::ready::{StepInfo, StepKey};
+use super::runner::{Runner, lease_expiry_bound};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use yuccalink_state::jobs::{
-    End, How, JobCommand, JobOutcome, JobPhase, Life, LifeKey, Start, TaskKey,
+    IncarnationKey, JobCommand, JobOutcome, JobPhase, RunEnd, RunOutcome, RunStart,
+    RunnerIncarnation, TaskKey,
 };
 
 /// Longest and shortest time between reports of a runner with room: each report
@@ -53,25 +54,27 @@
 }
 
 impl Leader {
-    pub(super) fn heartbeat(&mut self, now: Now, token: Token, report: Box<Report>) {
+    pub(super) fn heartbeat(&mut self, now: Now, token: RequestToken, report: Box<RunnerReport>) {
         self.counts.heartbeats += 1;
-        let change = self.jobs.change();
+        let change = self.state.change_set();
         if change.is_some_and(|change| change.pool(&report.pool).is_none()) {
             log::info!("runner={} left aside: no pool {}", report.runner, report.pool);
             let what = format!("there is no pool {}; correct the name", report.pool);
-            return self.answer(token, Answer::Invalid(what.into()));
+            return self.answer(token, CellResponse::Invalid(what.into()));
         }
-        let known = self.lives.newest(&report.runner);
-        let born = known.and_then(|key| self.jobs.life(key)).map(|life| life.born_ms);
+        let known = self.incarnations.newest(&report.runner);
+        let born = known
+            .and_then(|key| self.state.incarnation(key))
+            .map(|incarnation| incarnation.started_ms);
         match (known, born) {
-            (Some(key), Some(born)) if born == report.born_ms => {
+            (Some(key), Some(born)) if born == report.started_ms => {
                 self.take_report(now, token, key, &report, Offer::Work);
             }
-            (_, Some(born)) if report.born_ms < born => {
+            (_, Some(born)) if report.started_ms < born => {
                 log::info!(
                     "runner={} report of an earlier life left aside: born={} newest={born}",
                     report.runner,
-                    report.born_ms
+                    report.started_ms
                 );
                 let answer = self.empty_orders();
                 self.answer(token, answer);
@@ -80,36 +83,49 @@
         }
     }
 
-    fn propose_life(&mut self, token: Token, report: Box<Report>) {
-        let life = Life {
+    fn propose_life(&mut self, token: RequestToken, report: Box<RunnerReport>) {
+        let incarnation = RunnerIncarnation {
             id: report.runner.clone(),
-            born_ms: report.born_ms,
+            started_ms: report.started_ms,
             address: report.address.clone(),
         };
-        self.propose(JobCommand::Meet(life), Then::Met { token, report });
+        self.propose(JobCommand::Meet(incarnation), OnCommit::Met { token, report });
     }
 
     /// A new life is in the log; what earlier ones ran is over.
-    pub(super) fn met(&mut self, now: Now, token: Token, report: &Report, outcome: &JobOutcome) {
+    pub(super) fn met(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        report: &RunnerReport,
+        outcome: &JobOutcome,
+    ) {
         let JobOutcome::Met(key) = *outcome else { return };
-        self.lives.meet(key, &self.jobs);
-        log::info!("runner={} {key} met: born={}", report.runner, report.born_ms);
+        self.incarnations.meet(key, &self.state);
+        log::info!("runner={} {key} met: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
-        for over in self.lives.over() {
+        for over in self.incarnations.over() {
             self.collect_lost(now, over, Why::NextLife, &mut ends);
             self.runners.remove(&over);
         }
         // What it ran before is not waiting yet, and comes before what never ran: it must
         // not find its room taken by the time it is.
         let offer = if ends.is_empty() { Offer::Work } else { Offer::Nothing };
-        self.propose_ends(now, ends, Then::Nothing);
+        self.propose_ends(now, ends, OnCommit::Nothing);
         self.take_report(now, token, key, report, offer);
     }
 
-    fn take_report(&mut self, now: Now, token: Token, key: LifeKey, report: &Report, offer: Offer) {
+    fn take_report(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        key: IncarnationKey,
+        report: &RunnerReport,
+        offer: Offer,
+    ) {
         let runner = self.runners.entry(key).or_insert_with(|| Runner::new(key, report, now.at));
         let late = report.sequence <= runner.sequence && runner.sequence > 0;
-        if late || self.lives.is_over(key) {
+        if late || self.incarnations.is_over(key) {
             log::info!("runner={} late report {} left aside", report.runner, report.sequence);
             let answer = self.empty_orders();
             return self.answer(token, answer);
@@ -136,14 +152,20 @@
 
     /// Ends that are not yet in the log. Those of runs that are not held are known
     /// already, or were given up when their lease ended.
-    fn new_ends(&self, key: LifeKey, finished: &[Finished]) -> Vec<End> {
+    fn new_ends(&self, key: IncarnationKey, finished: &[FinishedRun]) -> Vec<RunEnd> {
         let mut ends = Vec::new();
         for end in finished {
             let Some(task) = end.task else { continue };
-            let held = self.jobs.holds(key, task, end.run);
+            let held = self.state.is_assigned(key, task, end.run);
             if held && !self.ending.contains(&(task, end.run)) {
-                let saved = end.saved.clone();
-                ends.push(End { task, run: end.run, life: key, how: end.how, saved });
+                let saved = end.checkpoint.clone();
+                ends.push(RunEnd {
+                    task,
+                    run: end.run,
+                    incarnation: key,
+                    outcome: end.outcome,
+                    checkpoint: saved,
+                });
             }
         }
         ends
@@ -154,13 +176,13 @@
     fn collect_never_started(
         &self,
         now: Now,
-        key: LifeKey,
+        key: IncarnationKey,
         ended: &BTreeSet<(TaskKey, u32)>,
-        ends: &mut Vec<End>,
+        ends: &mut Vec<RunEnd>,
     ) {
         let Some(runner) = self.runners.get(&key) else { return };
-        let order_over = lease_surely_ended_after(self.cfg.lease);
-        for (task, run) in self.jobs.held(key) {
+        let order_over = lease_expiry_bound(self.cfg.lease);
+        for (task, run) in self.state.assigned_runs(key) {
             let listed = runner.view(task, run).is_some();
             let under_way = self.ending.contains(&(task, run));
             let wanted = self.is_wanted(task)
@@ -172,26 +194,32 @@
             if listed || under_way || ended.contains(&(task, run)) || wanted || late {
                 continue;
             }
-            ends.push(End { task, run, life: key, how: How::Gone, saved: Box::default() });
+            ends.push(RunEnd {
+                task,
+                run,
+                incarnation: key,
+                outcome: RunOutcome::Gone,
+                checkpoint: Box::default(),
+            });
         }
     }
 
     /// Whether an order to start a task would be taken: one whose ticket has run out
     /// would not.
-    fn may_be_ordered(&self, now: Now, life: LifeKey, task: TaskKey) -> bool {
-        let group = GroupKey::of(task);
-        !self.needs_ticket(group) || self.advice.ticket(group, life, now.at).is_some()
+    fn may_be_ordered(&self, now: Now, incarnation: IncarnationKey, task: TaskKey) -> bool {
+        let group = StepKey::of(task);
+        !self.needs_ticket(group) || self.advice.ticket(group, incarnation, now.at).is_some()
     }
 
     /// Whether a task is still to be done.
     fn is_wanted(&self, task: TaskKey) -> bool {
-        let active = self.jobs.job(task.job).is_some_and(|job| job.phase == JobPhase::Active);
-        active && self.jobs.task(task).is_some_and(|task| !task.done)
+        let active = self.state.job(task.job).is_some_and(|job| job.phase == JobPhase::Active);
+        active && self.state.task(task).is_some_and(|task| !task.done)
     }
 
     /// Finds runs that stand still, and those that will not end before their
     /// runner leaves.
-    fn judge_runs(&mut self, now: Now, key: LifeKey) {
+    fn judge_runs(&mut self, now: Now, key: IncarnationKey) {
         let standing_after = self.cfg.policy.distrust.standing;
         let staying = self.staying(now, key);
         let Some(runner) = self.runners.get_mut(&key) else { return };
@@ -209,7 +237,7 @@
             }
             let stands = !step.opportunistic && view.stands_still(now.at, standing_after);
             let too_long = leaving
-                && runner.leaves_at.is_some_and(|at| {
+                && runner.terminates_at.is_some_and(|at| {
                     let left = at.since(now.at + LEAVE_MARGIN);
                     view.time_left(now.at, step.estimate_ms) > left && left < LEAVE_MARGIN * 4
                 });
@@ -235,17 +263,17 @@
         for _ in 0..standing {
             runner.health.went_badly(now.at);
         }
-        self.counts.standing += standing;
+        self.counts.stalled_runs += standing;
     }
 
     /// Tasks that last on a leaving runner and that would find no room elsewhere: each
     /// one that leaves takes room that is free now, so not all leave for the same.
-    fn staying(&mut self, now: Now, key: LifeKey) -> BTreeSet<TaskKey> {
+    fn staying(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
         let policy = self.cfg.policy.leaving;
         let mut staying = BTreeSet::new();
         let Some(runner) = self.runners.get(&key) else { return staying };
-        let soon = now.at + policy.margin.span();
-        let leaves_later = runner.leaves_at.is_some_and(|at| at > soon);
+        let soon = now.at + policy.margin.to_duration();
+        let leaves_later = runner.terminates_at.is_some_and(|at| at > soon);
         if policy.mode == Switch::Off || runner.state == RunnerState::Ready || !leaves_later {
             return staying;
         }
@@ -266,17 +294,17 @@
 
     /// How many tasks of a step find room on other runners.
     fn seats_elsewhere(&self, now: Now, leaving: &Runner, task: TaskKey, step: &StepInfo) -> u32 {
-        let group = GroupKey::of(task);
+        let group = StepKey::of(task);
         let mut seats = 0;
         for runner in self.runners.values() {
             let may = runner.key != leaving.key
                 && runner.takes_tasks()
-                && runner.is_heard_lately(now.at)
-                && runner.free.holds(step.committed);
+                && runner.reported_recently(now.at)
+                && runner.free.covers(step.reserved);
             let Some((_, spec)) = self.may_host(now, runner, group).filter(|_| may) else {
                 continue;
             };
-            let room = runner.free.millicores / step.committed.millicores.max(1);
+            let room = runner.free.millicores / step.reserved.millicores.max(1);
             let room = u32::try_from(room).unwrap_or(u32::MAX);
             seats += room.min(self.seats(runner, group, spec));
         }
@@ -286,20 +314,20 @@
     fn commit_report(
         &mut self,
         now: Now,
-        token: Token,
-        key: LifeKey,
-        report: &Report,
-        ends: Vec<End>,
-        starts: Vec<Start>,
+        token: RequestToken,
+        key: IncarnationKey,
+        report: &RunnerReport,
+        ends: Vec<RunEnd>,
+        starts: Vec<RunStart>,
     ) {
         let newest = report.finished.iter().map(|end| end.number).max().unwrap_or(0);
         let commands = u32::from(!ends.is_empty()) + u32::from(!starts.is_empty());
         let Some(runner) = self.runners.get_mut(&key) else { return };
         if commands == 0 {
             // Nothing that it lists is on its way to the log any more.
-            if runner.proposed == runner.noted {
-                runner.noted = runner.noted.max(newest);
-                runner.proposed = runner.noted;
+            if runner.proposed == runner.acked_through {
+                runner.acked_through = runner.acked_through.max(newest);
+                runner.proposed = runner.acked_through;
             }
             return self.send_orders(now, token, key);
         }
@@ -308,13 +336,20 @@
         self.next_heartbeat += 1;
         let noted = runner.proposed;
         let since = now.at;
-        let waiting = Waiting { token, life: key, commands, noted, since, answered: false };
+        let waiting = PendingHeartbeat {
+            token,
+            incarnation: key,
+            commands,
+            acked_through: noted,
+            since,
+            answered: false,
+        };
         self.heartbeats.insert(at, waiting);
-        self.propose_ends(now, ends, Then::Heartbeat(at));
+        self.propose_ends(now, ends, OnCommit::Heartbeat(at));
         if !starts.is_empty() {
             self.starting.extend(starts.iter().map(|start| (start.task, *start)));
             self.counts.starts += starts.len() as u64;
-            self.propose(JobCommand::Start(starts), Then::Heartbeat(at));
+            self.propose(JobCommand::Start(starts), OnCommit::Heartbeat(at));
         }
     }
 
@@ -326,16 +361,16 @@
             return;
         }
         let Some(waiting) = self.heartbeats.remove(&at) else { return };
-        if let Some(runner) = self.runners.get_mut(&waiting.life) {
-            runner.noted = runner.noted.max(waiting.noted);
+        if let Some(runner) = self.runners.get_mut(&waiting.incarnation) {
+            runner.acked_through = runner.acked_through.max(waiting.acked_through);
         }
         if !waiting.answered {
-            self.send_orders(now, waiting.token, waiting.life);
+            self.send_orders(now, waiting.token, waiting.incarnation);
         }
     }
 
     /// Answers a heartbeat by what is agreed on now.
-    pub(super) fn send_orders(&mut self, now: Now, token: Token, key: LifeKey) {
+    pub(super) fn send_orders(&mut self, now: Now, token: RequestToken, key: IncarnationKey) {
         let pause = self.pause();
         let Some(runner) = self.runners.get(&key) else {
             let answer = self.empty_orders();
@@ -350,12 +385,12 @@
                 order.run,
                 runner.id,
                 runner.rack,
-                !order.saved.is_empty(),
+                !order.checkpoint.is_empty(),
                 runner.sequence
             );
         }
         let stop = self.stop_orders(runner);
-        let noted = runner.noted;
+        let noted = runner.acked_through;
         let has_room = runner.takes_tasks() && runner.free.millicores > 0;
         let retry = if has_room { pause } else { REPORT_FULL.max(pause) };
         let retry = retry.min(self.cfg.heartbeat);
@@ -367,18 +402,18 @@
         runner.withhold(outgrown, now.at);
         runner.note_orders(start.iter().map(|order| (order.task, order.run)), now.at);
         let rates = runner.rate_orders(&self.ready);
-        runner.lease_end = now.at + lease_surely_ended_after(self.cfg.lease);
-        let orders = Orders {
+        runner.lease_end = now.at + lease_expiry_bound(self.cfg.lease);
+        let orders = RunnerOrders {
             lease_ms: millis(self.cfg.lease),
             token: self.term,
-            noted,
+            acked_through: noted,
             start,
             stop,
             rates,
             retry_after_ms: millis(retry),
             report_to: None,
         };
-        self.answer(token, Answer::Orders(Box::new(orders)));
+        self.answer(token, CellResponse::Orders(Box::new(orders)));
     }
 
     fn pause(&self) -> Duration {
@@ -396,7 +431,7 @@
         outgrown: &BTreeSet<(TaskKey, u32)>,
     ) -> Vec<StartOrder> {
         let mut orders = Vec::new();
-        for (task, run) in self.jobs.held(runner.key) {
+        for (task, run) in self.state.assigned_runs(runner.key) {
             if outgrown.contains(&(task, run)) {
                 continue;
             }
@@ -404,24 +439,24 @@
             if listed || self.ending.contains(&(task, run)) || !self.is_wanted(task) {
                 continue;
             }
-            let group = GroupKey::of(task);
+            let group = StepKey::of(task);
             let ticket = self.advice.ticket(group, runner.key, now.at).map(Box::from);
             if ticket.is_none() && self.needs_ticket(group) {
                 continue;
             }
-            let (Some(job), Some(state)) = (self.jobs.job(task.job), self.jobs.task(task)) else {
+            let (Some(job), Some(state)) = (self.state.job(task.job), self.state.task(task)) else {
                 continue;
             };
             let payload = job.spec.payload.as_ref().into();
-            let saved = state.saved.clone();
-            orders.push(StartOrder { task, run, payload, saved, ticket });
+            let saved = state.checkpoint.clone();
+            orders.push(StartOrder { task, run, payload, checkpoint: saved, ticket });
         }
         orders
     }
 
     fn stop_orders(&self, runner: &Runner) -> Vec<(TaskKey, u32)> {
         let unwanted = |task: TaskKey, run: u32, stopping: bool| {
-            stopping || !self.jobs.holds(runner.key, task, run) || !self.is_wanted(task)
+            stopping || !self.state.is_assigned(runner.key, task, run) || !self.is_wanted(task)
         };
         let running = runner.running.iter();
         let stop = running.filter(|(task, view)| unwanted(**task, view.run, view.stopping));
@@ -429,19 +464,27 @@
     }
 
     /// A runner has left: everything on it is over, and it can say nothing more.
-    pub(super) fn leave(&mut self, now: Now, token: Token, id: &str, born_ms: Option<u64>) {
-        let known = self.lives.newest(id);
-        let life = known.and_then(|key| self.jobs.life(key).map(|life| (key, life.born_ms)));
-        if let Some((key, born)) = life
-            && born_ms.is_none_or(|told| told == born)
+    pub(super) fn leave(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        id: &str,
+        started_ms: Option<u64>,
+    ) {
+        let known = self.incarnations.newest(id);
+        let incarnation = known.and_then(|key| {
+            self.state.incarnation(key).map(|incarnation| (key, incarnation.started_ms))
+        });
+        if let Some((key, born)) = incarnation
+            && started_ms.is_none_or(|told| told == born)
         {
             log::info!("runner={id} {key} left");
-            match (born_ms, self.runners.get_mut(&key)) {
+            match (started_ms, self.runners.get_mut(&key)) {
                 (Some(_), _) => {
                     let mut ends = Vec::new();
                     self.collect_lost(now, key, Why::Left, &mut ends);
-                    self.propose_ends(now, ends, Then::Nothing);
-                    self.lives.end(key);
+                    self.propose_ends(now, ends, OnCommit::Nothing);
+                    self.incarnations.end(key);
                     self.runners.remove(&key);
                 }
                 // It may be a delayed word of an earlier life: nothing is started
@@ -450,7 +493,7 @@
                 (None, None) => {}
             }
         }
-        self.answer(token, Answer::Ok);
+        self.answer(token, CellResponse::Ok);
     }
 }
 
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -15,7 +15,7 @@
 //! a variance for each splits what is seen among them.
 
 use super::policy::Switch;
-use super::swing::{OwnFigure, Swing};
+use super::swing::{MarginModel, OwnFigure};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -73,7 +73,7 @@
 
 /// Processors of a runner that tasks of one image use, as a share of all it has.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Filling {
+pub struct BackgroundShare {
     /// The image.
     pub image: ImageKey,
     /// Of the runner's processors.
@@ -104,7 +104,7 @@
     }
 
     /// What a later leader may begin with.
-    pub fn remember(&self) -> Vec<PairWeight> {
+    pub fn learned_weights(&self) -> Vec<PairWeight> {
         let mut names: Vec<(&ImageKey, &str)> =
             self.images.iter().map(|(name, key)| (key, &**name)).collect();
         names.sort_unstable();
@@ -141,20 +141,20 @@
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
-    /// use yuccalink_coordination::jobs::interference::{Filling, Interference};
-    /// use yuccalink_coordination::jobs::swing::Swing;
+    /// use yuccalink_coordination::jobs::interference::{BackgroundShare, Interference};
+    /// use yuccalink_coordination::jobs::swing::MarginModel;
     /// let mut learnt = Interference::default();
     /// let (serves, fills) = (learnt.image("front"), learnt.image("index"));
-    /// let beside = [Filling { image: fills, share: 0.1 }];
-    /// let before = learnt.taken(serves, &beside);
-    /// let mut own = Swing::new(Moment::ZERO);
+    /// let beside = [BackgroundShare { image: fills, share: 0.1 }];
+    /// let before = learnt.margin_loss(serves, &beside);
+    /// let mut own = MarginModel::new(Moment::ZERO);
     /// for second in 1..20 {
     ///     learnt.observe(serves, &mut own, 3.0, &[], Moment::from_millis(second * 2_000));
     ///     learnt.observe(serves, &mut own, 1.0, &beside, Moment::from_millis(second * 2_000 + 1));
     /// }
-    /// assert!(learnt.taken(serves, &beside) > before + 1.0);
+    /// assert!(learnt.margin_loss(serves, &beside) > before + 1.0);
     /// ```
-    pub fn taken(&self, serving: ImageKey, filling: &[Filling]) -> f64 {
+    pub fn margin_loss(&self, serving: ImageKey, filling: &[BackgroundShare]) -> f64 {
         filling.iter().map(|fill| self.weight(serving, fill.image).mean * fill.share).sum()
     }
 
@@ -163,15 +163,15 @@
     pub fn observe(
         &mut self,
         serving: ImageKey,
-        own: &mut Swing,
+        own: &mut MarginModel,
         margin: f64,
-        filling: &[Filling],
+        filling: &[BackgroundShare],
         now: Moment,
     ) -> Option<OwnFigure> {
-        let fills: Vec<Filling> =
+        let fills: Vec<BackgroundShare> =
             filling.iter().copied().filter(|fill| fill.share > SHARE_MIN).collect();
-        let taken = self.taken(serving, &fills);
-        let expected = own.expect(now);
+        let taken = self.margin_loss(serving, &fills);
+        let expected = own.predict(now);
         if margin <= SATURATED && expected.margin - taken <= SATURATED {
             return None;
         }
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -2,23 +2,25 @@
 
 use super::account::Accounts;
 use super::advice::Advice;
-use super::ask::{Answer, Ask, Report};
+use super::ask::{CellRequest, CellResponse, RunnerReport};
 use super::interference::Interference;
-use super::lives::Lives;
-use super::outside::{Call, CallId, Told};
+use super::lives::Incarnations;
+use super::outside::{ExternalCall, ExternalCallId, ExternalReply};
 use super::policy::Policy;
-use super::ready::{GroupKey, Ready};
-use super::report::Counts;
+use super::ready::{ReadyQueue, StepKey};
+use super::report::LeaderCounters;
 use super::room::KeptFree;
 use super::routes::Routes;
 use super::runner::Runner;
 use super::suspects::Suspects;
-use super::swing::Loads;
+use super::swing::MarginForecasts;
 use super::waves::Waves;
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use yuccalink_state::jobs::{JobCommand, JobId, JobPhase, Jobs, LifeKey, Start, TaskKey};
+use yuccalink_state::jobs::{
+    CellState, IncarnationKey, JobCommand, JobId, JobPhase, RunStart, TaskKey,
+};
 
 /// The present, on the clock of leases and on the wall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +33,7 @@
 
 /// Names one ask until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct RequestToken(pub u64);
 
 /// What the leader is told at its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,7 +41,7 @@
     /// Lease on runs, the same in all processes.
     pub lease: Duration,
     /// How long the state of an ended job is remembered.
-    pub remember: Duration,
+    pub job_retention: Duration,
     /// How long a runner may wait between reports at most.
     pub heartbeat: Duration,
     /// Whether a start may come before its due time, and by how much.
@@ -52,7 +54,7 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_millis(5_000),
-            remember: Duration::from_secs(130),
+            job_retention: Duration::from_secs(130),
             heartbeat: Duration::from_millis(1_500),
             early: Duration::ZERO,
             policy: Policy::default(),
@@ -61,23 +63,23 @@
 }
 
 /// What to do with the outcome of a command.
-pub(super) enum Then {
-    Submitted { id: JobId, token: Token },
-    Cancelled { id: JobId, token: Token },
-    Changed { version: u64, token: Token },
-    Met { token: Token, report: Box<Report> },
+pub(super) enum OnCommit {
+    Submitted { id: JobId, token: RequestToken },
+    Cancelled { id: JobId, token: RequestToken },
+    Changed { version: u64, token: RequestToken },
+    Met { token: RequestToken, report: Box<RunnerReport> },
     Heartbeat(u64),
-    Acknowledged(Token),
+    Acknowledged(RequestToken),
     Nothing,
 }
 
 /// A heartbeat whose answer waits for the log.
-pub(super) struct Waiting {
-    pub(super) token: Token,
-    pub(super) life: LifeKey,
+pub(super) struct PendingHeartbeat {
+    pub(super) token: RequestToken,
+    pub(super) incarnation: IncarnationKey,
     pub(super) commands: u32,
     /// Ends up to this number are noted once the log has them.
-    pub(super) noted: u64,
+    pub(super) acked_through: u64,
     pub(super) since: Moment,
     /// It was answered before the log had them all.
     pub(super) answered: bool,
@@ -88,29 +90,29 @@
     pub(super) cfg: LeaderConfig,
     pub(super) term: u64,
     pub(super) started: Moment,
-    pub(super) jobs: Jobs,
-    pub(super) runners: BTreeMap<LifeKey, Runner>,
-    pub(super) lives: Lives,
+    pub(super) state: CellState,
+    pub(super) runners: BTreeMap<IncarnationKey, Runner>,
+    pub(super) incarnations: Incarnations,
     pub(super) routes: Routes,
-    pub(super) ready: Ready,
+    pub(super) ready: ReadyQueue,
     pub(super) interference: Interference,
-    pub(super) loads: Loads<GroupKey>,
+    pub(super) loads: MarginForecasts<StepKey>,
     /// Tasks whose start is under way to the log.
-    pub(super) starting: BTreeMap<TaskKey, Start>,
+    pub(super) starting: BTreeMap<TaskKey, RunStart>,
     /// Runs whose end is under way to the log.
     pub(super) ending: BTreeSet<(TaskKey, u32)>,
-    pub(super) heartbeats: BTreeMap<u64, Waiting>,
+    pub(super) heartbeats: BTreeMap<u64, PendingHeartbeat>,
     pub(super) next_heartbeat: u64,
-    pub(super) proposed: VecDeque<(JobCommand, Then)>,
-    pub(super) batch: Vec<Then>,
-    pub(super) committing: VecDeque<(u64, Then)>,
-    pub(super) answers: Vec<(Token, Answer)>,
-    calls: Vec<(CallId, Call)>,
+    pub(super) proposal_queue: VecDeque<(JobCommand, OnCommit)>,
+    pub(super) batch: Vec<OnCommit>,
+    pub(super) committing: VecDeque<(u64, OnCommit)>,
+    pub(super) answers: Vec<(RequestToken, CellResponse)>,
+    calls: Vec<(ExternalCallId, ExternalCall)>,
     next_call: u64,
     pub(super) advice: Advice,
     pub(super) waves: Waves,
     /// Runners on which no short work starts until then.
-    pub(super) kept_free: BTreeMap<LifeKey, KeptFree>,
+    pub(super) kept_free: BTreeMap<IncarnationKey, KeptFree>,
     /// Tasks that lag and may have a copy, as of the last ranking, the worst first.
     pub(super) laggards: Vec<TaskKey>,
     pub(super) suspects: Suspects,
@@ -127,7 +129,7 @@
     pub(super) ranked: Moment,
     pub(super) looked: Moment,
     pub(super) forgot: Moment,
-    pub(super) counts: Counts,
+    pub(super) counts: LeaderCounters,
 }
 
 impl Leader {
@@ -135,29 +137,29 @@
     ///
     /// ```
     /// use yuccalink_coordination::jobs::*;
-    /// use yuccalink_state::jobs::Jobs;
-    /// let mut leader = Leader::new(LeaderConfig::default(), 1, Jobs::new(), Now::default());
-    /// leader.ask(Now::default(), Token(1), Ask::Document);
+    /// use yuccalink_state::jobs::CellState;
+    /// let mut leader = Leader::new(LeaderConfig::default(), 1, CellState::new(), Now::default());
+    /// leader.handle_request(Now::default(), RequestToken(1), CellRequest::Document);
     /// let answers = leader.take_answers();
-    /// assert!(matches!(answers[0], (Token(1), Answer::NotServing { .. })));
+    /// assert!(matches!(answers[0], (RequestToken(1), CellResponse::NotServing { .. })));
     /// ```
-    pub fn new(cfg: LeaderConfig, term: u64, jobs: Jobs, now: Now) -> Self {
+    pub fn new(cfg: LeaderConfig, term: u64, jobs: CellState, now: Now) -> Self {
         let mut leader = Self {
             cfg,
             term,
             started: now.at,
-            jobs,
+            state: jobs,
             runners: BTreeMap::new(),
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             routes: Routes::default(),
-            ready: Ready::new(cfg.policy.order, cfg.policy.sizes),
+            ready: ReadyQueue::new(cfg.policy.order, cfg.policy.sizes),
             interference: Interference::new(cfg.policy.interference),
-            loads: Loads::new(cfg.policy.forecast),
+            loads: MarginForecasts::new(cfg.policy.forecast),
             starting: BTreeMap::new(),
             ending: BTreeSet::new(),
             heartbeats: BTreeMap::new(),
             next_heartbeat: 0,
-            proposed: VecDeque::new(),
+            proposal_queue: VecDeque::new(),
             batch: Vec::new(),
             committing: VecDeque::new(),
             answers: Vec::new(),
@@ -176,12 +178,12 @@
             ranked: now.at,
             looked: now.at,
             forgot: now.at,
-            counts: Counts::default(),
+            counts: LeaderCounters::default(),
         };
-        leader.routes = Routes::new(leader.jobs.change());
-        leader.lives = Lives::of(&leader.jobs);
-        leader.interference.recall(leader.jobs.learnt());
-        let active: Vec<JobId> = leader.jobs.all().map(|(id, _)| id).collect();
+        leader.routes = Routes::new(leader.state.change_set());
+        leader.incarnations = Incarnations::of(&leader.state);
+        leader.interference.recall(leader.state.learnt());
+        let active: Vec<JobId> = leader.state.all().map(|(id, _)| id).collect();
         for id in active {
             leader.meet_job(id, now);
             leader.refresh(id, now.at);
@@ -191,17 +193,17 @@
 
     /// The state, for a replica that no longer leads. Whoever waits for an answer
     /// is told nothing: what it asked may yet be decided.
-    pub fn into_jobs(self) -> Jobs {
-        self.jobs
+    pub fn into_jobs(self) -> CellState {
+        self.state
     }
 
     /// The state.
-    pub fn jobs(&self) -> &Jobs {
-        &self.jobs
+    pub fn state(&self) -> &CellState {
+        &self.state
     }
 
     /// Counts since this leader began.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> LeaderCounters {
         self.counts
     }
 
@@ -216,79 +218,79 @@
     }
 
     /// Answers since the last call.
-    pub fn take_answers(&mut self) -> Vec<(Token, Answer)> {
+    pub fn take_answers(&mut self) -> Vec<(RequestToken, CellResponse)> {
         std::mem::take(&mut self.answers)
     }
 
     /// How this process names itself where it orders something outside.
-    pub fn set_name(&mut self, name: &str) {
+    pub fn set_node_name(&mut self, name: &str) {
         self.cfg_name = name.into();
     }
 
     /// Calls to services outside since the last call.
-    pub fn take_calls(&mut self) -> Vec<(CallId, Call)> {
+    pub fn take_calls(&mut self) -> Vec<(ExternalCallId, ExternalCall)> {
         std::mem::take(&mut self.calls)
     }
 
     /// A service outside has answered.
-    pub fn told(&mut self, now: Now, call: CallId, told: Told) {
+    pub fn handle_external_reply(&mut self, now: Now, call: ExternalCallId, told: ExternalReply) {
         if !self.advice.told(call, &told) {
             self.machines_told(now, call, told);
         }
     }
 
-    pub(super) fn call(&mut self, call: Call) -> CallId {
-        let id = CallId(self.next_call);
+    pub(super) fn call(&mut self, call: ExternalCall) -> ExternalCallId {
+        let id = ExternalCallId(self.next_call);
         self.next_call += 1;
         self.calls.push((id, call));
         id
     }
 
     /// Takes in one ask; its answer comes at once or after a commit.
-    pub fn ask(&mut self, now: Now, token: Token, ask: Ask) {
+    pub fn handle_request(&mut self, now: Now, token: RequestToken, ask: CellRequest) {
         match ask {
-            Ask::Heartbeat(report) => self.heartbeat(now, token, report),
+            CellRequest::Heartbeat(report) => self.heartbeat(now, token, report),
             other => self.ask_other(now, token, other),
         }
     }
 
-    pub(super) fn answer(&mut self, token: Token, answer: Answer) {
+    pub(super) fn answer(&mut self, token: RequestToken, answer: CellResponse) {
         self.answers.push((token, answer));
     }
 
     pub(super) fn meet_job(&mut self, id: JobId, now: Now) {
-        let Some(job) = self.jobs.job(id) else { return };
+        let Some(job) = self.state.job(id) else { return };
         // The wall clock may have jumped since; a job is never taken to be from
         // the future, or older than any objective.
         const AGE_MAX_MS: u64 = 60_000;
         let age = now.unix_ms.saturating_sub(job.at_ms).min(AGE_MAX_MS);
         let came = now.at - Duration::from_millis(age);
-        self.ready.meet(id, job, came, &self.routes, &mut self.interference);
+        self.ready.add_job(id, job, came, &self.routes, &mut self.interference);
         self.accounts.open(id, Duration::from_millis(age));
     }
 
     /// Finds the steps of a job that have tasks to start.
     pub(super) fn refresh(&mut self, id: JobId, now: Moment) {
-        let keys = match self.jobs.job(id) {
+        let keys = match self.state.job(id) {
             Some(job) if job.phase == JobPhase::Active => startable(id, job),
             _ => Vec::new(),
         };
-        self.ready.set_groups(id, &keys, &self.jobs, now);
+        self.ready.set_groups(id, &keys, &self.state, now);
     }
 }
 
 /// Steps of begun occurrences with tasks that neither run nor are done.
-pub(super) fn startable(id: JobId, job: &yuccalink_state::jobs::Job) -> Vec<GroupKey> {
+pub(super) fn startable(id: JobId, job: &yuccalink_state::jobs::Job) -> Vec<StepKey> {
     let mut keys = Vec::new();
     for (k, occurrence) in job.occurrences.iter().enumerate() {
         let k = u32::try_from(k).unwrap_or(u32::MAX);
         for (s, step) in occurrence.steps.iter().enumerate() {
             let s = u16::try_from(s).unwrap_or(u16::MAX);
             let waits = step.left > 0
-                && step.tasks.iter().any(|task| !task.done && task.holds.is_empty())
+                && step.tasks.iter().any(|task| !task.done && task.assignments.is_empty())
                 && job.may_run(k, s);
             if waits {
-                keys.push(GroupKey { job: id, occurrence: k, step: s });
+                keys.push(StepKey { job: id, occurrence: k, step: s });
             }
         }
     }
--- a/crates/coordination/src/jobs/lives.rs
+++ b/crates/coordination/src/jobs/lives.rs
@@ -4,71 +4,75 @@
 //! whatever a delayed report of it still says.
 
 use std::collections::{BTreeSet, HashMap};
-use yuccalink_state::jobs::{Jobs, Life, LifeKey};
+use yuccalink_state::jobs::{CellState, IncarnationKey, RunnerIncarnation};
 
 /// The newest life by name and by address: one look each, however many lives are known.
 #[derive(Debug, Default)]
-pub(super) struct Lives {
-    by_id: HashMap<Box<str>, LifeKey>,
-    by_address: HashMap<Box<str>, LifeKey>,
-    over: BTreeSet<LifeKey>,
+pub(super) struct Incarnations {
+    by_id: HashMap<Box<str>, IncarnationKey>,
+    by_address: HashMap<Box<str>, IncarnationKey>,
+    over: BTreeSet<IncarnationKey>,
 }
 
-impl Lives {
+impl Incarnations {
     /// Those in the log, in the order in which they were met.
-    pub(super) fn of(jobs: &Jobs) -> Self {
-        let mut lives = Self::default();
-        for (key, _) in jobs.lives() {
-            lives.meet(key, jobs);
+    pub(super) fn of(jobs: &CellState) -> Self {
+        let mut incarnations = Self::default();
+        for (key, _) in jobs.incarnations() {
+            incarnations.meet(key, jobs);
         }
-        lives
+        incarnations
     }
 
     /// A life is in the log: marks those that it ends, or itself where a newer one is known.
-    pub(super) fn meet(&mut self, key: LifeKey, jobs: &Jobs) {
-        let Some(life) = jobs.life(key) else { return };
-        let mut newest = (key, life);
-        for rival in self.rivals(key, life) {
-            let Some(known) = jobs.life(rival) else { continue };
-            if known.born_ms > newest.1.born_ms {
+    pub(super) fn meet(&mut self, key: IncarnationKey, jobs: &CellState) {
+        let Some(incarnation) = jobs.incarnation(key) else { return };
+        let mut newest = (key, incarnation);
+        for rival in self.rivals(key, incarnation) {
+            let Some(known) = jobs.incarnation(rival) else { continue };
+            if known.started_ms > newest.1.started_ms {
                 self.over.insert(newest.0);
                 newest = (rival, known);
             } else {
                 self.over.insert(rival);
             }
         }
-        if newest.1.id == life.id {
-            self.by_id.insert(life.id.clone(), newest.0);
+        if newest.1.id == incarnation.id {
+            self.by_id.insert(incarnation.id.clone(), newest.0);
         }
-        if newest.1.address == life.address {
-            self.by_address.insert(life.address.clone(), newest.0);
+        if newest.1.address == incarnation.address {
+            self.by_address.insert(incarnation.address.clone(), newest.0);
         }
     }
 
     /// Lives that are not over, of the same name or at the same address.
-    fn rivals(&self, key: LifeKey, life: &Life) -> BTreeSet<LifeKey> {
-        let known = [self.by_id.get(&life.id), self.by_address.get(&life.address)];
+    fn rivals(
+        &self,
+        key: IncarnationKey,
+        incarnation: &RunnerIncarnation,
+    ) -> BTreeSet<IncarnationKey> {
+        let known = [self.by_id.get(&incarnation.id), self.by_address.get(&incarnation.address)];
         let rivals = known.into_iter().flatten().copied();
         rivals.filter(|rival| *rival != key && !self.over.contains(rival)).collect()
     }
 
     /// The newest life of a runner.
-    pub(super) fn newest(&self, id: &str) -> Option<LifeKey> {
+    pub(super) fn newest(&self, id: &str) -> Option<IncarnationKey> {
         self.by_id.get(id).copied()
     }
 
     /// A runner has left.
-    pub(super) fn end(&mut self, key: LifeKey) {
+    pub(super) fn end(&mut self, key: IncarnationKey) {
         self.over.insert(key);
     }
 
     /// Whether a life is over, though a late report of it may still come.
-    pub(super) fn is_over(&self, key: LifeKey) -> bool {
+    pub(super) fn is_over(&self, key: IncarnationKey) -> bool {
         self.over.contains(&key)
     }
 
     /// All that are.
-    pub(super) fn over(&self) -> impl Iterator<Item = LifeKey> {
+    pub(super) fn over(&self) -> impl Iterator<Item = IncarnationKey> {
         self.over.iter().copied()
     }
 }
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -4,7 +4,7 @@
 use super::leader::{Leader, Now};
 use super::runner::Runner;
 use std::time::Duration;
-use yuccalink_state::jobs::{End, How, LifeKey, Seen, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, LossEvidence, RunEnd, RunOutcome, TaskKey};
 
 /// A run that its runner listed for this long is no cause of the runner's loss.
 pub(super) const PROVEN_AFTER: Duration = Duration::from_secs(10);
@@ -25,39 +25,46 @@
 
 impl Leader {
     /// Ends of all runs that may be running in a life that is over.
-    pub(super) fn collect_lost(&self, now: Now, life: LifeKey, why: Why, ends: &mut Vec<End>) {
-        let runner = self.runners.get(&life);
+    pub(super) fn collect_lost(
+        &self,
+        now: Now,
+        incarnation: IncarnationKey,
+        why: Why,
+        ends: &mut Vec<RunEnd>,
+    ) {
+        let runner = self.runners.get(&incarnation);
         // What ends with a runner that leaves, or goes down for upkeep, ends by plan.
         let leaves = runner.is_some_and(|runner| !runner.takes_tasks());
-        for (task, run) in self.jobs.held(life) {
+        for (task, run) in self.state.assigned_runs(incarnation) {
             if self.ending.contains(&(task, run)) {
                 continue;
             }
             let seen = seen(runner, task, run);
-            self.log_lost(now, life, why, (task, run), seen);
+            self.log_lost(now, incarnation, why, (task, run), seen);
             let view = runner.and_then(|runner| runner.view(task, run));
-            let saved = view.map_or_else(Box::default, |view| view.saved.clone());
+            let saved = view.map_or_else(Box::default, |view| view.checkpoint.clone());
             let how = match (why, seen.filter(|_| !leaves)) {
-                (Why::Left, _) | (_, None) => How::Gone,
-                (Why::NextLife, Some(seen)) => How::Crashed(seen),
-                (Why::Lease, Some(seen)) => How::Silent(seen),
+                (Why::Left, _) | (_, None) => RunOutcome::Gone,
+                (Why::NextLife, Some(seen)) => RunOutcome::Crashed(seen),
+                (Why::Lease, Some(seen)) => RunOutcome::Silent(seen),
             };
-            ends.push(End { task, run, life, how, saved });
+            ends.push(RunEnd { task, run, incarnation, outcome: how, checkpoint: saved });
         }
     }
 
     fn log_lost(
         &self,
         now: Now,
-        life: LifeKey,
+        incarnation: IncarnationKey,
         why: Why,
         (task, run): (TaskKey, u32),
-        seen: Option<Seen>,
+        seen: Option<LossEvidence>,
     ) {
-        let runner = self.runners.get(&life);
-        let name = self.jobs.life(life).map_or("unknown", |life| &*life.id);
+        let runner = self.runners.get(&incarnation);
+        let name =
+            self.state.incarnation(incarnation).map_or("unknown", |incarnation| &*incarnation.id);
         let seen = seen.map_or("never-ordered".into(), |seen| seen.to_string());
-        let silent = runner.map(|runner| now.at.since(runner.heard).as_millis());
+        let silent = runner.map(|runner| now.at.since(runner.last_report_at).as_millis());
         let silent = silent.map_or("unknown".into(), |ms| format!("{ms}ms"));
         log::info!(
             "lost task={task} run={run} runner={name} why={why} seen={seen} silent={silent}"
@@ -66,11 +73,11 @@
 }
 
 /// What was seen of a run; nothing where it was surely never ordered.
-fn seen(runner: Option<&Runner>, task: TaskKey, run: u32) -> Option<Seen> {
-    let Some(runner) = runner else { return Some(Seen::Nothing) };
+fn seen(runner: Option<&Runner>, task: TaskKey, run: u32) -> Option<LossEvidence> {
+    let Some(runner) = runner else { return Some(LossEvidence::Nothing) };
     match runner.view(task, run) {
-        Some(view) if view.age >= PROVEN_AFTER => Some(Seen::Proven),
-        Some(_) => Some(Seen::Working),
-        None => runner.ordered.contains_key(&(task, run)).then_some(Seen::Ordered),
+        Some(view) if view.age >= PROVEN_AFTER => Some(LossEvidence::Proven),
+        Some(_) => Some(LossEvidence::Working),
+        None => runner.ordered.contains_key(&(task, run)).then_some(LossEvidence::Ordered),
     }
 }
--- a/crates/coordination/src/jobs/neighbours.rs
+++ b/crates/coordination/src/jobs/neighbours.rs
@@ -1,14 +1,14 @@
 //! Who shares a runner: what serves, what fills, and the room that is really left.
 
-use super::interference::{Filling, ImageKey, Interference};
+use super::interference::{BackgroundShare, ImageKey, Interference};
 use super::policy::Switch;
-use super::ready::{GroupKey, Kind, Ready, StepInfo};
+use super::ready::{ReadyQueue, StepInfo, StepKey, StepKind};
 use super::runner::{RunView, Runner};
-use super::swing::Loads;
+use super::swing::MarginForecasts;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
-use yuccalink_state::jobs::Jobs;
+use yuccalink_state::jobs::CellState;
 
 /// What may start beside serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -51,14 +51,14 @@
 
 /// The tasks on one runner, as far as they matter to each other.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Neighbours {
+pub(super) struct Colocation {
     policy: SharingPolicy,
     /// Images that serve there, each once.
     pub(super) serving: Vec<Serving>,
     /// Images that fill there, each once, with what they use now.
-    pub(super) filling: Vec<Filling>,
+    pub(super) filling: Vec<BackgroundShare>,
     /// The same, with what they would use at full pace.
-    pub(super) at_full_pace: Vec<Filling>,
+    pub(super) at_full_pace: Vec<BackgroundShare>,
     /// The runner's pool.
     pub(super) pool: Box<str>,
     /// A task that serves there has been over its bound for too long.
@@ -77,24 +77,24 @@
     allowed: Vec<(ImageKey, f64)>,
 }
 
-impl Neighbours {
+impl Colocation {
     /// Those of a runner by its last report and by what is on its way there.
     pub(super) fn of(
         now: Moment,
         runner: &Runner,
-        jobs: &Jobs,
-        ready: &Ready,
-        loads: &Loads<GroupKey>,
+        jobs: &CellState,
+        ready: &ReadyQueue,
+        loads: &MarginForecasts<StepKey>,
         policy: SharingPolicy,
     ) -> Self {
         let capacity = (runner.capacity.millicores as f64).max(1.0);
         let mut found = Self { policy, capacity, pool: runner.pool.clone(), ..Self::default() };
-        for (task, run) in jobs.held(runner.key) {
+        for (task, run) in jobs.assigned_runs(runner.key) {
             let Some(step) = ready.step_of(task) else { continue };
             let view = runner.view(task, run);
             match step.kind {
-                Kind::Serving => found.add_serving(step, loads, GroupKey::of(task), now),
-                Kind::Filling => found.add_filling(step, view),
+                StepKind::Serving => found.add_serving(step, loads, StepKey::of(task), now),
+                StepKind::Background => found.add_filling(step, view),
             }
         }
         found
@@ -103,8 +103,8 @@
     fn add_serving(
         &mut self,
         step: &StepInfo,
-        loads: &Loads<GroupKey>,
-        group: GroupKey,
+        loads: &MarginForecasts<StepKey>,
+        group: StepKey,
         now: Moment,
     ) {
         self.used += step.need.millicores as f64 * self.policy.serving_use;
@@ -142,8 +142,8 @@
 
     /// How much less an image presses on those that serve here than on most, as a factor.
     pub(super) fn advantage(&self, image: ImageKey, learnt: &Interference) -> f64 {
-        let whole = [Filling { image, share: 1.0 }];
-        let here = self.serving.iter().map(|serving| learnt.taken(serving.image, &whole));
+        let whole = [BackgroundShare { image, share: 1.0 }];
+        let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
         let here = here.fold(0.0, f64::max);
         (learnt.hardness(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
     }
@@ -166,13 +166,13 @@
         &mut self,
         now: Moment,
         step: &StepInfo,
-        loads: &Loads<GroupKey>,
-        group: GroupKey,
+        loads: &MarginForecasts<StepKey>,
+        group: StepKey,
     ) {
         self.allowed.clear();
         match step.kind {
-            Kind::Serving => self.add_serving(step, loads, group, now),
-            Kind::Filling => self.add_filling(step, None),
+            StepKind::Serving => self.add_serving(step, loads, group, now),
+            StepKind::Background => self.add_filling(step, None),
         }
     }
 
@@ -202,9 +202,10 @@
 
     fn allowed_share(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let allowed = self.serving.iter().map(|serving| {
-            let taken = learnt.taken(serving.image, &self.at_full_pace);
+            let taken = learnt.margin_loss(serving.image, &self.at_full_pace);
             let left = serving.ahead - taken - self.policy.margin_min;
-            let weight = learnt.taken(serving.image, &[Filling { image, share: 1.0 }]);
+            let weight =
+                learnt.margin_loss(serving.image, &[BackgroundShare { image, share: 1.0 }]);
             match left < 0.0 {
                 true => 0.0,
                 false => left / weight.max(1e-6),
@@ -214,9 +215,9 @@
     }
 }
 
-fn add_share(to: &mut Vec<Filling>, image: ImageKey, share: f64) {
+fn add_share(to: &mut Vec<BackgroundShare>, image: ImageKey, share: f64) {
     match to.iter_mut().find(|filling| filling.image == image) {
         Some(filling) => filling.share += share,
-        None => to.push(Filling { image, share }),
+        None => to.push(BackgroundShare { image, share }),
     }
 }
--- a/crates/coordination/src/jobs/outside.rs
+++ b/crates/coordination/src/jobs/outside.rs
@@ -6,11 +6,11 @@
 
 /// Names one call until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallId(pub u64);
+pub struct ExternalCallId(pub u64);
 
 /// A call to a service outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum ExternalCall {
     /// Which of these runners may run a step?
     Advise {
         /// The step's job.
@@ -64,7 +64,7 @@
 
 /// What a service outside answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ExternalReply {
     /// Runners that may run the step, each with its ticket.
     Advice {
         /// Name and ticket.
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -1,16 +1,16 @@
 //! When a serving task's margin runs out: whoever presses on it is slowed by as much
 //! as is needed, or moved away where little would be left of its pace.
 
-use super::interference::{Filling, ImageKey, Interference};
+use super::interference::{BackgroundShare, ImageKey, Interference};
 use super::leader::{Leader, Now};
-use super::neighbours::Neighbours;
+use super::neighbours::Colocation;
 use super::policy::{Millis, Switch};
-use super::ready::{GroupKey, Kind, Ready};
+use super::ready::{ReadyQueue, StepKey, StepKind};
 use super::runner::Runner;
-use super::swing::Loads;
+use super::swing::MarginForecasts;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
-use yuccalink_state::jobs::{LifeKey, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
 /// Pressure, in margin, that is not worth an order.
 const PRESSURE_MIN: f64 = 0.1;
@@ -92,16 +92,16 @@
 impl Leader {
     /// Learns from a report, and acts on margins that run out. Returns who shares the
     /// runner.
-    pub(super) fn pace(&mut self, now: Now, key: LifeKey) -> Neighbours {
+    pub(super) fn pace(&mut self, now: Now, key: IncarnationKey) -> Colocation {
         let policy = &self.cfg.policy;
-        let Some(runner) = self.runners.get(&key) else { return Neighbours::default() };
+        let Some(runner) = self.runners.get(&key) else { return Colocation::default() };
         let figures = figures(runner, &self.ready);
         let mut neighbours = self.neighbours(now, runner);
         if !figures.is_empty() {
             learn(now, &figures, &mut self.interference, &mut self.loads, &neighbours.filling);
             neighbours = self.neighbours(now, runner);
         }
-        let Some(runner) = self.runners.get_mut(&key) else { return Neighbours::default() };
+        let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
         runner.serves = neighbours.only_serving();
         neighbours.over = runner.is_over(now.at, &figures, policy.standstill);
         let allowances = match (neighbours.over, policy.pacing.mode) {
@@ -116,14 +116,14 @@
     }
 
     /// Who shares a runner, by its last report and by what is on its way there.
-    pub(super) fn neighbours(&self, now: Now, runner: &Runner) -> Neighbours {
+    pub(super) fn neighbours(&self, now: Now, runner: &Runner) -> Colocation {
         let sharing = self.cfg.policy.sharing;
-        Neighbours::of(now.at, runner, &self.jobs, &self.ready, &self.loads, sharing)
+        Colocation::of(now.at, runner, &self.state, &self.ready, &self.loads, sharing)
     }
 
     /// Slows each image to what the margins allow, and gives the pace back; where little
     /// is left, tasks with checkpoints stop, which saves their work, and go elsewhere.
-    fn hold_back(&mut self, now: Now, key: LifeKey, allowances: &[Allowance], least: f64) {
+    fn hold_back(&mut self, now: Now, key: IncarnationKey, allowances: &[Allowance], least: f64) {
         let moving = self.tasks_to_move(now, key, allowances);
         let Some(runner) = self.runners.get_mut(&key) else { return };
         let mut changed = runner.set_paces(now.at, allowances, self.cfg.policy.pacing.settle);
@@ -147,7 +147,12 @@
     /// Tasks that press hard and have little pace left. A job's only run stays, slowed:
     /// beside idle processors a job with nothing running would wait for room that its
     /// image finds nowhere.
-    fn tasks_to_move(&self, now: Now, key: LifeKey, allowances: &[Allowance]) -> Vec<TaskKey> {
+    fn tasks_to_move(
+        &self,
+        now: Now,
+        key: IncarnationKey,
+        allowances: &[Allowance],
+    ) -> Vec<TaskKey> {
         let policy = &self.cfg.policy.moving;
         let hard: Vec<ImageKey> = allowances
             .iter()
@@ -162,7 +167,7 @@
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
             let presses = step.image.is_some_and(|image| hard.contains(&image));
-            let moves = self.jobs.task(*task).map_or(0, |task| task.last_run);
+            let moves = self.state.task(*task).map_or(0, |task| task.last_run);
             if presses
                 && !view.stopping
                 && step.checkpointing
@@ -178,19 +183,19 @@
 }
 
 /// All that may disturb stops working.
-fn stand_still(neighbours: &Neighbours) -> Vec<Allowance> {
-    let still = |fill: &Filling| Allowance { image: fill.image, pace: 0.0, hard: false };
+fn stand_still(neighbours: &Colocation) -> Vec<Allowance> {
+    let still = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 0.0, hard: false };
     neighbours.at_full_pace.iter().map(still).collect()
 }
 
-fn at_full_pace(neighbours: &Neighbours) -> Vec<Allowance> {
-    let full = |fill: &Filling| Allowance { image: fill.image, pace: 1.0, hard: false };
+fn at_full_pace(neighbours: &Colocation) -> Vec<Allowance> {
+    let full = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 1.0, hard: false };
     neighbours.at_full_pace.iter().map(full).collect()
 }
 
 /// What all margins together allow each image.
 fn allowances(
-    neighbours: &Neighbours,
+    neighbours: &Colocation,
     learnt: &Interference,
     pacing: &PacingPolicy,
     moving: &MovingPolicy,
@@ -203,7 +208,7 @@
             .map(|fill| Pressure {
                 image: fill.image,
                 share: fill.share,
-                taken: learnt.taken(serving.image, &[*fill]),
+                taken: learnt.margin_loss(serving.image, &[*fill]),
             })
             .collect();
         for (image, pace) in share_out(serving.own - pacing.margin_aim, pressures.clone()) {
@@ -256,24 +261,24 @@
 
 /// What the tasks of one serving job on a runner show.
 pub(super) struct Figure {
-    group: GroupKey,
+    group: StepKey,
     image: ImageKey,
     margin: f64,
 }
 
 /// The figures of the tasks that serve. Tasks of one job on one runner share their load
 /// and their neighbours, so only the first is taken: the others tell nothing new.
-fn figures(runner: &Runner, ready: &Ready) -> Vec<Figure> {
+fn figures(runner: &Runner, ready: &ReadyQueue) -> Vec<Figure> {
     let mut figures: Vec<Figure> = Vec::new();
     for (task, view) in &runner.running {
         let Some(step) = ready.step_of(*task) else { continue };
-        if step.kind != Kind::Serving || view.percent < 100 {
+        if step.kind != StepKind::Serving || view.percent < 100 {
             continue;
         }
         let (Some(image), Some(gauge)) = (step.image, view.gauge) else { continue };
-        let group = GroupKey::of(*task);
+        let group = StepKey::of(*task);
         if figures.iter().all(|figure| figure.group != group) {
-            let margin = step.target_ms as f64 / (gauge as f64).max(1.0);
+            let margin = step.tail_bound_ms as f64 / (gauge as f64).max(1.0);
             figures.push(Figure { group, image, margin });
         }
     }
@@ -285,8 +290,8 @@
     now: Now,
     figures: &[Figure],
     learnt: &mut Interference,
-    loads: &mut Loads<GroupKey>,
-    filling: &[Filling],
+    loads: &mut MarginForecasts<StepKey>,
+    filling: &[BackgroundShare],
 ) {
     for figure in figures {
         let own = loads.entry(figure.group, now.at);
@@ -306,12 +311,12 @@
             return false;
         }
         let since = *self.over_since.get_or_insert(now);
-        policy.mode.is_on() && now.since(since) >= policy.after.span()
+        policy.mode.is_on() && now.since(since) >= policy.after.to_duration()
     }
 
     /// Sets the paces; true if any changed. A lower one counts at once.
     fn set_paces(&mut self, now: Moment, allowances: &[Allowance], settle: Millis) -> bool {
-        let settled = now.since(self.paced_at) >= settle.span();
+        let settled = now.since(self.paced_at) >= settle.to_duration();
         let mut changed = false;
         self.paces.retain(|image, _| allowances.iter().any(|allowed| allowed.image == *image));
         for allowed in allowances {
@@ -330,7 +335,7 @@
     }
 
     /// Orders for runs that do not work at their image's pace yet.
-    pub(super) fn rate_orders(&mut self, ready: &Ready) -> Vec<(TaskKey, u32, u8)> {
+    pub(super) fn rate_orders(&mut self, ready: &ReadyQueue) -> Vec<(TaskKey, u32, u8)> {
         let mut orders = Vec::new();
         for (task, view) in &mut self.running {
             let Some(step) = ready.step_of(*task) else { continue };
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -2,20 +2,25 @@
 //! fresh, and the order reaches it with the answer.
 
 use super::leader::{Leader, Now};
-use super::neighbours::Neighbours;
-use super::ready::{GroupKey, Waiting};
-use super::room::less;
+use super::neighbours::Colocation;
+use super::ready::{StepKey, WaitingStep};
+use super::room::saturating_sub;
 use super::runner::{Runner, Trust};
-use super::suspects::Standing;
+use super::suspects::CrashSuspicion;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{Job, LifeKey, Start, StepSpec, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, Job, RunStart, StepSpec, TaskKey};
 
 /// Starts ordered with one answer, so that it stays a small message.
 const STARTS_MAX: usize = 64;
 
 impl Leader {
     /// Chooses tasks for a runner, in the order of the waiting steps.
-    pub(super) fn pick(&mut self, now: Now, key: LifeKey, neighbours: Neighbours) -> Vec<Start> {
+    pub(super) fn pick(
+        &mut self,
+        now: Now,
+        key: IncarnationKey,
+        neighbours: Colocation,
+    ) -> Vec<RunStart> {
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let trust = self.trust(now, runner);
         if !runner.takes_tasks() || (self.ready.is_empty() && self.laggards.is_empty()) {
@@ -38,8 +43,8 @@
         let kept_free = self.kept_free.get(&key).is_some_and(|kept| now.at < kept.until);
         let mut later = Vec::new();
         let serves_nothing = chosen.neighbours.serving.is_empty();
-        for Waiting { group, step, .. } in self.offered(&chosen) {
-            if !chosen.free.holds(step.committed) {
+        for WaitingStep { group, step, .. } in self.offered(&chosen) {
+            if !chosen.free.covers(step.reserved) {
                 continue;
             }
             if chosen.most == 0 {
@@ -52,7 +57,7 @@
                 }
                 continue;
             }
-            if kept_free && !step.long_running && step.committed.millicores > 0 {
+            if kept_free && !step.long_running && step.reserved.millicores > 0 {
                 continue;
             }
             if serves_nothing && !self.is_hard(step) {
@@ -74,7 +79,7 @@
         self.take_chosen(key, chosen)
     }
 
-    fn take_chosen(&mut self, key: LifeKey, chosen: Chosen) -> Vec<Start> {
+    fn take_chosen(&mut self, key: IncarnationKey, chosen: Chosen) -> Vec<RunStart> {
         let Chosen { starts, free, neighbours, .. } = chosen;
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
@@ -84,8 +89,8 @@
     }
 
     /// The waiting steps in the order for a runner; none where no task would fit.
-    fn offered(&self, chosen: &Chosen) -> Vec<Waiting<'_>> {
-        let fits = |waiting: Waiting<'_>| chosen.free.holds(waiting.step.committed);
+    fn offered(&self, chosen: &Chosen) -> Vec<WaitingStep<'_>> {
+        let fits = |waiting: WaitingStep<'_>| chosen.free.covers(waiting.step.reserved);
         match self.in_turn().any(fits) {
             true => self.order_for(&chosen.neighbours),
             false => Vec::new(),
@@ -102,11 +107,11 @@
         now: Now,
         runner: &Runner,
         trust: Trust,
-        group: GroupKey,
+        group: StepKey,
         chosen: &mut Chosen,
     ) {
         let Some(info) = self.ready.step(group.job, group.step) else { return };
-        if !chosen.free.holds(info.committed) || !self.suits(now, group, info, chosen) {
+        if !chosen.free.covers(info.reserved) || !self.suits(now, group, info, chosen) {
             return;
         }
         let Some((job, step)) = self.may_host(now, runner, group) else { return };
@@ -121,12 +126,12 @@
             let Some(run) = self.next_run(now, job, step, task, runner.key, trust) else {
                 continue;
             };
-            if !chosen.free.holds(info.committed) || !self.suits(now, group, info, chosen) {
+            if !chosen.free.covers(info.reserved) || !self.suits(now, group, info, chosen) {
                 return;
             }
-            chosen.free = less(chosen.free, info.committed);
+            chosen.free = saturating_sub(chosen.free, info.reserved);
             chosen.neighbours.started(now.at, info, &self.loads, group);
-            chosen.starts.push(Start { task, run, life: runner.key });
+            chosen.starts.push(RunStart { task, run, incarnation: runner.key });
             seats -= 1;
         }
     }
@@ -136,9 +141,9 @@
         &self,
         now: Now,
         runner: &Runner,
-        group: GroupKey,
+        group: StepKey,
     ) -> Option<(&Job, &StepSpec)> {
-        let job = self.jobs.job(group.job)?;
+        let job = self.state.job(group.job)?;
         let step = job.spec.steps.get(usize::from(group.step))?;
         let may = self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
@@ -149,7 +154,7 @@
     }
 
     /// How many more tasks of a step a runner may have beside those that it has.
-    pub(super) fn seats(&self, runner: &Runner, group: GroupKey, step: &StepSpec) -> u32 {
+    pub(super) fn seats(&self, runner: &Runner, group: StepKey, step: &StepSpec) -> u32 {
         match step.per_runner_max {
             0 => step.count,
             most => most.saturating_sub(self.count_here(runner.key, group)),
@@ -163,11 +168,11 @@
         job: &Job,
         step: &StepSpec,
         task: TaskKey,
-        life: LifeKey,
+        incarnation: IncarnationKey,
         trust: Trust,
     ) -> Option<u32> {
-        let run = self.run_after(job, step, task, life, trust)?;
-        (self.standing(now, task) == Standing::Clear).then_some(run)
+        let run = self.run_after(job, step, task, incarnation, trust)?;
+        (self.standing(now, task) == CrashSuspicion::Clear).then_some(run)
     }
 
     /// The number of a task's next run on a runner, if it may run there at all.
@@ -176,21 +181,21 @@
         job: &Job,
         step: &StepSpec,
         task: TaskKey,
-        life: LifeKey,
+        incarnation: IncarnationKey,
         trust: Trust,
     ) -> Option<u32> {
         if self.starting.contains_key(&task) {
             return None;
         }
         // A task of an occurrence that has not begun has no state yet.
-        let Some(state) = self.jobs.task(task) else { return Some(1) };
-        if state.done || !state.holds.is_empty() {
+        let Some(state) = self.state.task(task) else { return Some(1) };
+        if state.done || !state.assignments.is_empty() {
             return None;
         }
         if !step.long_running {
             // A second failure of the kind would end the whole job.
             let last_try = state.failures + 1 >= job.attempts;
-            if state.failed_on.contains(&life) || (last_try && trust != Trust::Full) {
+            if state.failed_on.contains(&incarnation) || (last_try && trust != Trust::Full) {
                 return None;
             }
         }
@@ -203,26 +208,27 @@
         queue.map_or(&*job.pool, |queue| &*queue.pool)
     }
 
-    fn ticket_fits(&self, now: Now, group: GroupKey, runner: &Runner) -> bool {
+    fn ticket_fits(&self, now: Now, group: StepKey, runner: &Runner) -> bool {
         !self.needs_ticket(group) || self.advice.ticket(group, runner.key, now.at).is_some()
     }
 
-    pub(super) fn count_here(&self, life: LifeKey, group: GroupKey) -> u32 {
+    pub(super) fn count_here(&self, incarnation: IncarnationKey, group: StepKey) -> u32 {
         let same = |task: TaskKey| {
             (task.job, task.occurrence, task.step) == (group.job, group.occurrence, group.step)
         };
-        let held = self.jobs.held(life).filter(|(task, _)| same(*task)).count();
-        let starting = self.starting.values().filter(|s| s.life == life && same(s.task)).count();
+        let held = self.state.assigned_runs(incarnation).filter(|(task, _)| same(*task)).count();
+        let starting =
+            self.starting.values().filter(|s| s.incarnation == incarnation && same(s.task)).count();
         u32::try_from(held + starting).unwrap_or(u32::MAX)
     }
 }
 
 /// What a report's answer will start, and what that leaves.
 pub(super) struct Chosen {
-    pub(super) starts: Vec<Start>,
+    pub(super) starts: Vec<RunStart>,
     pub(super) free: Resources,
     pub(super) most: usize,
-    pub(super) neighbours: Neighbours,
+    pub(super) neighbours: Colocation,
 }
 
 /// A runner that is only being tried gets one task at a time.
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -66,9 +66,9 @@
     /// ```
     /// use std::time::Duration;
     /// use yuccalink_coordination::jobs::policy::Millis;
-    /// assert_eq!(Millis(1_500).span(), Duration::from_millis(1_500));
+    /// assert_eq!(Millis(1_500).to_duration(), Duration::from_millis(1_500));
     /// ```
-    pub const fn span(self) -> Duration {
+    pub const fn to_duration(self) -> Duration {
         Duration::from_millis(self.0 as u64)
     }
 }
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{Job, JobId, JobPhase, Jobs, StepSpec, TaskKey};
+use yuccalink_state::jobs::{CellState, Job, JobId, JobPhase, StepSpec, TaskKey};
 
 /// Weight of a new job in the running mean of its queue's work.
 const MEAN_WEIGHT: f64 = 0.05;
@@ -66,13 +66,13 @@
 
 /// A step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct GroupKey {
+pub(super) struct StepKey {
     pub(super) job: JobId,
     pub(super) occurrence: u32,
     pub(super) step: u16,
 }
 
-impl GroupKey {
+impl StepKey {
     /// The step of a task.
     pub(super) fn of(task: TaskKey) -> Self {
         Self { job: task.job, occurrence: task.occurrence, step: task.step }
@@ -114,11 +114,11 @@
 
 /// What a step's tasks are to their neighbours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum StepKind {
     /// Serves users of its own and has a bound on its tail.
     Serving,
     /// May disturb those that serve.
-    Filling,
+    Background,
 }
 
 /// What placement asks of a step for each report: kept ready, since hundreds of
@@ -128,14 +128,14 @@
     /// Processors, memory and accelerators that one task may use.
     pub(super) need: Resources,
     /// What of that is committed.
-    pub(super) committed: Resources,
-    pub(super) kind: Kind,
+    pub(super) reserved: Resources,
+    pub(super) kind: StepKind,
     pub(super) image: Option<ImageKey>,
     pub(super) opportunistic: bool,
     pub(super) long_running: bool,
     pub(super) checkpointing: bool,
     pub(super) speculative: bool,
-    pub(super) target_ms: u64,
+    pub(super) tail_bound_ms: u64,
     pub(super) estimate_ms: u64,
 }
 
@@ -143,27 +143,27 @@
     fn of(step: &StepSpec, learnt: &mut Interference) -> Self {
         Self {
             need: step.need,
-            committed: step.committed(),
-            kind: if step.target_ms > 0 { Kind::Serving } else { Kind::Filling },
+            reserved: step.committed(),
+            kind: if step.tail_bound_ms > 0 { StepKind::Serving } else { StepKind::Background },
             image: step.image.as_deref().map(|image| learnt.image(image)),
             opportunistic: step.opportunistic,
             long_running: step.long_running,
             checkpointing: step.checkpointing,
             speculative: step.speculative,
-            target_ms: step.target_ms,
+            tail_bound_ms: step.tail_bound_ms,
             estimate_ms: step.estimate_ms,
         }
     }
 
     /// Whether its tasks may disturb those that serve.
     pub(super) fn disturbs(&self) -> bool {
-        self.kind == Kind::Filling && self.image.is_some()
+        self.kind == StepKind::Background && self.image.is_some()
     }
 }
 
 /// What the leader keeps of a job beside its replicated state.
 #[derive(Debug)]
-pub(super) struct Meta {
+pub(super) struct JobInfo {
     came: Moment,
     shape: Shape,
     steps: Vec<StepInfo>,
@@ -178,8 +178,8 @@
 
 /// A step with waiting tasks, as it is offered to a runner.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Waiting<'a> {
-    pub(super) group: GroupKey,
+pub(super) struct WaitingStep<'a> {
+    pub(super) group: StepKey,
     pub(super) step: &'a StepInfo,
     /// What two steps must have in common to be compared by density.
     pub(super) class: RankClass,
@@ -198,28 +198,28 @@
 
 /// All of them.
 #[derive(Debug, Default)]
-pub(super) struct Ready {
+pub(super) struct ReadyQueue {
     policy: OrderPolicy,
-    groups: BTreeMap<GroupKey, Group>,
-    order: BTreeMap<(Rank, GroupKey), StepInfo>,
-    metas: HashMap<JobId, Meta>,
+    groups: BTreeMap<StepKey, Group>,
+    order: BTreeMap<(Rank, StepKey), StepInfo>,
+    metas: HashMap<JobId, JobInfo>,
     means: HashMap<Box<str>, f64>,
     scheduled: BTreeSet<JobId>,
     sizes: Sizes,
 }
 
-impl Ready {
+impl ReadyQueue {
     pub(super) fn new(policy: OrderPolicy, sizes: SizesPolicy) -> Self {
         Self { policy, sizes: Sizes::new(sizes), ..Self::default() }
     }
 
     /// Whether a step has a task that has run and is down.
-    pub(super) fn is_down(&self, key: GroupKey) -> bool {
+    pub(super) fn has_interrupted_task(&self, key: StepKey) -> bool {
         self.groups.get(&key).is_some_and(|group| group.down)
     }
 
     /// Keeps what is needed of a job that came in at `came`.
-    pub(super) fn meet(
+    pub(super) fn add_job(
         &mut self,
         id: JobId,
         job: &Job,
@@ -240,7 +240,7 @@
             true => Size::Usual,
             false => self.sizes.meet(&job.queue, shape.work),
         };
-        let meta = Meta {
+        let meta = JobInfo {
             came,
             objective: shape.objective(queue),
             shape,
@@ -260,7 +260,7 @@
     }
 
     /// Another change set is in force.
-    pub(super) fn changed(&mut self, jobs: &Jobs, routes: &Routes) {
+    pub(super) fn changed(&mut self, jobs: &CellState, routes: &Routes) {
         for (id, meta) in &mut self.metas {
             let Some(job) = jobs.job(*id) else { continue };
             // A job whose queue is gone keeps what it came with.
@@ -304,8 +304,8 @@
 
     /// Judges jobs that can no longer end in time, and draws others to the front whose size
     /// is behind; `room` has, for each pool, the processors that no task that lasts holds.
-    pub(super) fn draw_by_size(&mut self, jobs: &Jobs, room: &BTreeMap<Box<str>, u64>) {
-        let late = |(_, group): &(&GroupKey, &Group)| group.rank.lateness != Lateness::Prompt;
+    pub(super) fn draw_by_size(&mut self, jobs: &CellState, room: &BTreeMap<Box<str>, u64>) {
+        let late = |(_, group): &(&StepKey, &Group)| group.rank.lateness != Lateness::Prompt;
         let late = self.groups.iter().filter(late).map(|(key, _)| key.job);
         let late: Vec<JobId> = late.filter(|id| self.is_unjudged(*id)).collect();
         for id in late {
@@ -332,20 +332,26 @@
         }
     }
 
-    pub(super) fn keys_of(&self, id: JobId) -> Vec<GroupKey> {
-        let from = GroupKey { job: id, occurrence: 0, step: 0 };
-        let to = GroupKey { job: id, occurrence: u32::MAX, step: u16::MAX };
+    pub(super) fn keys_of(&self, id: JobId) -> Vec<StepKey> {
+        let from = StepKey { job: id, occurrence: 0, step: 0 };
+        let to = StepKey { job: id, occurrence: u32::MAX, step: u16::MAX };
         self.groups.range(from..=to).map(|(key, _)| *key).collect()
     }
 
-    fn remove(&mut self, key: GroupKey) {
+    fn remove(&mut self, key: StepKey) {
         if let Some(group) = self.groups.remove(&key) {
             self.order.remove(&(group.rank, key));
         }
     }
 
     /// Puts the steps with these keys in place of those known of the job.
-    pub(super) fn set_groups(&mut self, id: JobId, keys: &[GroupKey], jobs: &Jobs, now: Moment) {
+    pub(super) fn set_groups(
+        &mut self,
+        id: JobId,
+        keys: &[StepKey],
+        jobs: &CellState,
+        now: Moment,
+    ) {
         for key in self.keys_of(id) {
             if !keys.contains(&key) {
                 self.remove(key);
@@ -364,13 +370,13 @@
     }
 
     /// Ranks all steps anew: time has passed, work was done.
-    pub(super) fn rank_all(&mut self, jobs: &Jobs, now: Moment) {
+    pub(super) fn rank_all(&mut self, jobs: &CellState, now: Moment) {
         let mut groups = std::mem::take(&mut self.groups);
         for (key, group) in &mut groups {
             group.rank = self.rank(jobs, *key, now, group.since);
             group.down = self.has_down(jobs, *key);
         }
-        let place = |(key, group): (&GroupKey, &Group)| {
+        let place = |(key, group): (&StepKey, &Group)| {
             self.step(key.job, key.step).map(|step| ((group.rank, *key), *step))
         };
         self.order = groups.iter().filter_map(place).collect();
@@ -378,13 +384,13 @@
     }
 
     /// The steps, the first to be started first.
-    pub(super) fn order(&self) -> impl Iterator<Item = GroupKey> {
+    pub(super) fn order(&self) -> impl Iterator<Item = StepKey> {
         self.order.keys().map(|(_, key)| *key)
     }
 
     /// The same, with what placement asks of them.
-    pub(super) fn waiting(&self) -> impl Iterator<Item = Waiting<'_>> {
-        self.order.iter().map(|((rank, group), step)| Waiting {
+    pub(super) fn waiting(&self) -> impl Iterator<Item = WaitingStep<'_>> {
+        self.order.iter().map(|((rank, group), step)| WaitingStep {
             group: *group,
             step,
             class: RankClass(rank.turn, rank.front, rank.lateness, rank.priority),
@@ -393,7 +399,7 @@
     }
 
     /// The first step of a job, in the order of its steps, that has tasks to start.
-    pub(super) fn first_waiting(&self, id: JobId) -> Option<GroupKey> {
+    pub(super) fn first_waiting(&self, id: JobId) -> Option<StepKey> {
         self.keys_of(id).into_iter().next()
     }
 
@@ -411,7 +417,7 @@
     }
 
     /// When a step first had tasks to start.
-    pub(super) fn since(&self, key: GroupKey) -> Option<Moment> {
+    pub(super) fn since(&self, key: StepKey) -> Option<Moment> {
         self.groups.get(&key).map(|group| group.since)
     }
 
@@ -436,11 +442,11 @@
     }
 
     /// How many tasks wait in them.
-    pub(super) fn waiting_tasks(&self, jobs: &Jobs) -> usize {
-        let waiting = |key: &GroupKey| {
+    pub(super) fn waiting_tasks(&self, jobs: &CellState) -> usize {
+        let waiting = |key: &StepKey| {
             let occurrence = jobs.job(key.job)?.occurrences.get(key.occurrence as usize)?;
             let step = occurrence.steps.get(usize::from(key.step))?;
-            Some(step.tasks.iter().filter(|task| !task.done && task.holds.is_empty()).count())
+            Some(step.tasks.iter().filter(|task| !task.done && task.assignments.is_empty()).count())
         };
         self.groups.keys().filter_map(waiting).sum()
     }
@@ -450,12 +456,12 @@
         self.scheduled.iter().copied().collect()
     }
 
-    fn has_down(&self, jobs: &Jobs, key: GroupKey) -> bool {
+    fn has_down(&self, jobs: &CellState, key: StepKey) -> bool {
         let lasts = self.step(key.job, key.step).is_some_and(|step| step.long_running);
         lasts && jobs.job(key.job).is_some_and(|job| has_run_before(job, key))
     }
 
-    fn rank(&self, jobs: &Jobs, key: GroupKey, now: Moment, since: Moment) -> Rank {
+    fn rank(&self, jobs: &CellState, key: StepKey, now: Moment, since: Moment) -> Rank {
         let last = Rank {
             turn: Turn::Other,
             front: Reverse(false),
@@ -499,14 +505,14 @@
 }
 
 /// Whether a step has a task that ran once and waits.
-fn has_run_before(job: &Job, key: GroupKey) -> bool {
+fn has_run_before(job: &Job, key: StepKey) -> bool {
     let occurrence = job.occurrences.get(key.occurrence as usize);
     let step = occurrence.and_then(|found| found.steps.get(usize::from(key.step)));
     let mut tasks = step.into_iter().flat_map(|step| &step.tasks);
-    tasks.any(|task| !task.done && task.holds.is_empty() && task.last_run > 0)
+    tasks.any(|task| !task.done && task.assignments.is_empty() && task.last_run > 0)
 }
 
-impl Meta {
+impl JobInfo {
     fn lateness(&self, step: u16, now: Moment) -> Lateness {
         if self.lasts || self.scheduled {
             return Lateness::Prompt;
--- a/crates/coordination/src/jobs/report.rs
+++ b/crates/coordination/src/jobs/report.rs
@@ -6,7 +6,7 @@
 
 /// What happened since the leader began, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LeaderCounters {
     /// Jobs accepted.
     pub accepted: u64,
     /// Jobs refused.
@@ -18,7 +18,7 @@
     /// Runs that failed.
     pub failed: u64,
     /// Runs stopped because they stood still.
-    pub standing: u64,
+    pub stalled_runs: u64,
     /// Runs given up because their lease ended or their runner's life was over.
     pub lost: u64,
     /// Of these, runs whose runner is known to have crashed.
@@ -31,7 +31,7 @@
     pub heartbeats: u64,
     /// Runners looked at beside those that reported: work that must not grow with the pool
     /// for each job, task or report.
-    pub looked_at: u64,
+    pub runners_scanned: u64,
 }
 
 /// How full the runners are.
@@ -74,19 +74,19 @@
             load.over,
             self.moving_out,
             self.ready.len(),
-            self.ready.waiting_tasks(&self.jobs)
+            self.ready.waiting_tasks(&self.state)
         );
     }
 
     pub(super) fn log_accepted(&self, id: JobId) {
-        let Some(job) = self.jobs.job(id) else { return };
+        let Some(job) = self.state.job(id) else { return };
         let steps: Vec<Box<str>> = job.spec.steps.iter().map(shown_step).collect();
         log::info!("job={id} accepted queue={} steps=[{}]", job.queue, steps.join(" "));
     }
 
     /// One line when a job is over, with what its caller was to expect.
     pub(super) fn log_ended(&mut self, id: JobId, now: Now) {
-        let Some(job) = self.jobs.job(id).filter(|job| job.phase != JobPhase::Active) else {
+        let Some(job) = self.state.job(id).filter(|job| job.phase != JobPhase::Active) else {
             return;
         };
         if job.phase == JobPhase::Cancelled {
@@ -101,8 +101,8 @@
             .flat_map(|step| &step.tasks)
             .map(|task| task.failures)
             .sum();
-        let losses = self.jobs.losses();
-        let given_up = losses.of_job(id).any(|(task, _)| self.jobs.lost_too_often(task));
+        let losses = self.state.losses();
+        let given_up = losses.of_job(id).any(|(task, _)| self.state.exceeds_loss_limit(task));
         let why = if given_up { " why=crashes" } else { "" };
         log::info!(
             "job={id} ended state={:?} after={age:?} objective={objective:?} held-up={} \
@@ -147,8 +147,8 @@
         f.push_str("+image=");
         f.push_str(image);
     }
-    if step.target_ms > 0 {
-        f.push_str(&format!("+tail={}ms", step.target_ms));
+    if step.tail_bound_ms > 0 {
+        f.push_str(&format!("+tail={}ms", step.tail_bound_ms));
     }
     f.into()
 }
--- a/crates/coordination/src/jobs/room.rs
+++ b/crates/coordination/src/jobs/room.rs
@@ -4,13 +4,13 @@
 use super::leader::{Leader, Now};
 use super::place::label_fits;
 use super::policy::{Millis, Switch};
-use super::ready::GroupKey;
+use super::ready::StepKey;
 use super::runner::Runner;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{Job, LifeKey, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, Job, TaskKey};
 
 /// Runners are kept free for large tasks that last.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -68,20 +68,20 @@
 impl Leader {
     /// Finds what a runner has left: its capacity less all that may be running there.
     /// Ends that it lists have freed their room, whether they are noted or not.
-    pub(super) fn measure_room(&mut self, key: LifeKey, ended: &BTreeSet<(TaskKey, u32)>) {
+    pub(super) fn measure_room(&mut self, key: IncarnationKey, ended: &BTreeSet<(TaskKey, u32)>) {
         let Some(runner) = self.runners.get(&key) else { return };
         let mut taken: BTreeSet<(TaskKey, u32)> =
-            self.jobs.held(key).filter(|run| !ended.contains(run)).collect();
+            self.state.assigned_runs(key).filter(|run| !ended.contains(run)).collect();
         taken.extend(runner.running.iter().map(|(task, view)| (*task, view.run)));
-        let starting = self.starting.values().filter(|start| start.life == key);
+        let starting = self.starting.values().filter(|start| start.incarnation == key);
         taken.extend(starting.map(|start| (start.task, start.run)));
         let mut free = runner.capacity;
         let mut lasting_millicores = 0;
         for (task, _) in taken {
             let Some(step) = self.ready.step_of(task) else { continue };
-            free = less(free, step.committed);
+            free = saturating_sub(free, step.reserved);
             if step.long_running {
-                lasting_millicores += step.committed.millicores;
+                lasting_millicores += step.reserved.millicores;
             }
         }
         if let Some(runner) = self.runners.get_mut(&key) {
@@ -94,22 +94,22 @@
     /// lists and all orders that may still reach it counted.
     pub(super) fn outgrown(&self, now: Now, runner: &Runner) -> BTreeSet<(TaskKey, u32)> {
         let mut unlisted: Vec<(TaskKey, u32)> = self
-            .jobs
-            .held(runner.key)
+            .state
+            .assigned_runs(runner.key)
             .filter(|(task, run)| runner.view(*task, *run).is_none())
             .filter(|run| !self.ending.contains(run))
             .collect();
         if unlisted.is_empty() {
             return BTreeSet::new();
         }
-        let need = |task: TaskKey| self.ready.step_of(task).map(|step| step.committed);
+        let need = |task: TaskKey| self.ready.step_of(task).map(|step| step.reserved);
         let listed = runner.running.keys().filter_map(|task| need(*task));
-        let mut free = listed.fold(runner.capacity, less);
+        let mut free = listed.fold(runner.capacity, saturating_sub);
         unlisted.sort_by_key(|(task, run)| !runner.may_yet_start(*task, *run, now.at));
         unlisted.retain(|(task, _)| match need(*task) {
-            Some(need) if !free.holds(need) => true,
+            Some(need) if !free.covers(need) => true,
             Some(need) => {
-                free = less(free, need);
+                free = saturating_sub(free, need);
                 false
             }
             None => false,
@@ -127,13 +127,13 @@
         }
         let runners_max = (self.runners.len() / policy.one_in.max(1)).max(1);
         self.kept_free.retain(|_, kept| now.at < kept.until);
-        let waits = |group: &GroupKey| {
+        let waits = |group: &StepKey| {
             let step = self.ready.step(group.job, group.step);
             step.is_some_and(|step| step.long_running) && self.has_waited(now, *group)
         };
-        let groups: Vec<GroupKey> = self.ready.order().filter(waits).take(runners_max).collect();
+        let groups: Vec<StepKey> = self.ready.order().filter(waits).take(runners_max).collect();
         for group in groups {
-            let first = !self.ready.is_down(group);
+            let first = !self.ready.has_interrupted_task(group);
             let firsts = self.kept_free.values().filter(|kept| kept.first).count();
             if self.kept_free.len() >= runners_max {
                 return;
@@ -141,41 +141,43 @@
             if first && firsts >= policy.first_runners_max {
                 continue;
             }
-            let Some(need) = self.ready.step(group.job, group.step).map(|step| step.committed)
+            let Some(need) = self.ready.step(group.job, group.step).map(|step| step.reserved)
             else {
                 continue;
             };
-            let Some(job) = self.jobs.job(group.job) else { continue };
+            let Some(job) = self.state.job(group.job) else { continue };
             let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
             let fits = |runner: &&Runner| {
                 runner.takes_tasks()
                     && &*runner.pool == self.pool_of(job)
                     && label_fits(step, runner)
                     && !self.kept_free.contains_key(&runner.key)
-                    && runner.is_heard_lately(now.at)
+                    && runner.reported_recently(now.at)
                     && (step.per_runner_max == 0
                         || self.count_here(runner.key, group) < step.per_runner_max)
-                    && self.free_without_short(runner).holds(need)
+                    && self.free_without_short(runner).covers(need)
             };
             let Some(key) = self.runners.values().find(fits).map(|runner| runner.key) else {
                 continue;
             };
-            self.kept_free.insert(key, KeptFree { until: now.at + policy.span.span(), first });
+            self.kept_free
+                .insert(key, KeptFree { until: now.at + policy.span.to_duration(), first });
         }
     }
 
     /// What is free on a runner once its short tasks have ended.
     fn free_without_short(&self, runner: &Runner) -> Resources {
-        let short = self.jobs.held(runner.key).filter_map(|(task, _)| {
-            self.ready.step_of(task).filter(|step| !step.long_running).map(|step| step.committed)
+        let short = self.state.assigned_runs(runner.key).filter_map(|(task, _)| {
+            self.ready.step_of(task).filter(|step| !step.long_running).map(|step| step.reserved)
         });
         short.fold(runner.free, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
-    pub(super) fn has_waited(&self, now: Now, group: GroupKey) -> bool {
+    pub(super) fn has_waited(&self, now: Now, group: StepKey) -> bool {
         let policy = &self.cfg.policy.kept_free;
-        let wait = if self.ready.is_down(group) { policy.after } else { policy.first_after };
-        let wait = wait.span();
+        let wait =
+            if self.ready.has_interrupted_task(group) { policy.after } else { policy.first_after };
+        let wait = wait.to_duration();
         self.ready.since(group).is_some_and(|since| now.at.since(since) > wait)
     }
 
@@ -197,7 +199,7 @@
         let not_lasting = sums.iter().map(|(pool, sum)| (Box::from(*pool), left(sum))).collect();
         let idle = sums.into_iter().filter(|(_, sum)| sum.free * 2 >= sum.all);
         self.idle_pools = idle.map(|(pool, _)| Box::from(pool)).collect();
-        self.ready.draw_by_size(&self.jobs, &not_lasting);
+        self.ready.draw_by_size(&self.state, &not_lasting);
     }
 
     /// Counts the tasks that last and wait for room, or are on their way to.
@@ -211,23 +213,23 @@
             .ready
             .order()
             .filter(|group| self.ready.step(group.job, group.step).is_some_and(|s| s.long_running))
-            .filter_map(|group| self.jobs.job(group.job).map(|job| waiting_tasks(job, group)))
+            .filter_map(|group| self.state.job(group.job).map(|job| waiting_tasks(job, group)))
             .sum();
         self.moving_out = waiting + u32::try_from(stopping.count()).unwrap_or(u32::MAX);
     }
 }
 
 /// How many tasks of a step wait.
-pub(super) fn waiting_tasks(job: &Job, group: GroupKey) -> u32 {
+pub(super) fn waiting_tasks(job: &Job, group: StepKey) -> u32 {
     let occurrence = job.occurrences.get(group.occurrence as usize);
     let step = occurrence.and_then(|found| found.steps.get(usize::from(group.step)));
     let tasks = step.into_iter().flat_map(|step| &step.tasks);
-    let count = tasks.filter(|task| !task.done && task.holds.is_empty()).count();
+    let count = tasks.filter(|task| !task.done && task.assignments.is_empty()).count();
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
 /// What is left, never below nothing.
-pub(super) fn less(free: Resources, need: Resources) -> Resources {
+pub(super) fn saturating_sub(free: Resources, need: Resources) -> Resources {
     Resources {
         millicores: free.millicores.saturating_sub(need.millicores),
         memory_mib: free.memory_mib.saturating_sub(need.memory_mib),
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -1,7 +1,7 @@
 //! What a leader knows of one life of a runner: its last report, its lease, and
 //! how well its runs end.
 
-use super::ask::{Report, RunnerState, Running};
+use super::ask::{ReportedRun, RunnerReport, RunnerState};
 use super::interference::ImageKey;
 use super::policy::{Millis, Switch};
 use crate::moment::Moment;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{LifeKey, TaskKey};
+use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
 /// How slow a runner's steady clock may be, in percent, as the platform says.
 const RUNNER_CLOCK_SLOW_PERCENT: u32 = 2;
@@ -61,7 +61,7 @@
 }
 
 /// Bound on when a lease of `span`, granted now, has ended on the runner's clock.
-pub fn lease_surely_ended_after(span: Duration) -> Duration {
+pub fn lease_expiry_bound(span: Duration) -> Duration {
     span + span * (RUNNER_CLOCK_SLOW_PERCENT + OWN_CLOCK_SLOW_PERCENT) / 100 + LEASE_SLACK
 }
 
@@ -99,14 +99,14 @@
     pub(super) fn trust(self, now: Moment, policy: &DistrustPolicy) -> Trust {
         // Without a limit in time, a task's last try would wait for ever where every
         // runner had a bad end and nothing else is left to run that could end well.
-        let forgiven = now.since(self.last_bad) > policy.forgiven.span();
+        let forgiven = now.since(self.last_bad) > policy.forgiven.to_duration();
         if self.bad == 0 || forgiven || policy.mode == Switch::Off {
             return Trust::Full;
         }
         if self.bad < policy.bad_ends_max {
             return Trust::SecondTryOnly;
         }
-        match now.since(self.last_bad) < policy.quarantine.span() {
+        match now.since(self.last_bad) < policy.quarantine.to_duration() {
             true => Trust::None,
             false => Trust::Probe,
         }
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct RunView {
     pub(super) run: u32,
-    pub(super) saved: Box<str>,
+    pub(super) checkpoint: Box<str>,
     pub(super) percent: u8,
     pub(super) gauge: Option<u64>,
     pub(super) first_seen: Moment,
@@ -142,14 +142,14 @@
     }
 
     pub(super) fn stands_still(&self, now: Moment, after: Millis) -> bool {
-        self.rate == Some(100) && self.percent < 100 && now.since(self.moved) > after.span()
+        self.rate == Some(100) && self.percent < 100 && now.since(self.moved) > after.to_duration()
     }
 }
 
 /// A life of a runner that has reported to this leader.
 #[derive(Debug)]
 pub(super) struct Runner {
-    pub(super) key: LifeKey,
+    pub(super) key: IncarnationKey,
     pub(super) id: Box<str>,
     pub(super) pool: Box<str>,
     pub(super) rack: Box<str>,
@@ -158,13 +158,13 @@
     pub(super) state: RunnerState,
     /// Its machine is to go down for upkeep.
     pub(super) closing: bool,
-    pub(super) leaves_at: Option<Moment>,
+    pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
-    pub(super) heard: Moment,
+    pub(super) last_report_at: Moment,
     /// All leases that this leader granted have surely ended by then.
     pub(super) lease_end: Moment,
     /// Ends up to this one are in the log.
-    pub(super) noted: u64,
+    pub(super) acked_through: u64,
     /// Ends up to this one are proposed.
     pub(super) proposed: u64,
     pub(super) running: BTreeMap<TaskKey, RunView>,
@@ -187,7 +187,7 @@
 }
 
 impl Runner {
-    pub(super) fn new(key: LifeKey, report: &Report, now: Moment) -> Self {
+    pub(super) fn new(key: IncarnationKey, report: &RunnerReport, now: Moment) -> Self {
         Self {
             key,
             id: report.runner.clone(),
@@ -197,11 +197,11 @@
             capacity: report.capacity,
             state: report.state,
             closing: false,
-            leaves_at: None,
+            terminates_at: None,
             sequence: 0,
-            heard: now,
+            last_report_at: now,
             lease_end: now,
-            noted: 0,
+            acked_through: 0,
             proposed: 0,
             running: BTreeMap::new(),
             ordered: BTreeMap::new(),
@@ -217,16 +217,16 @@
     }
 
     /// Takes a newer report in.
-    pub(super) fn update(&mut self, report: &Report, now: Moment) {
+    pub(super) fn update(&mut self, report: &RunnerReport, now: Moment) {
         self.pool.clone_from(&report.pool);
         self.capacity = report.capacity;
         self.labels.clone_from(&report.labels);
         self.state = report.state;
-        self.heard = now;
-        self.leaves_at = match report.state {
+        self.last_report_at = now;
+        self.terminates_at = match report.state {
             RunnerState::Ready => None,
             RunnerState::Draining => {
-                report.remaining_ms.map(|ms| now + Duration::from_millis(ms)).or(self.leaves_at)
+                report.remaining_ms.map(|ms| now + Duration::from_millis(ms)).or(self.terminates_at)
             }
         };
         // What runs in a life's first report to this leader was started by another.
@@ -284,8 +284,8 @@
     }
 
     /// Whether it reported lately, and so is expected to report again soon.
-    pub(super) fn is_heard_lately(&self, now: Moment) -> bool {
-        now.since(self.heard) < HEARD_LATELY
+    pub(super) fn reported_recently(&self, now: Moment) -> bool {
+        now.since(self.last_report_at) < HEARD_LATELY
     }
 
     /// One of its runs, as it last listed it.
@@ -299,7 +299,7 @@
     }
 }
 
-fn next_view(former: Option<RunView>, run: &Running, now: Moment, fresh: bool) -> RunView {
+fn next_view(former: Option<RunView>, run: &ReportedRun, now: Moment, fresh: bool) -> RunView {
     let same = former.filter(|view| view.run == run.run);
     let moved = match &same {
         Some(view) if view.percent == run.percent => view.moved,
@@ -309,9 +309,9 @@
     RunView {
         run: run.run,
         age: now.since(first_seen),
-        saved: run.saved.clone(),
+        checkpoint: run.checkpoint.clone(),
         percent: run.percent,
-        gauge: run.gauge,
+        gauge: run.usage_or_tail,
         first_seen,
         moved,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
--- a/crates/coordination/src/jobs/suits.rs
+++ b/crates/coordination/src/jobs/suits.rs
@@ -3,10 +3,10 @@
 
 use super::interference::ImageKey;
 use super::leader::{Leader, Now};
-use super::neighbours::Neighbours;
+use super::neighbours::Colocation;
 use super::place::Chosen;
 use super::policy::{Millis, Switch};
-use super::ready::{GroupKey, Kind, StepInfo, Waiting};
+use super::ready::{StepInfo, StepKey, StepKind, WaitingStep};
 use super::runner::Runner;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
@@ -92,15 +92,15 @@
 
 impl Leader {
     /// The waiting steps that are looked at for one report, in the common order.
-    pub(super) fn in_turn(&self) -> impl Iterator<Item = Waiting<'_>> {
+    pub(super) fn in_turn(&self) -> impl Iterator<Item = WaitingStep<'_>> {
         self.ready.waiting().take(GROUPS_MAX)
     }
 
     /// The waiting steps as they are offered one runner. Steps that fill keep their places
     /// among the others, and go by how much less their image presses here than on most:
     /// the margin here is best spent by those who find it nowhere else.
-    pub(super) fn order_for(&self, beside: &Neighbours) -> Vec<Waiting<'_>> {
-        let mut order: Vec<Waiting<'_>> = self.in_turn().collect();
+    pub(super) fn order_for(&self, beside: &Colocation) -> Vec<WaitingStep<'_>> {
+        let mut order: Vec<WaitingStep<'_>> = self.in_turn().collect();
         if self.cfg.policy.matching.mode == Switch::Off || beside.serving.is_empty() {
             return order;
         }
@@ -137,12 +137,12 @@
         now: Moment,
         job: &Job,
         step: &StepSpec,
-        group: GroupKey,
+        group: StepKey,
         runner: &Runner,
     ) -> bool {
         let since = self.ready.since(group).unwrap_or(now);
         let policy = &self.cfg.policy.racks;
-        if policy.mode == Switch::Off || now.since(since) > policy.wait.span() {
+        if policy.mode == Switch::Off || now.since(since) > policy.wait.to_duration() {
             return true;
         }
         if let Some(rack) = &step.data_rack {
@@ -153,8 +153,11 @@
         }
         let occurrence = job.occurrences.get(group.occurrence as usize);
         let tasks = occurrence.and_then(|found| found.steps.get(usize::from(group.step)));
-        let mut lives = tasks.into_iter().flat_map(|step| &step.tasks).flat_map(|t| &t.holds);
-        lives.all(|hold| self.runners.get(&hold.life).is_none_or(|r| r.rack == runner.rack))
+        let mut incarnations =
+            tasks.into_iter().flat_map(|step| &step.tasks).flat_map(|t| &t.assignments);
+        incarnations.all(|assignment| {
+            self.runners.get(&assignment.incarnation).is_none_or(|r| r.rack == runner.rack)
+        })
     }
 
     /// Whether a task gets on with those on a runner. Serving tasks of one image
@@ -163,26 +166,26 @@
     pub(super) fn suits(
         &self,
         now: Now,
-        group: GroupKey,
+        group: StepKey,
         step: &StepInfo,
         chosen: &mut Chosen,
     ) -> bool {
         let since = self.ready.since(group).unwrap_or(now.at);
         let neighbours = &mut chosen.neighbours;
         match step.kind {
-            Kind::Filling => {
+            StepKind::Background => {
                 let spare = !step.opportunistic || neighbours.has_spare(step);
                 if spare && neighbours.bears(step, &self.interference) {
                     return true;
                 }
                 let policy = &self.cfg.policy.patience;
                 policy.mode.is_on()
-                    && now.at.since(since) > policy.after.span()
+                    && now.at.since(since) > policy.after.to_duration()
                     && self.is_idle(&neighbours.pool)
                     && chosen.starts.iter().all(|start| start.task.job != group.job)
                     && self.runs_of(now, group.job) == 0
             }
-            Kind::Serving => {
+            StepKind::Serving => {
                 let own = step.image;
                 let alike = neighbours.serving.iter().all(|serving| Some(serving.image) == own);
                 let settled = self.has_waited_alike(now, group);
@@ -195,10 +198,10 @@
     }
 
     /// Whether a serving step need not wait any longer for a runner of its image.
-    pub(super) fn has_waited_alike(&self, now: Now, group: GroupKey) -> bool {
+    pub(super) fn has_waited_alike(&self, now: Now, group: StepKey) -> bool {
         let policy = &self.cfg.policy.gathering;
         let since = self.ready.since(group).unwrap_or(now.at);
-        now.at.since(since) > policy.wait.span() || policy.mode == Switch::Off
+        now.at.since(since) > policy.wait.to_duration() || policy.mode == Switch::Off
     }
 
     /// Whether a runner that already serves this image has room for one more: then
@@ -208,18 +211,20 @@
             && self.runners.values().any(|runner| {
                 runner.serves == step.image
                     && runner.takes_tasks()
-                    && runner.is_heard_lately(now.at)
-                    && runner.free.holds(step.committed)
+                    && runner.reported_recently(now.at)
+                    && runner.free.covers(step.reserved)
             })
     }
 
     /// How many runs of a job are under way or about to be.
     pub(super) fn runs_of(&self, now: Now, id: JobId) -> usize {
-        let Some(job) = self.jobs.job(id) else { return 0 };
+        let Some(job) = self.state.job(id) else { return 0 };
         let steps = job.occurrences.iter().flat_map(|occurrence| &occurrence.steps);
-        let holds = steps.flat_map(|step| &step.tasks).flat_map(|task| &task.holds);
-        let sound = holds.filter(|hold| {
-            self.runners.get(&hold.life).is_some_and(|runner| runner.is_heard_lately(now.at))
+        let assignments = steps.flat_map(|step| &step.tasks).flat_map(|task| &task.assignments);
+        let sound = assignments.filter(|assignment| {
+            self.runners
+                .get(&assignment.incarnation)
+                .is_some_and(|runner| runner.reported_recently(now.at))
         });
         sound.count() + self.starting.keys().filter(|task| task.job == id).count()
     }
