--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -6,19 +6,21 @@
 //! life. A suspect starts where little would be lost, nothing else starts there until the
 //! runner has listed it, and only so many are tried at once.
 
-use super::leader::{Leader, Now, Then};
+use super::leader::{Leader, Now, OnCommit};
 use super::lost::PROVEN_AFTER;
 use super::place::Chosen;
 use super::policy::{Millis, Switch};
-use super::ready::GroupKey;
-use super::room::less;
-use super::runner::{Runner, Trust, lease_surely_ended_after};
+use super::ready::StepKey;
+use super::room::saturating_sub;
+use super::runner::{Runner, Trust, lease_expiry_bound};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use yuccalink_state::jobs::loss::CRASHES_AT_START_MAX;
-use yuccalink_state::jobs::{Fate, JobCommand, JobId, LifeKey, Loss, Seen, Start, Task, TaskKey};
+use yuccalink_state::jobs::{
+    IncarnationKey, JobCommand, JobId, Loss, LossEvidence, RunStart, RunnerFate, Task, TaskKey,
+};
 
 /// Tasks of one job that are tried at once, while at most one runner crashed at the start of
 /// its tasks.
@@ -63,7 +65,7 @@
 
 /// How a task may be started, by the runners lost under it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Standing {
+pub(super) enum CrashSuspicion {
     /// As any other.
     Clear,
     /// Alone.
@@ -84,12 +86,12 @@
     /// and how many of each job.
     left_of_job: BTreeMap<JobId, usize>,
     /// Lives that were lost and report again, since when.
-    reporting: BTreeMap<LifeKey, Moment>,
+    reporting: BTreeMap<IncarnationKey, Moment>,
 }
 
 /// A suspect that waits, in the order in which suspects are tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Waiting {
+struct WaitingSuspect {
     /// Runners that crashed right after the order to start a task of its job.
     crashed_of_job: usize,
     job: JobId,
@@ -100,22 +102,22 @@
 
 impl Leader {
     /// How a task may be started.
-    pub(super) fn standing(&self, now: Now, task: TaskKey) -> Standing {
-        let losses = self.jobs.losses();
+    pub(super) fn standing(&self, now: Now, task: TaskKey) -> CrashSuspicion {
+        let losses = self.state.losses();
         if losses.is_empty() {
-            return Standing::Clear;
+            return CrashSuspicion::Clear;
         }
         let own = losses.of(task);
         if own.len() >= CRASHES_AT_START_MAX && own.iter().any(|loss| self.may_be_heard(now, loss))
         {
-            return Standing::HeldBack;
+            return CrashSuspicion::HeldBack;
         }
-        let at_start = own.iter().any(|loss| loss.seen == Seen::Ordered);
-        let crashed = own.iter().any(|loss| loss.fate == Fate::Crashed);
+        let at_start = own.iter().any(|loss| loss.evidence == LossEvidence::Ordered);
+        let crashed = own.iter().any(|loss| loss.fate == RunnerFate::Crashed);
         let suspect = at_start || (own.len() > 1 && crashed) || self.has_suspect_step(task);
         match suspect && self.cfg.policy.suspects.mode.is_on() {
-            true => Standing::Suspect,
-            false => Standing::Clear,
+            true => CrashSuspicion::Suspect,
+            false => CrashSuspicion::Clear,
         }
     }
 
@@ -124,17 +126,17 @@
         let wait = u64::from(self.cfg.policy.suspects.news.0);
         // The wall clock may have been set back since.
         let age = now.unix_ms.checked_sub(loss.at_ms);
-        loss.fate == Fate::Unknown && age.is_some_and(|age| age < wait)
+        loss.fate == RunnerFate::Unknown && age.is_some_and(|age| age < wait)
     }
 
     /// Whether several runners crashed at the start of tasks of a step, and none of its tasks
     /// has ever worked.
     fn has_suspect_step(&self, task: TaskKey) -> bool {
-        let group = GroupKey::of(task);
+        let group = StepKey::of(task);
         if self.lives_lost_at_start(group.job, Some(group)).len() < 2 {
             return false;
         }
-        let Some(job) = self.jobs.job(task.job) else { return false };
+        let Some(job) = self.state.job(task.job) else { return false };
         let occurrence = job.occurrences.get(task.occurrence as usize);
         let step = occurrence.and_then(|found| found.steps.get(usize::from(task.step)));
         let works = |(index, state): (usize, &Task)| {
@@ -146,18 +148,21 @@
 
     /// Whether some runner lists a task.
     fn is_listed(&self, task: TaskKey, state: &Task) -> bool {
-        let mut runners = state.holds.iter().filter_map(|hold| self.runners.get(&hold.life));
+        let mut runners = state
+            .assignments
+            .iter()
+            .filter_map(|assignment| self.runners.get(&assignment.incarnation));
         runners.any(|runner| runner.running.contains_key(&task))
     }
 
     /// Runners that crashed right after the order to start a task of a job, or of a step.
-    fn lives_lost_at_start(&self, job: JobId, group: Option<GroupKey>) -> BTreeSet<LifeKey> {
-        let of_group = |task: TaskKey| group.is_none_or(|group| GroupKey::of(task) == group);
-        let losses = self.jobs.losses().of_job(job).filter(|(task, _)| of_group(*task));
-        let at_start = losses
-            .flat_map(|(_, losses)| losses)
-            .filter(|loss| loss.seen == Seen::Ordered && loss.fate == Fate::Crashed);
-        at_start.map(|loss| loss.life).collect()
+    fn lives_lost_at_start(&self, job: JobId, group: Option<StepKey>) -> BTreeSet<IncarnationKey> {
+        let of_group = |task: TaskKey| group.is_none_or(|group| StepKey::of(task) == group);
+        let losses = self.state.losses().of_job(job).filter(|(task, _)| of_group(*task));
+        let at_start = losses.flat_map(|(_, losses)| losses).filter(|loss| {
+            loss.evidence == LossEvidence::Ordered && loss.fate == RunnerFate::Crashed
+        });
+        at_start.map(|loss| loss.incarnation).collect()
     }
 
     /// Finds the suspects that wait. Jobs under which the fewest runners crashed come first,
@@ -165,8 +170,10 @@
     /// tells soonest whether the job is to be given up.
     pub(super) fn find_suspects(&mut self, now: Now) {
         self.suspects.waiting.clear();
-        self.suspects.reporting.retain(|life, _| self.jobs.losses().has_unknown(*life));
-        if self.jobs.losses().is_empty() || self.cfg.policy.suspects.mode == Switch::Off {
+        self.suspects
+            .reporting
+            .retain(|incarnation, _| self.state.losses().has_unknown(*incarnation));
+        if self.state.losses().is_empty() || self.cfg.policy.suspects.mode == Switch::Off {
             self.suspects.since.clear();
             return;
         }
@@ -179,7 +186,7 @@
         let one_in = self.cfg.policy.suspects.one_in.max(1);
         let most = (self.runners.len() / one_in).max(TRIED_MIN);
         let mut left_of_job = BTreeMap::new();
-        for Waiting { crashed_of_job, job, .. } in &waiting {
+        for WaitingSuspect { crashed_of_job, job, .. } in &waiting {
             left_of_job.entry(*job).or_insert_with(|| {
                 let tried = trying.iter().filter(|task| task.job == *job).count();
                 self.trials_of_job(*job, *crashed_of_job).saturating_sub(tried)
@@ -204,17 +211,17 @@
 
     /// Tasks of a job under which runners were lost and that work now.
     fn survivors_of(&self, job: JobId) -> usize {
-        let works = |task| self.jobs.task(task).is_some_and(|state| self.is_listed(task, state));
-        self.jobs.losses().of_job(job).filter(|(task, _)| works(*task)).count()
+        let works = |task| self.state.task(task).is_some_and(|state| self.is_listed(task, state));
+        self.state.losses().of_job(job).filter(|(task, _)| works(*task)).count()
     }
 
     /// All suspects that wait, in no order.
-    fn waiting_suspects(&self, now: Now) -> Vec<Waiting> {
-        let mut jobs: Vec<JobId> = self.jobs.losses().tasks().map(|(task, _)| task.job).collect();
+    fn waiting_suspects(&self, now: Now) -> Vec<WaitingSuspect> {
+        let mut jobs: Vec<JobId> = self.state.losses().tasks().map(|(task, _)| task.job).collect();
         jobs.dedup();
         let mut found = Vec::new();
         for group in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
-            let Some(job) = self.jobs.job(group.job) else { continue };
+            let Some(job) = self.state.job(group.job) else { continue };
             let crashed_of_job = self.lives_lost_at_start(group.job, None).len();
             let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
             if step.gang {
@@ -228,11 +235,12 @@
                     step: group.step,
                     index,
                 };
-                let waits = self.jobs.task(task).is_some_and(|t| !t.done && t.holds.is_empty())
-                    && !self.starting.contains_key(&task);
-                if waits && self.standing(now, task) == Standing::Suspect {
-                    let losses = Reverse(self.jobs.losses().of(task).len());
-                    found.push(Waiting { crashed_of_job, job: task.job, losses, task });
+                let waits =
+                    self.state.task(task).is_some_and(|t| !t.done && t.assignments.is_empty())
+                        && !self.starting.contains_key(&task);
+                if waits && self.standing(now, task) == CrashSuspicion::Suspect {
+                    let losses = Reverse(self.state.losses().of(task).len());
+                    found.push(WaitingSuspect { crashed_of_job, job: task.job, losses, task });
                 }
             }
         }
@@ -242,41 +250,44 @@
     /// Whether a second copy of a task may start: one that crashes its runners would crash two
     /// more at once.
     pub(super) fn may_have_copy(&self, task: TaskKey) -> bool {
-        match self.jobs.losses().of(task) {
+        match self.state.losses().of(task) {
             [] => true,
-            [loss] => loss.seen != Seen::Ordered,
+            [loss] => loss.evidence != LossEvidence::Ordered,
             _ => false,
         }
     }
 
     /// Whether one more crash would be the last: what else runs beside it must not decide.
     fn is_last_try(&self, task: TaskKey) -> bool {
-        self.jobs.losses().crashes(task).reach_bound_with(1)
+        self.state.losses().crashes(task).reach_bound_with(1)
     }
 
     /// Whether a step's job has tasks that may not start beside others.
-    pub(super) fn has_suspect(&self, now: Now, group: GroupKey) -> bool {
-        let mut lost = self.jobs.losses().of_job(group.job);
-        lost.any(|(task, _)| self.standing(now, task) != Standing::Clear)
+    pub(super) fn has_suspect(&self, now: Now, group: StepKey) -> bool {
+        let mut lost = self.state.losses().of_job(group.job);
+        lost.any(|(task, _)| self.standing(now, task) != CrashSuspicion::Clear)
     }
 
     /// The suspect that a runner was told to start and has not listed yet, or not for long
     /// enough to clear it on its last try.
     pub(super) fn trial_on(&self, now: Now, runner: &Runner) -> Option<TaskKey> {
-        if self.jobs.losses().is_empty() {
+        if self.state.losses().is_empty() {
             return None;
         }
-        let starting = self.starting.values().filter(|start| start.life == runner.key);
-        let held = self.jobs.held(runner.key).chain(starting.map(|start| (start.task, start.run)));
+        let starting = self.starting.values().filter(|start| start.incarnation == runner.key);
+        let held = self
+            .state
+            .assigned_runs(runner.key)
+            .chain(starting.map(|start| (start.task, start.run)));
         let is_tried = |task: TaskKey, run: u32| match runner.view(task, run) {
             Some(view) => view.age < PROVEN_AFTER && self.is_last_try(task),
-            None => self.standing(now, task) != Standing::Clear,
+            None => self.standing(now, task) != CrashSuspicion::Clear,
         };
         held.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
     }
 
     /// Starts a suspect on a runner that has reported, if one may be tried there.
-    pub(super) fn pick_suspect(&mut self, now: Now, key: LifeKey, chosen: &mut Chosen) {
+    pub(super) fn pick_suspect(&mut self, now: Now, key: IncarnationKey, chosen: &mut Chosen) {
         let Some(runner) = self.runners.get(&key) else { return };
         let trust = self.trust(now, runner);
         if !runner.takes_tasks() || matches!(trust, Trust::None | Trust::Probe) {
@@ -292,7 +303,7 @@
         else {
             return;
         };
-        let losses = self.jobs.losses().of(start.task).len();
+        let losses = self.state.losses().of(start.task).len();
         log::info!(
             "try task={} run={} runner={} losses={losses} beside={}",
             start.task,
@@ -301,8 +312,8 @@
             runner.running.len()
         );
         if let Some(step) = self.ready.step_of(start.task) {
-            chosen.free = less(chosen.free, step.committed);
-            chosen.neighbours.started(now.at, step, &self.loads, GroupKey::of(start.task));
+            chosen.free = saturating_sub(chosen.free, step.reserved);
+            chosen.neighbours.started(now.at, step, &self.loads, StepKey::of(start.task));
         }
         chosen.starts.push(start);
         self.counts.tried += 1;
@@ -320,17 +331,17 @@
         trust: Trust,
         task: TaskKey,
         chosen: &Chosen,
-    ) -> Option<Start> {
+    ) -> Option<RunStart> {
         let policy = &self.cfg.policy.suspects;
         let since = self.suspects.since.get(&task).copied().unwrap_or(now.at);
         let waited = now.at.since(since);
-        let must_be_empty = self.is_last_try(task) && waited < policy.last_try.span();
-        let may_be_shared = waited > policy.not_lasting.span()
-            || (waited > policy.empty.span() && runner.lasting_millicores == 0);
+        let must_be_empty = self.is_last_try(task) && waited < policy.last_try.to_duration();
+        let may_be_shared = waited > policy.not_lasting.to_duration()
+            || (waited > policy.empty.to_duration() && runner.lasting_millicores == 0);
         let little_to_lose = runner.running.is_empty() || (may_be_shared && !must_be_empty);
-        let group = GroupKey::of(task);
+        let group = StepKey::of(task);
         let info = self.ready.step(group.job, group.step)?;
-        if !little_to_lose || !chosen.free.holds(info.committed) {
+        if !little_to_lose || !chosen.free.covers(info.reserved) {
             return None;
         }
         let (job, step) = self.may_host(now, runner, group)?;
@@ -338,37 +349,39 @@
             return None;
         }
         let run = self.run_after(job, step, task, runner.key, trust)?;
-        Some(Start { task, run, life: runner.key })
+        Some(RunStart { task, run, incarnation: runner.key })
     }
 
     /// A runner whose runs were given up reports again: what it lost is no crash, once its
     /// reports have come for a lease's time. A single one may have been sent before a crash.
-    pub(super) fn revive(&mut self, now: Now, key: LifeKey) {
-        if !self.jobs.losses().has_unknown(key) {
+    pub(super) fn revive(&mut self, now: Now, key: IncarnationKey) {
+        if !self.state.losses().has_unknown(key) {
             return;
         }
         let since = *self.suspects.reporting.entry(key).or_insert(now.at);
-        if now.at.since(since) > lease_surely_ended_after(self.cfg.lease) {
+        if now.at.since(since) > lease_expiry_bound(self.cfg.lease) {
             log::info!("{key} reports again: its losses are no crash");
             // Asked for again only if this one is lost.
             self.suspects.reporting.insert(key, now.at);
-            self.propose(JobCommand::Alive(key), Then::Nothing);
+            self.propose(JobCommand::Alive(key), OnCommit::Nothing);
         }
     }
 
     /// That is in the log.
-    pub(super) fn revived(&mut self, key: LifeKey) {
+    pub(super) fn revived(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
     /// Says what became of tasks whose runners are now known to have crashed.
-    pub(super) fn log_fates(&self, now: Now, were_unknown: &BTreeSet<LifeKey>) {
+    pub(super) fn log_fates(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
         if were_unknown.is_empty() {
             return;
         }
-        let losses = self.jobs.losses();
+        let losses = self.state.losses();
         let still = losses.unknown();
-        let told = |loss: &Loss| were_unknown.contains(&loss.life) && !still.contains(&loss.life);
+        let told = |loss: &Loss| {
+            were_unknown.contains(&loss.incarnation) && !still.contains(&loss.incarnation)
+        };
         for (task, _) in losses.tasks().filter(|(_, own)| own.iter().any(told)) {
             self.log_standing(now, task);
         }
@@ -376,18 +389,18 @@
 
     /// Says what the loss of a runner means for a task.
     pub(super) fn log_standing(&self, now: Now, task: TaskKey) {
-        let losses = self.jobs.losses();
+        let losses = self.state.losses();
         let own = losses.of(task);
         if own.is_empty() {
             return;
         }
-        let crashed = own.iter().filter(|loss| loss.fate == Fate::Crashed).count();
-        let at_start = own.iter().filter(|loss| loss.seen == Seen::Ordered).count();
-        let verdict = match (self.jobs.lost_too_often(task), self.standing(now, task)) {
+        let crashed = own.iter().filter(|loss| loss.fate == RunnerFate::Crashed).count();
+        let at_start = own.iter().filter(|loss| loss.evidence == LossEvidence::Ordered).count();
+        let verdict = match (self.state.exceeds_loss_limit(task), self.standing(now, task)) {
             (true, _) => "given-up",
-            (false, Standing::Clear) => "clear",
-            (false, Standing::Suspect) => "suspected",
-            (false, Standing::HeldBack) => "held-back",
+            (false, CrashSuspicion::Clear) => "clear",
+            (false, CrashSuspicion::Suspect) => "suspected",
+            (false, CrashSuspicion::HeldBack) => "held-back",
         };
         log::info!(
             "task={task} {verdict} losses={} crashed={crashed} at-start={at_start}",
--- a/crates/coordination/src/jobs/swing.rs
+++ b/crates/coordination/src/jobs/swing.rs
@@ -78,7 +78,7 @@
 /// The margin that the tasks of one job would have with nothing beside them, as a
 /// function of time: a mean and a wave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Swing {
+pub struct MarginModel {
     /// Radians in a second.
     frequency: f64,
     /// Mean, cosine's and sine's part.
@@ -87,7 +87,7 @@
     at: Moment,
 }
 
-impl Swing {
+impl MarginModel {
     /// That of a job nothing is known of.
     pub fn new(now: Moment) -> Self {
         Self::with_period(PERIODS[PERIOD_FIRST], now)
@@ -115,8 +115,8 @@
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
-    /// use yuccalink_coordination::jobs::swing::Swing;
-    /// let swing = Swing::new(Moment::ZERO);
+    /// use yuccalink_coordination::jobs::swing::MarginModel;
+    /// let swing = MarginModel::new(Moment::ZERO);
     /// assert!(swing.margin_at(Moment::from_millis(700)) > 1.0);
     /// ```
     pub fn margin_at(&self, at: Moment) -> f64 {
@@ -126,7 +126,7 @@
     }
 
     /// The least expected margin from a moment on.
-    pub fn least(&self, from: Moment, span: Duration) -> f64 {
+    pub fn min_margin(&self, from: Moment, span: Duration) -> f64 {
         let steps = span.as_millis() / LOOK_STEP.as_millis();
         let steps = u32::try_from(steps).unwrap_or(0);
         let margins = (0..=steps).map(|step| self.margin_at(from + LOOK_STEP * step));
@@ -141,7 +141,7 @@
     }
 
     /// What a figure that comes in at `now` is expected to show, and its variance.
-    pub(super) fn expect(&mut self, now: Moment) -> Expected {
+    pub(super) fn predict(&mut self, now: Moment) -> Expected {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         for part in 0..3 {
@@ -194,9 +194,9 @@
 
 /// All serving jobs' loads, by a key for each job.
 #[derive(Debug)]
-pub struct Loads<K> {
+pub struct MarginForecasts<K> {
     policy: ForecastPolicy,
-    swings: HashMap<K, Swing>,
+    swings: HashMap<K, MarginModel>,
     period: usize,
     witnesses: Vec<Witness<K>>,
     judged: [Judged; PERIODS.len()],
@@ -213,12 +213,12 @@
 #[derive(Debug)]
 struct Witness<K> {
     job: K,
-    current: [Swing; PERIODS.len()],
-    former: Option<[Swing; PERIODS.len()]>,
+    current: [MarginModel; PERIODS.len()],
+    former: Option<[MarginModel; PERIODS.len()]>,
     looked: Moment,
 }
 
-impl<K> Default for Loads<K> {
+impl<K> Default for MarginForecasts<K> {
     fn default() -> Self {
         Self {
             policy: ForecastPolicy::default(),
@@ -230,7 +230,7 @@
     }
 }
 
-impl<K> Loads<K>
+impl<K> MarginForecasts<K>
 where
     K: Copy + Eq + Hash,
 {
@@ -241,16 +241,16 @@
 
     /// The least margin of a job until an order has its effect, if anything is known.
     pub(super) fn soon(&self, job: K, now: Moment) -> Option<f64> {
-        self.get(job).map(|load| load.least(now, self.policy.effect.span()))
+        self.get(job).map(|load| load.min_margin(now, self.policy.effect.to_duration()))
     }
 
     /// The least margin of a job while a task that starts now runs, if anything is known.
     pub(super) fn ahead(&self, job: K, now: Moment) -> Option<f64> {
-        self.get(job).map(|load| load.least(now, self.policy.ahead.span()))
+        self.get(job).map(|load| load.min_margin(now, self.policy.ahead.to_duration()))
     }
 
     /// What is known of a job's load, if anything.
-    pub fn get(&self, job: K) -> Option<&Swing> {
+    pub fn get(&self, job: K) -> Option<&MarginModel> {
         self.swings.get(&job)
     }
 
@@ -258,18 +258,18 @@
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
-    /// use yuccalink_coordination::jobs::swing::{Loads, OwnFigure};
-    /// let mut loads = Loads::default();
+    /// use yuccalink_coordination::jobs::swing::{MarginForecasts, OwnFigure};
+    /// let mut loads = MarginForecasts::default();
     /// let before = loads.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
     /// assert!(!loads.judge("watch", OwnFigure { margin: 2.0, noise: 0.1 }, Moment::ZERO));
     /// assert!(before > 1.0 && loads.period_s() > 0.0);
     /// ```
-    pub fn entry(&mut self, job: K, now: Moment) -> &mut Swing {
+    pub fn entry(&mut self, job: K, now: Moment) -> &mut MarginModel {
         let period = PERIODS[self.period];
         let mode = self.policy.mode;
         self.swings.entry(job).or_insert_with(|| match mode {
-            Switch::On => Swing::with_period(period, now),
-            Switch::Off => Swing::steady(now),
+            Switch::On => MarginModel::with_period(period, now),
+            Switch::Off => MarginModel::steady(now),
         })
     }
 
@@ -300,7 +300,7 @@
             }
         }
         for swing in &mut witness.current {
-            let expected = swing.expect(now);
+            let expected = swing.predict(now);
             let total = expected.variance + figure.noise;
             swing.correct(&expected, figure.margin - expected.margin, total);
         }
@@ -315,7 +315,7 @@
     fn witness(&mut self, job: K, now: Moment) -> Option<usize> {
         let known = self.witnesses.iter().position(|witness| witness.job == job);
         if known.is_none() && self.witnesses.len() < WITNESSES {
-            let current = PERIODS.map(|period| Swing::with_period(period, now));
+            let current = PERIODS.map(|period| MarginModel::with_period(period, now));
             self.witnesses.push(Witness { job, current, former: None, looked: now });
             return Some(self.witnesses.len() - 1);
         }
@@ -333,7 +333,7 @@
         self.period = best;
         for swing in self.swings.values_mut() {
             let mean = swing.parts[0];
-            *swing = Swing::with_period(PERIODS[best], now);
+            *swing = MarginModel::with_period(PERIODS[best], now);
             swing.parts[0] = mean;
         }
         for witness in &self.witnesses {
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -1,13 +1,13 @@
 //! Upkeep waves: machines go down for upkeep a few at a time, emptied first so that
 //! no long-running step loses more tasks than its document allows.
 
-use super::ask::Answer;
-use super::leader::{Leader, Now, Then, Token};
-use super::outside::{Call, CallId, Machine, MachineState, Told};
+use super::ask::CellResponse;
+use super::leader::{Leader, Now, OnCommit, RequestToken};
+use super::outside::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use yuccalink_state::jobs::{JobCommand, LifeKey, TaskKey, Wave};
+use yuccalink_state::jobs::{IncarnationKey, JobCommand, TaskKey, Wave};
 
 /// How often the list of machines is read while a wave is under way: the platform
 /// bounds the readings of all nodes together.
@@ -25,7 +25,7 @@
     wave: u64,
     since: Moment,
     not_before: Moment,
-    ordered: Option<(CallId, Moment)>,
+    ordered: Option<(ExternalCallId, Moment)>,
 }
 
 /// What the leader knows of machines and waves beside the replicated state.
@@ -33,7 +33,7 @@
 pub(super) struct Waves {
     machines: BTreeMap<Box<str>, Machine>,
     page: Vec<Machine>,
-    reading: Option<(CallId, Moment)>,
+    reading: Option<(ExternalCallId, Moment)>,
     read: Option<Moment>,
     emptying: BTreeMap<Box<str>, Emptying>,
 }
@@ -45,20 +45,20 @@
 }
 
 impl Leader {
-    pub(super) fn wave_start(&mut self, token: Token, wave: Wave) -> Option<Answer> {
+    pub(super) fn wave_start(&mut self, token: RequestToken, wave: Wave) -> Option<CellResponse> {
         // The same order again is acknowledged again.
-        if self.jobs.wave(wave.id).is_some() {
-            return Some(Answer::Ok);
+        if self.state.wave(wave.id).is_some() {
+            return Some(CellResponse::Ok);
         }
         log::info!("wave={} machines={} at-once={}", wave.id, wave.machines.len(), wave.at_once);
-        self.propose(JobCommand::Wave(wave), Then::Acknowledged(token));
+        self.propose(JobCommand::Wave(wave), OnCommit::Acknowledged(token));
         None
     }
 
     /// Does what is due for waves.
     pub(super) fn keep_waves(&mut self, now: Now) {
         let open: Vec<u64> =
-            self.jobs.waves().filter(|w| !w.is_done()).map(|w| w.wave.id).collect();
+            self.state.waves().filter(|w| !w.is_done()).map(|w| w.wave.id).collect();
         if open.is_empty() {
             return;
         }
@@ -77,14 +77,14 @@
             return;
         }
         self.waves.page.clear();
-        let call = self.call(Call::Machines { page: None });
+        let call = self.call(ExternalCall::Machines { page: None });
         self.waves.reading = Some((call, now.at));
     }
 
     /// A machine that began its upkeep and is up again is done.
     fn note_returns(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
-        for wave in self.jobs.waves() {
+        for wave in self.state.waves() {
             for machine in wave.away() {
                 let found = self.waves.machines.get(machine);
                 let back = found.is_some_and(|m| m.state == MachineState::Up)
@@ -98,13 +98,13 @@
         }
         for (wave, machine) in done {
             if self.noting.insert((wave, machine.clone())) {
-                self.propose(JobCommand::UpkeepDone { wave, machine }, Then::Nothing);
+                self.propose(JobCommand::UpkeepDone { wave, machine }, OnCommit::Nothing);
             }
         }
     }
 
     fn choose_machines(&mut self, now: Now, id: u64) {
-        let Some(wave) = self.jobs.wave(id) else { return };
+        let Some(wave) = self.state.wave(id) else { return };
         let away = wave.away().count();
         let emptying = self.waves.emptying.values().filter(|e| e.wave == id).count();
         let mut room = (wave.wave.at_once as usize).saturating_sub(away + emptying);
@@ -132,13 +132,14 @@
     fn empty_machines(&mut self, now: Now) {
         let machines: Vec<Box<str>> = self.waves.emptying.keys().cloned().collect();
         for machine in machines {
-            let life = self.waves.runner_of(&machine).and_then(|id| self.lives.newest(id));
-            let empty = life.is_none_or(|life| self.empty_runner(life));
+            let incarnation =
+                self.waves.runner_of(&machine).and_then(|id| self.incarnations.newest(id));
+            let empty = incarnation.is_none_or(|incarnation| self.empty_runner(incarnation));
             let Some(emptying) = self.waves.emptying.get_mut(&machine) else { continue };
             let late = now.at.since(emptying.since) > EMPTY_MAX;
-            let lasting = life.is_some_and(|life| {
-                self.jobs
-                    .held(life)
+            let lasting = incarnation.is_some_and(|incarnation| {
+                self.state
+                    .assigned_runs(incarnation)
                     .any(|(task, _)| self.ready.step_of(task).is_some_and(|step| step.long_running))
             });
             let waits = emptying.ordered.is_some_and(|(_, at)| now.at.since(at) < ANSWER_MAX);
@@ -147,7 +148,8 @@
             }
             let wave = emptying.wave;
             let holder = self.cfg_name.clone();
-            let call = Call::Upkeep { machine: machine.clone(), wave, holder, token: self.term };
+            let call =
+                ExternalCall::Upkeep { machine: machine.clone(), wave, holder, token: self.term };
             let call = self.call(call);
             if let Some(emptying) = self.waves.emptying.get_mut(&machine) {
                 emptying.ordered = Some((call, now.at));
@@ -157,15 +159,16 @@
 
     /// Stops long-running tasks on a runner as far as their budgets allow; true when
     /// nothing runs there any more.
-    fn empty_runner(&mut self, life: LifeKey) -> bool {
-        let tasks: Vec<TaskKey> = self.jobs.held(life).map(|(task, _)| task).collect();
+    fn empty_runner(&mut self, incarnation: IncarnationKey) -> bool {
+        let tasks: Vec<TaskKey> =
+            self.state.assigned_runs(incarnation).map(|(task, _)| task).collect();
         let mut stopping = BTreeSet::new();
         for task in &tasks {
             if self.may_disrupt(*task, &stopping) {
                 stopping.insert(*task);
             }
         }
-        let Some(runner) = self.runners.get_mut(&life) else { return tasks.is_empty() };
+        let Some(runner) = self.runners.get_mut(&incarnation) else { return tasks.is_empty() };
         runner.closing = true;
         for task in stopping {
             if let Some(view) = runner.running.get_mut(&task) {
@@ -178,7 +181,7 @@
     /// Whether the system may take a long-running task away now: fewer of its step are
     /// away than its document allows.
     pub(super) fn may_disrupt(&self, task: TaskKey, also: &BTreeSet<TaskKey>) -> bool {
-        let Some(step) = self.jobs.step_spec(task) else { return false };
+        let Some(step) = self.state.step_spec(task) else { return false };
         if !step.long_running {
             return false;
         }
@@ -191,15 +194,18 @@
     }
 
     fn is_at_work(&self, task: TaskKey) -> bool {
-        let holds = self.jobs.task(task).map(|state| state.holds.as_slice()).unwrap_or_default();
-        holds.iter().any(|hold| {
-            let view = self.runners.get(&hold.life).and_then(|r| r.running.get(&task));
-            view.is_some_and(|view| view.run == hold.run && view.percent >= 100 && !view.stopping)
+        let assignments =
+            self.state.task(task).map(|state| state.assignments.as_slice()).unwrap_or_default();
+        assignments.iter().any(|assignment| {
+            let view = self.runners.get(&assignment.incarnation).and_then(|r| r.running.get(&task));
+            view.is_some_and(|view| {
+                view.run == assignment.run && view.percent >= 100 && !view.stopping
+            })
         })
     }
 
     /// Takes an answer of the platform in.
-    pub(super) fn machines_told(&mut self, now: Now, call: CallId, told: Told) {
+    pub(super) fn machines_told(&mut self, now: Now, call: ExternalCallId, told: ExternalReply) {
         if self.waves.reading.is_some_and(|(reading, _)| reading == call) {
             return self.list_told(now, told);
         }
@@ -207,26 +213,26 @@
         let found = self.waves.emptying.iter().find(|(_, emptying)| ordered(emptying));
         let Some((machine, wave)) = found.map(|(name, e)| (name.clone(), e.wave)) else { return };
         log::info!("wave={wave} machine={machine} upkeep ordered: {told:?}");
-        if told == Told::Done {
+        if told == ExternalReply::Done {
             self.waves.emptying.remove(&machine);
             let runner = self.waves.runner_of(&machine).map(Box::from);
-            self.propose(JobCommand::UpkeepBegun { wave, machine, runner }, Then::Nothing);
+            self.propose(JobCommand::UpkeepBegun { wave, machine, runner }, OnCommit::Nothing);
         } else if let Some(emptying) = self.waves.emptying.get_mut(&machine) {
             emptying.ordered = None;
             emptying.not_before = now.at + AGAIN_AFTER;
         }
     }
 
-    fn list_told(&mut self, now: Now, told: Told) {
+    fn list_told(&mut self, now: Now, told: ExternalReply) {
         self.waves.reading = None;
         self.waves.read = self.waves.read.or(Some(now.at));
-        let Told::Machines { machines, next } = told else {
+        let ExternalReply::Machines { machines, next } = told else {
             self.waves.read = Some(now.at);
             return;
         };
         self.waves.page.extend(machines);
         if let Some(page) = next {
-            let call = self.call(Call::Machines { page: Some(page) });
+            let call = self.call(ExternalCall::Machines { page: Some(page) });
             self.waves.reading = Some((call, now.at));
             return;
         }
--- a/crates/coordination/src/moment.rs
+++ b/crates/coordination/src/moment.rs
@@ -79,11 +79,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use yuccalink_coordination::moment::surely_ended_after;
-/// assert_eq!(surely_ended_after(Duration::from_secs(1)), Duration::from_millis(1020));
+/// use yuccalink_coordination::moment::lease_span_with_drift;
+/// assert_eq!(lease_span_with_drift(Duration::from_secs(1)), Duration::from_millis(1020));
 /// ```
 #[must_use]
-pub fn surely_ended_after(span: Duration) -> Duration {
+pub fn lease_span_with_drift(span: Duration) -> Duration {
     // Both clocks may be off, in opposite directions.
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX / 2);
     span + Duration::from_micros(
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -7,7 +7,7 @@
 use yuccalink_state::id::{Name, ServiceKey, TaskId, WorkerKey};
 use yuccalink_state::task::Task;
 use yuccalink_state::worker::WorkerPhase;
-use yuccalink_state::{Machine, Resources};
+use yuccalink_state::{Resources, StateMachine};
 
 /// Most placements in one plan, so that one commit stays small.
 pub const PLAN_MAX: usize = 4096;
@@ -67,12 +67,12 @@
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{possible, Impossible};
-/// # use yuccalink_state::{Machine, Resources};
-/// assert_eq!(possible(&Machine::new(), Resources::ZERO), Err(Impossible::NoWorker));
+/// # use yuccalink_state::{StateMachine, Resources};
+/// assert_eq!(possible(&StateMachine::new(), Resources::ZERO), Err(Impossible::NoWorker));
 /// ```
-pub fn possible(machine: &Machine, need: Resources) -> Result<(), Impossible> {
+pub fn possible(machine: &StateMachine, need: Resources) -> Result<(), Impossible> {
     let known = || machine.workers().filter(|(_, w)| w.phase != WorkerPhase::Gone);
-    if known().any(|(_, worker)| worker.spec.capacity.holds(need)) {
+    if known().any(|(_, worker)| worker.spec.capacity.covers(need)) {
         return Ok(());
     }
     if known().next().is_none() {
@@ -103,9 +103,9 @@
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{plan, Plan};
-/// assert_eq!(plan(&yuccalink_state::Machine::new()), Plan::default());
+/// assert_eq!(plan(&yuccalink_state::StateMachine::new()), Plan::default());
 /// ```
-pub fn plan(machine: &Machine) -> Plan {
+pub fn plan(machine: &StateMachine) -> Plan {
     let mut planner = Planner::new(machine);
     let mut plan = Plan::default();
     for task in machine.waiting() {
@@ -121,14 +121,14 @@
 }
 
 struct Planner<'a> {
-    machine: &'a Machine,
+    machine: &'a StateMachine,
     rooms: Vec<Room>,
     full_for: HashSet<Resources>,
     neighbours: Option<Neighbours>,
 }
 
 impl<'a> Planner<'a> {
-    fn new(machine: &'a Machine) -> Self {
+    fn new(machine: &'a StateMachine) -> Self {
         let live = machine.workers().filter(|(_, w)| w.phase == WorkerPhase::Live);
         let rooms = live.map(|(key, worker)| Room {
             key,
@@ -192,10 +192,10 @@
     }
 }
 
-fn count_neighbours(machine: &Machine) -> Neighbours {
+fn count_neighbours(machine: &StateMachine) -> Neighbours {
     let mut all = Neighbours::new();
     for (key, worker) in machine.workers() {
-        for task in machine.held_by(key) {
+        for task in machine.tasks_on_worker(key) {
             let place = match machine.kind_of(task).map(|kind| kind.spread) {
                 Some(Spread::Racks) => &worker.spec.rack,
                 Some(Spread::Zones) => &worker.spec.zone,
--- a/crates/coordination/src/pressure.rs
+++ b/crates/coordination/src/pressure.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 use std::time::Duration;
-use yuccalink_state::Machine;
+use yuccalink_state::StateMachine;
 use yuccalink_state::document::TaskClass;
 use yuccalink_state::id::{Epoch, TaskId, WorkerKey};
 use yuccalink_state::task::{Task, TaskPhase};
@@ -17,9 +17,9 @@
 /// Share below which it is not any more; the gap keeps it from going to and fro.
 pub const EASED_BELOW: u64 = 700;
 /// What a throttled task gets of its processors, in thousandths.
-pub const SHARE: u32 = 500;
+pub const THROTTLED_SHARE_PERMILLE: u32 = 500;
 /// How long a throttle lasts unless renewed.
-pub const LASTS: Duration = Duration::from_secs(5);
+pub const THROTTLE_DURATION: Duration = Duration::from_secs(5);
 
 /// A task to be throttled now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// How a worker's state changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum PressureChange {
     /// It came under pressure.
     Pressed,
     /// The pressure is over.
@@ -51,25 +51,25 @@
     ///
     /// ```
     /// # use yuccalink_coordination::pressure::Pressure;
-    /// # use yuccalink_state::{Machine, id::WorkerKey};
-    /// let (throttles, turn) = Pressure::default().note(&Machine::new(), WorkerKey(0), 900);
+    /// # use yuccalink_state::{StateMachine, id::WorkerKey};
+    /// let (throttles, turn) = Pressure::default().note(&StateMachine::new(), WorkerKey(0), 900);
     /// assert!(throttles.is_empty() && turn.is_none());
     /// ```
     pub fn note(
         &mut self,
-        machine: &Machine,
+        machine: &StateMachine,
         worker: WorkerKey,
         used_millicores: u64,
-    ) -> (Vec<Throttle>, Option<Turn>) {
+    ) -> (Vec<Throttle>, Option<PressureChange>) {
         let critical = machine
-            .held_by(worker)
+            .tasks_on_worker(worker)
             .any(|task| machine.class_of(task) == TaskClass::LatencyCritical);
         let was = self.pressed.contains(&worker);
         let from = if was { EASED_BELOW } else { PRESSED_FROM };
         let is = critical && used_share(machine, worker, used_millicores) >= from;
         let turn = match (was, is) {
-            (false, true) => Some(Turn::Pressed),
-            (true, false) => Some(Turn::Eased),
+            (false, true) => Some(PressureChange::Pressed),
+            (true, false) => Some(PressureChange::Eased),
             _ => None,
         };
         if !is {
@@ -77,19 +77,19 @@
             return (Vec::new(), turn);
         }
         self.pressed.insert(worker);
-        let throttles = machine.held_by(worker).filter(|task| may_throttle(machine, task));
+        let throttles = machine.tasks_on_worker(worker).filter(|task| may_throttle(machine, task));
         (throttles.map(|task| Throttle { task: task.id, epoch: task.epoch }).collect(), turn)
     }
 }
 
 /// In thousandths of what the worker has.
-fn used_share(machine: &Machine, worker: WorkerKey, used_millicores: u64) -> u64 {
+fn used_share(machine: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
     let all = machine.worker_at(worker).spec.capacity.millicores;
     used_millicores.saturating_mul(1000) / all.max(1)
 }
 
-fn may_throttle(machine: &Machine, task: &Task) -> bool {
-    machine.document_of(task).gives_up.throttle
+fn may_throttle(machine: &StateMachine, task: &Task) -> bool {
+    machine.document_of(task).disruption_tolerance.throttle
         && !task.urgent
         && matches!(task.phase, TaskPhase::Running(_))
         && machine.class_of(task) == TaskClass::Batch
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -14,7 +14,7 @@
 mod message;
 mod progress;
 
-pub use log::{Entry, Payload};
+pub use log::{LogEntry, Payload};
 pub use message::{Envelope, Message};
 
 use crate::moment::{DRIFT_PPM, Moment};
@@ -33,7 +33,7 @@
 /// Longest silence before a follower asks to be elected.
 pub const ELECTION_MAX: Duration = Duration::from_millis(800);
 /// How often a leader is heard without news.
-pub const HEARTBEAT: Duration = Duration::from_millis(100);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// Silence after which sending to a follower is begun anew.
 pub const RESEND: Duration = Duration::from_millis(300);
 /// Most entries in one message.
@@ -47,7 +47,7 @@
 /// Largest snapshot that is taken in.
 pub const SNAPSHOT_MAX: usize = 1024 * 1024 * 1024;
 /// Entries kept behind the snapshot for followers that are a little behind.
-pub const KEPT_BEHIND: u64 = 4_096;
+pub const RETAINED_LOG_ENTRIES: u64 = 4_096;
 /// A learner may vote once it is at most this many entries behind.
 pub const CAUGHT_UP: u64 = 64;
 
@@ -134,7 +134,7 @@
 
 /// What to write, in this order, with one sync.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Persist {
+pub struct LogWrite {
     /// Confirmed by [`Raft::persisted`].
     pub seq: u64,
     /// Replaces the one before.
@@ -142,18 +142,18 @@
     /// Index of the first of `entries`; what is there from it on is replaced.
     pub first: u64,
     /// Possibly none.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 /// What to do after an event.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
     /// Write these, one after the other.
-    pub persist: Vec<Persist>,
+    pub persist: Vec<LogWrite>,
     /// Send each once the write with its number is confirmed.
     pub messages: Vec<(u64, Envelope)>,
     /// Apply these, in order.
-    pub committed: Vec<(u64, Entry)>,
+    pub committed: Vec<(u64, LogEntry)>,
     /// Followers that need a snapshot: answer with [`Raft::offer_snapshot`].
     pub need_snapshot: Vec<ReplicaId>,
     /// Put this snapshot in place of the state and the log, then call
@@ -229,7 +229,7 @@
     /// Of the snapshot that the state was read from.
     pub snapshot: SnapshotMeta,
     /// The entries after it.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<LogEntry>,
 }
 
 impl Raft {
@@ -240,7 +240,7 @@
     /// use yuccalink_state::id::Name;
     /// let mut raft = Raft::new(ReplicaId(1), Restored::default(), 7, Moment::ZERO);
     /// let member = Member { id: ReplicaId(1), name: Name::new("e1")?, address: "".into() };
-    /// raft.found(Members { voters: vec![member], learners: vec![] }, Moment::ZERO);
+    /// raft.bootstrap(Members { voters: vec![member], learners: vec![] }, Moment::ZERO);
     /// while raft.role() != Role::Leader {
     ///     for write in raft.take().persist { raft.persisted(write.seq, Moment::ZERO); }
     /// }
@@ -293,7 +293,7 @@
 
     /// Founds a new system with these members. Only for a replica that has
     /// nothing, after every other one has said that it has nothing either.
-    pub fn found(&mut self, members: Members, now: Moment) {
+    pub fn bootstrap(&mut self, members: Members, now: Moment) {
         if self.log.last() > 0 || self.hard.term > 0 {
             return;
         }
@@ -355,14 +355,14 @@
 
     /// Whether this replica leads and has applied everything that earlier
     /// leaders committed.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader && self.commit >= self.led_since
     }
 
     /// Whether no other replica can have been elected yet: a quorum was heard so
     /// lately that it still refuses to vote. Only then may leases be granted.
     pub fn has_lease(&self, now: Moment) -> bool {
-        if !self.is_settled() || self.handing_over {
+        if !self.has_committed_in_term() || self.handing_over {
             return false;
         }
         let micros = u64::try_from(ELECTION_MIN.as_micros()).unwrap_or(0);
@@ -419,7 +419,7 @@
         }
         let mut stalled = Vec::new();
         for (id, progress) in &mut self.progress {
-            if now.since(progress.heard) > RESEND && now.since(progress.retried) > RESEND {
+            if now.since(progress.last_heard) > RESEND && now.since(progress.retried) > RESEND {
                 progress.start_anew(now);
             } else if now.since(progress.moved) > RESEND && progress.sends_chunks() {
                 progress.moved = now;
@@ -430,7 +430,7 @@
             self.send_chunk(now, id, offset);
         }
         if now >= self.heartbeat_at {
-            self.heartbeat_at = now + HEARTBEAT;
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.send_all(now, true);
         }
     }
--- a/crates/coordination/src/raft/election.rs
+++ b/crates/coordination/src/raft/election.rs
@@ -59,7 +59,7 @@
         self.elected_at = now;
         self.handing_over = false;
         self.progress.clear();
-        self.heartbeat_at = now + HEARTBEAT;
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         // An entry of its own term commits all earlier ones with it; entries of
         // earlier terms must not be counted on their own (Raft, figure 8).
         self.append(vec![Payload::Empty]);
--- a/crates/coordination/src/raft/follower.rs
+++ b/crates/coordination/src/raft/follower.rs
@@ -7,7 +7,7 @@
         &mut self,
         from: ReplicaId,
         (prev, prev_term): (u64, u64),
-        entries: &[Entry],
+        entries: &[LogEntry],
         commit: u64,
         sent: Moment,
     ) {
@@ -43,7 +43,7 @@
         self.send(from, message);
     }
 
-    pub(super) fn replace(&mut self, first: u64, entries: Vec<Entry>) {
+    pub(super) fn replace(&mut self, first: u64, entries: Vec<LogEntry>) {
         debug_assert!(first > self.commit, "a committed entry would be replaced");
         self.log.truncate(first);
         self.stable = self.stable.min(first - 1);
@@ -59,10 +59,10 @@
         self.write(first, entries);
     }
 
-    pub(super) fn push(&mut self, entry: Entry) {
+    pub(super) fn push(&mut self, entry: LogEntry) {
         self.log.push(entry);
         let index = self.log.last();
-        if let Some(Entry { payload: Payload::Members(members), .. }) = self.log.get(index) {
+        if let Some(LogEntry { payload: Payload::Members(members), .. }) = self.log.get(index) {
             self.members = members.clone();
             self.members_index = index;
         }
@@ -73,7 +73,7 @@
         self.members = self.log.base_members().clone();
         self.members_index = self.log.base();
         for index in self.log.base() + 1..=self.log.last() {
-            if let Some(Entry { payload: Payload::Members(members), .. }) = self.log.get(index) {
+            if let Some(LogEntry { payload: Payload::Members(members), .. }) = self.log.get(index) {
                 self.members = members.clone();
                 self.members_index = index;
             }
--- a/crates/coordination/src/raft/leader.rs
+++ b/crates/coordination/src/raft/leader.rs
@@ -8,7 +8,7 @@
     /// # Errors
     /// [`NotProposed::NotLeader`].
     pub fn propose(&mut self, now: Moment, commands: Vec<Arc<[u8]>>) -> Result<u64, NotProposed> {
-        if !self.is_settled() {
+        if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
         }
         let first = self.log.last() + 1;
@@ -22,7 +22,7 @@
     /// # Errors
     /// [`NotProposed::Busy`] while an earlier change is not committed.
     pub fn change_members(&mut self, now: Moment, members: Members) -> Result<(), NotProposed> {
-        if !self.is_settled() {
+        if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
         }
         // Two changes at once could give two disjoint quorums.
@@ -40,15 +40,15 @@
     /// others need not wait until they miss this leader. False when none can.
     /// From then on it grants nothing until it is elected again: the election it
     /// asked for, which may come late, does not wait for leases.
-    pub fn hand_over(&mut self) -> bool {
-        if !self.is_settled() {
+    pub fn transfer_leadership(&mut self) -> bool {
+        if !self.has_committed_in_term() {
             return false;
         }
         let last = self.log.last();
         let ready = |(id, progress): &(&ReplicaId, &Progress)| {
             progress.matched == last && self.members.is_voter(**id)
         };
-        let best = self.progress.iter().filter(ready).max_by_key(|(_, p)| p.heard);
+        let best = self.progress.iter().filter(ready).max_by_key(|(_, p)| p.last_heard);
         let Some((to, _)) = best else { return false };
         let to = *to;
         self.handing_over = true;
@@ -62,25 +62,25 @@
     }
 
     /// When a member was last heard by this leader.
-    pub fn heard(&self, id: ReplicaId) -> Option<Moment> {
-        self.progress.get(&id).map(|progress| progress.heard)
+    pub fn last_heard(&self, id: ReplicaId) -> Option<Moment> {
+        self.progress.get(&id).map(|progress| progress.last_heard)
     }
 
     pub(super) fn append(&mut self, payloads: Vec<Payload>) {
         let first = self.log.last() + 1;
         let term = self.hard.term;
-        let entries: Vec<Entry> =
-            payloads.into_iter().map(|payload| Entry { term, payload }).collect();
+        let entries: Vec<LogEntry> =
+            payloads.into_iter().map(|payload| LogEntry { term, payload }).collect();
         for entry in &entries {
             self.push(entry.clone());
         }
         self.write(first, entries);
     }
 
-    pub(super) fn write(&mut self, first: u64, entries: Vec<Entry>) {
+    pub(super) fn write(&mut self, first: u64, entries: Vec<LogEntry>) {
         self.seq += 1;
         self.writing.push_back((self.seq, self.log.last()));
-        self.out.persist.push(Persist { seq: self.seq, hard: self.hard, first, entries });
+        self.out.persist.push(LogWrite { seq: self.seq, hard: self.hard, first, entries });
     }
 
     /// The disk has confirmed all writes up to `seq`.
--- a/crates/coordination/src/raft/log.rs
+++ b/crates/coordination/src/raft/log.rs
@@ -19,14 +19,14 @@
 
 /// An entry with the term of the leader that made it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct LogEntry {
     /// The leader's term.
     pub term: u64,
     /// What it carries.
     pub payload: Payload,
 }
 
-impl Entry {
+impl LogEntry {
     /// About how many bytes it takes.
     pub(super) fn size(&self) -> usize {
         const OVERHEAD: usize = 32;
@@ -43,11 +43,11 @@
     base: u64,
     base_term: u64,
     base_members: Members,
-    entries: VecDeque<Entry>,
+    entries: VecDeque<LogEntry>,
 }
 
 impl MemoryLog {
-    pub(super) fn new(base: u64, base_term: u64, entries: Vec<Entry>) -> Self {
+    pub(super) fn new(base: u64, base_term: u64, entries: Vec<LogEntry>) -> Self {
         Self { base, base_term, base_members: Members::default(), entries: entries.into() }
     }
 
@@ -77,7 +77,7 @@
         usize::try_from(offset).ok().filter(|at| *at < self.entries.len())
     }
 
-    pub(super) fn get(&self, index: u64) -> Option<&Entry> {
+    pub(super) fn get(&self, index: u64) -> Option<&LogEntry> {
         self.entries.get(self.offset(index)?)
     }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn push(&mut self, entry: Entry) {
+    pub(super) fn push(&mut self, entry: LogEntry) {
         self.entries.push_back(entry);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Entries from `first` on that fit into one message.
-    pub(super) fn slice(&self, first: u64) -> Vec<Entry> {
+    pub(super) fn slice(&self, first: u64) -> Vec<LogEntry> {
         let Some(start) = self.offset(first) else { return Vec::new() };
         let mut bytes = 0;
         let mut slice = Vec::new();
@@ -130,7 +130,7 @@
     pub(super) fn members_at(&self, index: u64) -> Members {
         let mut members = &self.base_members;
         for at in self.base + 1..=index.min(self.last()) {
-            if let Some(Entry { payload: Payload::Members(found), .. }) = self.get(at) {
+            if let Some(LogEntry { payload: Payload::Members(found), .. }) = self.get(at) {
                 members = found;
             }
         }
--- a/crates/coordination/src/raft/message.rs
+++ b/crates/coordination/src/raft/message.rs
@@ -1,6 +1,6 @@
 //! What replicas say to each other.
 
-use super::{Entry, ReplicaId, SnapshotMeta};
+use super::{LogEntry, ReplicaId, SnapshotMeta};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 
@@ -66,7 +66,7 @@
         /// Term of that entry.
         prev_term: u64,
         /// Entries.
-        entries: Vec<Entry>,
+        entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: u64,
         /// When it was sent.
@@ -116,7 +116,9 @@
     pub fn size(&self) -> usize {
         const SMALL: usize = 64;
         match self {
-            Self::Append { entries, .. } => SMALL + entries.iter().map(Entry::size).sum::<usize>(),
+            Self::Append { entries, .. } => {
+                SMALL + entries.iter().map(LogEntry::size).sum::<usize>()
+            }
             Self::Chunk { data, .. } => SMALL + data.len(),
             _ => SMALL,
         }
--- a/crates/coordination/src/raft/progress.rs
+++ b/crates/coordination/src/raft/progress.rs
@@ -18,7 +18,7 @@
     /// Messages with entries that are not answered.
     pub(super) in_flight: usize,
     /// When it was last heard.
-    pub(super) heard: Moment,
+    pub(super) last_heard: Moment,
     /// When the last message that it answered was sent.
     pub(super) echoed: Moment,
     /// When sending was last begun anew.
@@ -37,7 +37,7 @@
             matched: 0,
             sending: Sending::Entries,
             in_flight: 0,
-            heard: now,
+            last_heard: now,
             echoed: Moment::ZERO,
             retried: now,
             offset: 0,
@@ -56,7 +56,7 @@
     }
 
     pub(super) fn hear(&mut self, now: Moment, echo: Moment) {
-        self.heard = now;
+        self.last_heard = now;
         self.echoed = self.echoed.max(echo);
     }
 
--- a/crates/coordination/src/raft/snapshots.rs
+++ b/crates/coordination/src/raft/snapshots.rs
@@ -26,7 +26,7 @@
     }
 
     /// Forgets entries that a durable snapshot of `index` contains, but the last
-    /// `keep`, for followers that are a little behind; see [`KEPT_BEHIND`].
+    /// `keep`, for followers that are a little behind; see [`RETAINED_LOG_ENTRIES`].
     pub fn compact(&mut self, index: u64, keep: u64) {
         let base = index.min(self.handed_out).saturating_sub(keep);
         self.log.compact(base);
--- a/crates/coordination/src/roster.rs
+++ b/crates/coordination/src/roster.rs
@@ -29,12 +29,13 @@
     /// Its disk, where it has one.
     pub replica: Option<ReplicaId>,
     /// It has a disk with nothing on it and may found a new cell.
-    pub may_found: bool,
+    #[serde(rename = "may_found")]
+    pub may_bootstrap: bool,
 }
 
 /// Who leads, as far as the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct LeaderInfo {
     /// Its term.
     pub term: u64,
     /// Where other processes of the cell reach it.
@@ -58,28 +59,28 @@
 /// ```
 /// use yuccalink_coordination::Moment;
 /// use yuccalink_coordination::raft::ReplicaId;
-/// use yuccalink_coordination::roster::{NodeInfo, Roster};
+/// use yuccalink_coordination::roster::{NodeInfo, PeerTable};
 /// let me = NodeInfo {
 ///     name: "e1".into(),
 ///     zone: "brno".into(),
 ///     peer: "10.0.0.1:8082".parse().unwrap(),
 ///     control: None,
 ///     replica: Some(ReplicaId(7)),
-///     may_found: true,
+///     may_bootstrap: true,
 /// };
-/// let alone = Roster::new(me.clone(), vec![me.peer], true);
-/// assert!(alone.should_found(true), "the first seed, with an empty disk");
-/// assert!(!alone.should_found(false), "its disk holds a cell already");
+/// let alone = PeerTable::new(me.clone(), vec![me.peer], true);
+/// assert!(alone.should_bootstrap(true), "the first seed, with an empty disk");
+/// assert!(!alone.should_bootstrap(false), "its disk holds a cell already");
 /// ```
 #[derive(Debug)]
-pub struct Roster {
+pub struct PeerTable {
     /// This process.
     pub me: NodeInfo,
     /// Processes to ask first, in an order that all share at the first start.
     pub seeds: Vec<SocketAddr>,
     bootstrap: bool,
     known: BTreeMap<SocketAddr, Known>,
-    lead: Option<(Lead, Moment)>,
+    lead: Option<(LeaderInfo, Moment)>,
     /// Whom this process, being the first seed and without a disk, lets found.
     designated: Option<ReplicaId>,
     /// What the first seed said to that.
@@ -88,7 +89,7 @@
     founded: bool,
 }
 
-impl Roster {
+impl PeerTable {
     /// One that knows its seeds only; `bootstrap` at the very first start of a cell.
     pub fn new(me: NodeInfo, seeds: Vec<SocketAddr>, bootstrap: bool) -> Self {
         let known = BTreeMap::new();
@@ -105,19 +106,23 @@
     }
 
     /// Another process says who it is.
-    pub fn heard(&mut self, info: NodeInfo, now: Moment) {
+    pub fn record_peer(&mut self, info: NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
         }
         let first_seed = self.seeds.first() == Some(&self.me.peer);
-        if first_seed && self.me.replica.is_none() && info.may_found && self.designated.is_none() {
+        if first_seed
+            && self.me.replica.is_none()
+            && info.may_bootstrap
+            && self.designated.is_none()
+        {
             self.designated = info.replica;
         }
         self.known.insert(info.peer, Known { info, heard: Some(now), told: now });
     }
 
     /// Another process tells of a disk that it has heard.
-    pub fn told(&mut self, info: &NodeInfo, now: Moment) {
+    pub fn record_reported_peer(&mut self, info: &NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
         }
@@ -133,7 +138,7 @@
     }
 
     /// Another process tells who leads.
-    pub fn lead_told(&mut self, lead: Lead, from: SocketAddr, now: Moment) {
+    pub fn record_leader(&mut self, lead: LeaderInfo, from: SocketAddr, now: Moment) {
         self.founded = true;
         // Whether this process leads its own replica knows best.
         if lead.peer == self.me.peer {
@@ -148,7 +153,7 @@
                 }
             }
             other => {
-                let lead = Lead { serving: lead.serving && by_itself, ..lead };
+                let lead = LeaderInfo { serving: lead.serving && by_itself, ..lead };
                 if other.as_ref().is_none_or(|(known, _)| known.peer != lead.peer) {
                     log::info!("leader={} term={} told-by={from}", lead.peer, lead.term);
                 }
@@ -158,7 +163,7 @@
     }
 
     /// The process believed to lead does not, or does not answer.
-    pub fn lead_lost(&mut self, peer: SocketAddr, why: &str) {
+    pub fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
         if self.lead.is_some_and(|(lead, _)| lead.peer == peer) {
             log::warn!("leader={peer} lost why={why}");
             self.lead = None;
@@ -170,18 +175,18 @@
         if let Some((lead, at)) = self.lead
             && now.since(at) > LEAD_FRESH
         {
-            self.lead_lost(lead.peer, "silent");
+            self.clear_leader(lead.peer, "silent");
         }
         self.known.retain(|_, known| now.since(known.told) < DISK_FORGET);
     }
 
     /// Who leads, as far as is known.
-    pub fn lead(&self) -> Option<Lead> {
+    pub fn lead(&self) -> Option<LeaderInfo> {
         self.lead.map(|(lead, _)| lead)
     }
 
     /// Another process tells whom the first seed lets found; only that one's word counts.
-    pub fn founder_told(&mut self, founder: Option<ReplicaId>, from: SocketAddr) {
+    pub fn record_bootstrapper(&mut self, founder: Option<ReplicaId>, from: SocketAddr) {
         if self.seeds.first() == Some(&from) && founder.is_some() {
             self.founder = founder;
         }
@@ -245,7 +250,7 @@
     /// new, and it is the first seed with a disk. Exactly one may: two founders
     /// would make two cells that both believe to be the only one. A seed that does
     /// not answer may have a disk, so nobody founds before it does.
-    pub fn should_found(&self, empty: bool) -> bool {
+    pub fn should_bootstrap(&self, empty: bool) -> bool {
         if !self.bootstrap || !empty || self.founded || self.lead.is_some() {
             return false;
         }
--- a/crates/coordination/src/router.rs
+++ b/crates/coordination/src/router.rs
@@ -40,7 +40,7 @@
 
 /// A request that asks for a runner.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival<'a> {
+pub struct RoutingRequest<'a> {
     /// The service asked.
     pub service: &'a Name,
     /// When its caller stops waiting.
@@ -81,7 +81,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It may be sent now.
-    Go(Grant),
+    Granted(Grant),
     /// It waits under this ticket until [`Router::release`] or
     /// [`Router::abandon`] names it.
     Wait(Ticket),
@@ -91,7 +91,7 @@
 
 /// How a granted request ended at its runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunnerOutcome {
     /// The whole answer came.
     Answered,
     /// The runner could not be reached, cut the answer or failed.
@@ -102,7 +102,7 @@
 
 /// A waiting request's turn has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct DequeuedRequest {
     /// The request.
     pub ticket: Ticket,
     /// Its slot.
@@ -193,15 +193,15 @@
 ///     name: Name::new("r1")?, incarnation: Incarnation(1), service: quotes.clone(),
 ///     address: "127.0.0.1:9".into(), slots: 1, connections: 8, zone: Name::new("brno")?,
 /// };
-/// router.own(now, spec, 0, &mut turns);
+/// router.add_runner(now, spec, 0, &mut turns);
 /// let deadline = Moment::from_millis(9_000);
-/// let arrival = Arrival { service: &quotes, deadline, worth: 1, avoid: None };
-/// let Admission::Go(grant) = router.admit(now, arrival) else { panic!("a free slot") };
+/// let arrival = RoutingRequest { service: &quotes, deadline, worth: 1, avoid: None };
+/// let Admission::Granted(grant) = router.admit(now, arrival) else { panic!("a free slot") };
 /// let Admission::Wait(ticket) = router.admit(now, arrival) else { panic!("a queue") };
 /// assert_eq!(router.queued(&quotes), 1);
-/// router.release(now, grant, Ended::Answered, &mut turns);
+/// router.release(now, grant, RunnerOutcome::Answered, &mut turns);
 /// assert_eq!(turns[0].ticket, ticket, "the waiting one is next");
-/// router.close(&Name::new("r1")?);
+/// router.stop_routing_to(&Name::new("r1")?);
 /// assert!(!router.abandon(ticket), "its turn has come already");
 /// assert!(matches!(router.admit(now, arrival), Admission::Refuse(Refusal::NoneHealthy, _)));
 /// # Ok::<(), yuccalink_state::id::BadName>(())
@@ -226,7 +226,7 @@
     /// use yuccalink_state::id::Name;
     /// let mut router = Router::new(Name::new("brno")?);
     /// let quotes = Name::new("quotes")?;
-    /// let arrival = Arrival { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
+    /// let arrival = RoutingRequest { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
     /// assert!(matches!(router.admit(Moment::ZERO, arrival), Admission::Refuse(Refusal::NoRunner, _)));
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
@@ -246,7 +246,13 @@
     /// Adds a runner that this entry now owns, or renews what is known of it.
     /// `reserved` is how many requests it still holds for an earlier owner.
     /// Requests whose turn has come are pushed to `turns`.
-    pub fn own(&mut self, now: Moment, spec: RunnerSpec, reserved: u32, turns: &mut Vec<Turn>) {
+    pub fn add_runner(
+        &mut self,
+        now: Moment,
+        spec: RunnerSpec,
+        reserved: u32,
+        turns: &mut Vec<DequeuedRequest>,
+    ) {
         if let Some(key) = self.by_name.get(&spec.name).copied()
             && let Some(runner) = self.runners.get_mut(key)
         {
@@ -259,7 +265,7 @@
                 self.serve_queue_of(now, key, turns);
                 return;
             }
-            self.disown(&spec.name);
+            self.remove_runner(&spec.name);
         }
         let pool = self.pool(&spec.service);
         let name = spec.name.clone();
@@ -280,7 +286,7 @@
 
     /// Forgets a runner. Requests that it holds still end by
     /// [`Router::release`], which then does nothing.
-    pub fn disown(&mut self, name: &Name) {
+    pub fn remove_runner(&mut self, name: &Name) {
         let Some(key) = self.by_name.remove(name) else { return };
         if let Some(runner) = self.runners.remove(key) {
             self.pools[runner.pool].runners.retain(|other| *other != key);
@@ -288,7 +294,7 @@
     }
 
     /// Gives a runner nothing new; what it holds goes on.
-    pub fn close(&mut self, name: &Name) {
+    pub fn stop_routing_to(&mut self, name: &Name) {
         if let Some(runner) = self.by_name.get(name).and_then(|key| self.runners.get_mut(*key)) {
             runner.standing = Standing::Closed;
         }
@@ -296,7 +302,13 @@
 
     /// Takes in a runner's own count of requests, which may be late: only what
     /// exceeds the most that this entry had there is somebody else's.
-    pub fn reported(&mut self, now: Moment, name: &Name, busy: u32, turns: &mut Vec<Turn>) {
+    pub fn update_busy_count(
+        &mut self,
+        now: Moment,
+        name: &Name,
+        busy: u32,
+        turns: &mut Vec<DequeuedRequest>,
+    ) {
         let Some(key) = self.by_name.get(name).copied() else { return };
         let Some(runner) = self.runners.get_mut(key) else { return };
         runner.reserved = busy.saturating_sub(runner.peak).min(runner.reserved);
@@ -305,7 +317,7 @@
     }
 
     /// Decides on a request.
-    pub fn admit(&mut self, now: Moment, arrival: Arrival<'_>) -> Admission {
+    pub fn admit(&mut self, now: Moment, arrival: RoutingRequest<'_>) -> Admission {
         let Some(pool_key) = self.pool_by_name.get(arrival.service).copied() else {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
         };
@@ -316,12 +328,17 @@
         if self.pools[pool_key].queue.is_empty()
             && let Some(key) = self.choose(now, pool_key, arrival.avoid)
         {
-            return Admission::Go(self.grant(now, key));
+            return Admission::Granted(self.grant(now, key));
         }
         self.enqueue(now, pool_key, arrival)
     }
 
-    fn enqueue(&mut self, now: Moment, pool_key: PoolKey, arrival: Arrival<'_>) -> Admission {
+    fn enqueue(
+        &mut self,
+        now: Moment,
+        pool_key: PoolKey,
+        arrival: RoutingRequest<'_>,
+    ) -> Admission {
         let pool = &self.pools[pool_key];
         let slots = self.open_slots(now, pool);
         if slots == 0 {
@@ -360,12 +377,18 @@
     }
 
     /// Gives a slot back and hands it to whoever is next.
-    pub fn release(&mut self, now: Moment, grant: Grant, ended: Ended, turns: &mut Vec<Turn>) {
+    pub fn release(
+        &mut self,
+        now: Moment,
+        grant: Grant,
+        ended: RunnerOutcome,
+        turns: &mut Vec<DequeuedRequest>,
+    ) {
         let Some(runner) = self.runners.get_mut(grant.runner) else { return };
         runner.busy = runner.busy.saturating_sub(1);
         let pool = runner.pool;
         match ended {
-            Ended::Answered => {
+            RunnerOutcome::Answered => {
                 runner.failures = 0;
                 runner.ejections = 0;
                 if matches!(runner.standing, Standing::Ejected(_)) {
@@ -376,8 +399,8 @@
                 pool.service_time = (pool.service_time * (SMOOTHING - 1) + took) / SMOOTHING;
                 pool.budget.earn();
             }
-            Ended::Failed => self.failed(now, grant.runner),
-            Ended::Abandoned => {}
+            RunnerOutcome::Failed => self.failed(now, grant.runner),
+            RunnerOutcome::Abandoned => {}
         }
         self.serve_queue(now, pool, turns);
     }
@@ -469,13 +492,13 @@
         Grant { runner: key, at: now }
     }
 
-    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, turns: &mut Vec<Turn>) {
+    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, turns: &mut Vec<DequeuedRequest>) {
         if let Some(runner) = self.runners.get(key) {
             self.serve_queue(now, runner.pool, turns);
         }
     }
 
-    fn serve_queue(&mut self, now: Moment, pool: PoolKey, turns: &mut Vec<Turn>) {
+    fn serve_queue(&mut self, now: Moment, pool: PoolKey, turns: &mut Vec<DequeuedRequest>) {
         while let Some((rank, waiting)) = self.pools[pool].queue.first_key_value() {
             let (rank, waiting) = (*rank, waiting.clone());
             if waiting.deadline <= now {
@@ -487,7 +510,7 @@
             let Some(key) = self.choose(now, pool, waiting.avoid) else { return };
             self.pools[pool].queue.remove(&rank);
             self.tickets.remove(&waiting.ticket);
-            turns.push(Turn { ticket: waiting.ticket, grant: self.grant(now, key) });
+            turns.push(DequeuedRequest { ticket: waiting.ticket, grant: self.grant(now, key) });
         }
     }
 
--- a/crates/coordination/src/scenario/world.rs
+++ b/crates/coordination/src/scenario/world.rs
@@ -6,23 +6,25 @@
 mod tasks;
 
 use super::{Event, Expect, Scenario, Step};
-use crate::directory::{Directory, HEARTBEAT, Heard, Usage, WORKER_LEASE};
-use crate::dispatch::{Dispatch, Due, Order};
-use crate::entries::{Entries, Hello, Lease};
-use crate::invariants::{self, RequestWatch, TaskWatch, Told};
+use crate::directory::{Directory, HEARTBEAT_INTERVAL, HeartbeatOutcome, Usage, WORKER_LEASE};
+use crate::dispatch::{Dispatch, DueOrder, Order};
+use crate::entries::{ConfigLease, EntryReport, EntryTable};
+use crate::invariants::{self, CallerOutcome, RequestChecker, TaskChecker};
 use crate::moment::Moment;
 use crate::placement;
-use crate::router::{Admission, Arrival, Ended, Grant, Router, Ticket, Turn};
+use crate::router::{
+    Admission, DequeuedRequest, Grant, Router, RoutingRequest, RunnerOutcome, Ticket,
+};
 use crate::workers;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use yuccalink_state::command::{Apply, Submit, TaskEvent, TaskReport};
-use yuccalink_state::document::{Document, GivesUp, TaskKind};
+use yuccalink_state::command::{Apply, TaskEvent, TaskReport, TaskSubmission};
+use yuccalink_state::document::{DisruptionTolerance, Document, TaskKind};
 use yuccalink_state::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
-use yuccalink_state::task::{Ending, TaskPhase};
+use yuccalink_state::task::{TaskOutcome, TaskPhase};
 use yuccalink_state::worker::{WorkerPhase, WorkerSpec};
-use yuccalink_state::{Command, Machine, Outcome};
+use yuccalink_state::{Command, Outcome, StateMachine};
 
 /// How often the parts look at the time.
 const TICK: Duration = Duration::from_millis(50);
@@ -98,7 +100,7 @@
     zone: Name,
     run: Incarnation,
     router: Router,
-    lease: Lease,
+    lease: ConfigLease,
     silent: bool,
     draining: bool,
     next_sync: Moment,
@@ -123,9 +125,9 @@
 
 struct World {
     now: Moment,
-    machine: Machine,
+    machine: StateMachine,
     directory: Directory,
-    entries: Entries,
+    entries: EntryTable,
     dispatch: Dispatch,
     service: Name,
     workers: Vec<FakeWorker>,
@@ -133,8 +135,8 @@
     fakes: Vec<FakeEntry>,
     tasks: BTreeMap<Box<str>, TaskId>,
     requests: BTreeMap<Box<str>, Request>,
-    task_watch: TaskWatch,
-    request_watch: RequestWatch,
+    task_watch: TaskChecker,
+    request_watch: RequestChecker,
     next_run: u64,
 }
 
@@ -146,9 +148,9 @@
     fn new(scenario: &Scenario) -> Self {
         let mut world = Self {
             now: START,
-            machine: Machine::new(),
+            machine: StateMachine::new(),
             directory: Directory::new(),
-            entries: Entries::new(Moment::ZERO),
+            entries: EntryTable::new(Moment::ZERO),
             dispatch: Dispatch::new(),
             service: name("scenario"),
             workers: Vec::new(),
@@ -156,8 +158,8 @@
             fakes: Vec::new(),
             tasks: BTreeMap::new(),
             requests: BTreeMap::new(),
-            task_watch: TaskWatch::default(),
-            request_watch: RequestWatch::default(),
+            task_watch: TaskChecker::default(),
+            request_watch: RequestChecker::default(),
             next_run: 1,
         };
         world.set_up(scenario);
@@ -219,7 +221,7 @@
                 zone: line.zone.clone(),
                 run,
                 router: Router::new(line.zone.clone()),
-                lease: Lease::default(),
+                lease: ConfigLease::default(),
                 silent: false,
                 draining: false,
                 next_sync: START,
@@ -238,7 +240,8 @@
             spread: line.spread,
         });
         let checkpoint = scenario.kinds.iter().any(|line| line.checkpoint);
-        let gives_up = GivesUp { checkpoint, evictions: 1000, ..GivesUp::default() };
+        let disruption_tolerance =
+            DisruptionTolerance { checkpoint, evictions: 1000, ..DisruptionTolerance::default() };
         let document = Document {
             service: self.service.clone(),
             team: self.service.clone(),
@@ -246,7 +249,7 @@
             peak: None,
             requests: [].into(),
             tasks: kinds.collect(),
-            gives_up,
+            disruption_tolerance,
         };
         let apply = Apply { document, text: "".into(), digest: [0; 32], author: "scenario".into() };
         self.machine.apply(Command::Apply(Box::new(apply)));
--- a/crates/coordination/src/scenario/world/events.rs
+++ b/crates/coordination/src/scenario/world/events.rs
@@ -25,8 +25,8 @@
             Event::Request { name, service, entry, deadline, worth } => {
                 self.request(name, service, entry, *deadline, *worth)
             }
-            Event::Answer(name) => self.answer(name, Ended::Answered),
-            Event::Break(name) => self.answer(name, Ended::Failed),
+            Event::Answer(name) => self.answer(name, RunnerOutcome::Answered),
+            Event::Break(name) => self.answer(name, RunnerOutcome::Failed),
             Event::Expect(expect) => self.expect(expect),
         }
     }
@@ -38,7 +38,7 @@
         count: u32,
         urgent: bool,
     ) -> Result<(), Box<str>> {
-        let submit = Submit {
+        let submit = TaskSubmission {
             key: name.into(),
             service: self.service.clone(),
             kind: kind.clone(),
@@ -139,7 +139,7 @@
             entry.run = run;
             entry.router = Router::new(entry.zone.clone());
             entry.version = 0;
-            entry.lease = Lease::default();
+            entry.lease = ConfigLease::default();
             entry.next_sync = self.now;
             Ok(())
         } else {
@@ -161,32 +161,32 @@
         let deadline = self.now + deadline;
         let fake = &mut self.fakes[at];
         let state = if fake.lease.holds(self.now) {
-            let arrival = Arrival { service, deadline, worth, avoid: None };
+            let arrival = RoutingRequest { service, deadline, worth, avoid: None };
             fake.router.admit(self.now, arrival)
         } else {
             Admission::Refuse(crate::router::Refusal::NoneHealthy, Duration::ZERO)
         };
         let mut request = Request { entry: at, deadline, state: RequestState::NotRun };
         match state {
-            Admission::Refuse(..) => self.request_watch.told(name, Told::NotRun),
+            Admission::Refuse(..) => self.request_watch.record_outcome(name, CallerOutcome::NotRun),
             Admission::Wait(ticket) => request.state = RequestState::Waiting(ticket),
-            Admission::Go(_) => {}
+            Admission::Granted(_) => {}
         }
         self.requests.insert(name.into(), request);
-        if let Admission::Go(grant) = state {
+        if let Admission::Granted(grant) = state {
             self.send(name, grant);
         }
         Ok(())
     }
 
-    pub(super) fn answer(&mut self, name: &str, ended: Ended) -> Result<(), Box<str>> {
+    pub(super) fn answer(&mut self, name: &str, ended: RunnerOutcome) -> Result<(), Box<str>> {
         let request = self.requests.get_mut(name).ok_or_else(|| format!("no request {name}"))?;
         let RequestState::At(grant, runner) = request.state.clone() else {
             return Err(format!("request {name} is at no runner").into());
         };
         request.state = match ended {
-            Ended::Answered => RequestState::Answered,
-            Ended::Failed | Ended::Abandoned => RequestState::Broken,
+            RunnerOutcome::Answered => RequestState::Answered,
+            RunnerOutcome::Failed | RunnerOutcome::Abandoned => RequestState::Broken,
         };
         if let Some(fake) = self.runners.iter_mut().find(|fake| fake.spec.name == runner) {
             fake.busy = fake.busy.saturating_sub(1);
--- a/crates/coordination/src/scenario/world/expectations.rs
+++ b/crates/coordination/src/scenario/world/expectations.rs
@@ -35,9 +35,9 @@
                 Some(TaskPhase::Placed(_)) => "placed",
                 Some(TaskPhase::Running(_)) => "running",
                 Some(TaskPhase::Stopping(..)) => "stopping",
-                Some(TaskPhase::Ended(Ending::Finished)) => "finished",
-                Some(TaskPhase::Ended(Ending::Failed(_))) => "failed",
-                Some(TaskPhase::Ended(Ending::Cancelled)) => "cancelled",
+                Some(TaskPhase::Ended(TaskOutcome::Finished)) => "finished",
+                Some(TaskPhase::Ended(TaskOutcome::Failed(_))) => "failed",
+                Some(TaskPhase::Ended(TaskOutcome::Cancelled)) => "cancelled",
             };
             return Ok(found.into());
         }
@@ -75,8 +75,8 @@
 
     pub(super) fn check(&self) -> Result<(), Box<str>> {
         let mut found = invariants::commitments(&self.machine);
-        found.extend(self.task_watch.breaches().iter().cloned());
-        found.extend(self.request_watch.breaches());
+        found.extend(self.task_watch.violations().iter().cloned());
+        found.extend(self.request_watch.violations());
         match found.first() {
             None => Ok(()),
             Some(breach) => Err(format!("a promise is broken: {breach}").into()),
--- a/crates/coordination/src/scenario/world/routing.rs
+++ b/crates/coordination/src/scenario/world/routing.rs
@@ -23,8 +23,8 @@
             } else {
                 self.directory.heartbeat(self.now, &spec.name, spec.incarnation, usage)
             };
-            runner.known = heard == Heard::Noted;
-            runner.next_beat = self.now + HEARTBEAT;
+            runner.known = heard == HeartbeatOutcome::Noted;
+            runner.next_beat = self.now + HEARTBEAT_INTERVAL;
         }
     }
 
@@ -41,15 +41,15 @@
 
     pub(super) fn sync_entry(&mut self, at: usize) {
         let entry = &mut self.fakes[at];
-        let hello = Hello {
+        let hello = EntryReport {
             name: entry.name.clone(),
             incarnation: entry.run,
-            callers: "127.0.0.1:1".into(),
+            caller_address: "127.0.0.1:1".into(),
             zone: entry.zone.clone(),
-            acked: Revision(1),
+            acked_revision: Revision(1),
             draining: entry.draining,
         };
-        if self.entries.hear(self.now, &hello) {
+        if self.entries.record_report(self.now, &hello) {
             self.directory.owner_restarted(self.now, &entry.name);
         }
         let done: Vec<Name> = entry
@@ -60,8 +60,8 @@
             .collect();
         for name in done {
             entry.releasing.remove(&name);
-            entry.router.disown(&name);
-            self.directory.let_go(&name, &entry.name);
+            entry.router.remove_runner(&name);
+            self.directory.confirm_release(&name, &entry.name);
         }
         let (changes, version) = self.directory.changes(entry.version, CHANGES_MAX);
         entry.version = version;
@@ -70,10 +70,10 @@
             let name = &change.spec.name;
             let mine = change.owner.as_ref() == Some(&entry.name);
             if mine && change.usable {
-                entry.router.reported(self.now, name, change.busy, &mut turns);
-                entry.router.own(self.now, change.spec.clone(), change.busy, &mut turns);
+                entry.router.update_busy_count(self.now, name, change.busy, &mut turns);
+                entry.router.add_runner(self.now, change.spec.clone(), change.busy, &mut turns);
             } else if entry.router.in_flight(name).is_some() {
-                entry.router.close(name);
+                entry.router.stop_routing_to(name);
                 if !mine {
                     entry.releasing.insert(name.clone());
                 }
@@ -84,7 +84,7 @@
         self.take_turns(at, turns);
     }
 
-    pub(super) fn take_turns(&mut self, entry: usize, turns: Vec<Turn>) {
+    pub(super) fn take_turns(&mut self, entry: usize, turns: Vec<DequeuedRequest>) {
         for turn in turns {
             let found = self.requests.iter().find(|(_, request)| {
                 request.entry == entry
@@ -119,7 +119,7 @@
             if let RequestState::Waiting(ticket) = request.state {
                 self.fakes[request.entry].router.abandon(ticket);
                 request.state = RequestState::NotRun;
-                self.request_watch.told(&name, Told::NotRun);
+                self.request_watch.record_outcome(&name, CallerOutcome::NotRun);
             }
         }
     }
--- a/crates/coordination/src/scenario/world/tasks.rs
+++ b/crates/coordination/src/scenario/world/tasks.rs
@@ -25,7 +25,7 @@
             if self.worker_beat(at) {
                 let worker = &mut self.workers[at];
                 worker.lease_until = self.now + WORKER_LEASE;
-                worker.next_beat = self.now + HEARTBEAT;
+                worker.next_beat = self.now + HEARTBEAT_INTERVAL;
             }
         }
     }
@@ -36,10 +36,10 @@
         let spec = worker.spec.clone();
         if !worker.known {
             let target = TargetSpec::Worker(spec.clone());
-            if self.directory.announce(self.now, target, 0) != Heard::Noted {
+            if self.directory.announce(self.now, target, 0) != HeartbeatOutcome::Noted {
                 return false;
             }
-            if let Some(former) = workers::former_run(&self.machine, &spec) {
+            if let Some(former) = workers::previous_incarnation(&self.machine, &spec) {
                 self.machine.apply(Command::WorkerGone(spec.name.clone(), former));
             }
             let up = self.machine.apply(Command::WorkerUp(Box::new(spec)));
@@ -50,7 +50,7 @@
         let heard = self.directory.heartbeat(self.now, &spec.name, spec.incarnation, usage);
         let record = self.machine.worker(&spec.name);
         let gone = record.is_none_or(|(_, worker)| worker.phase == WorkerPhase::Gone);
-        if heard != Heard::Noted || gone {
+        if heard != HeartbeatOutcome::Noted || gone {
             worker.known = false;
             return false;
         }
@@ -64,7 +64,8 @@
     }
 
     pub(super) fn give_up_workers(&mut self) {
-        for (name, run) in workers::lost(&self.machine, &self.directory, START, self.now) {
+        for (name, run) in workers::expired_workers(&self.machine, &self.directory, START, self.now)
+        {
             self.machine.apply(Command::WorkerGone(name.clone(), run));
             self.directory.drop_worker(&name);
         }
@@ -96,8 +97,8 @@
         }
     }
 
-    pub(super) fn obey(&mut self, at: usize, due: &Due) -> Option<TaskReport> {
-        let Due { task, epoch, order } = *due;
+    pub(super) fn obey(&mut self, at: usize, due: &DueOrder) -> Option<TaskReport> {
+        let DueOrder { task, epoch, order } = *due;
         let worker = &mut self.workers[at];
         let report = |event| Some(TaskReport { task, epoch, event });
         match order {
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -27,7 +27,7 @@
 
 /// What the leader knows.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct MembershipView {
     /// The newest committed members.
     pub members: Members,
     /// The leader's own replica.
@@ -54,17 +54,17 @@
 /// The next change of members, and why; `None` when all is as it should be.
 ///
 /// ```
-/// use yuccalink_coordination::voters::{View, next};
-/// assert!(next(&View::default(), 3).is_none());
+/// use yuccalink_coordination::voters::{MembershipView, next};
+/// assert!(next(&MembershipView::default(), 3).is_none());
 /// ```
-pub fn next(view: &View, wanted: usize) -> Option<(Members, Box<str>)> {
+pub fn next(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     forget_learner(view)
         .or_else(|| add_learner(view))
         .or_else(|| promote(view, wanted))
         .or_else(|| replace(view, wanted))
 }
 
-impl View {
+impl MembershipView {
     fn silent(&self, id: ReplicaId) -> Duration {
         match id == self.own {
             true => Duration::ZERO,
@@ -90,7 +90,7 @@
     }
 }
 
-fn forget_learner(view: &View) -> Option<(Members, Box<str>)> {
+fn forget_learner(view: &MembershipView) -> Option<(Members, Box<str>)> {
     let gone =
         |learner: &&Member| view.is_replaced(learner) || view.silent(learner.id) > FORGET_AFTER;
     let id = view.members.learners.iter().find(gone)?.id;
@@ -99,7 +99,7 @@
     Some((members, format!("replica {id} follows no more: it is silent or replaced").into()))
 }
 
-fn add_learner(view: &View) -> Option<(Members, Box<str>)> {
+fn add_learner(view: &MembershipView) -> Option<(Members, Box<str>)> {
     let new =
         |disk: &&Disk| disk.silent < REPLACE_AFTER && view.members.get(disk.member.id).is_none();
     let disk = view.disks.iter().find(new)?;
@@ -110,7 +110,7 @@
 
 /// A learner votes once it has caught up: before that it would count in a quorum
 /// for nothing.
-fn promote(view: &View, wanted: usize) -> Option<(Members, Box<str>)> {
+fn promote(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     if view.members.voters.len() >= wanted {
         return None;
     }
@@ -123,7 +123,7 @@
 
 /// The learner that is ready and whose zone has the fewest voters: a zone that
 /// fails must take no more than its share of them.
-fn best_learner(view: &View) -> Option<Member> {
+fn best_learner(view: &MembershipView) -> Option<Member> {
     let ready = view
         .members
         .learners
@@ -140,7 +140,7 @@
 /// votes no more. The other way round the voters are one fewer for a moment, and one disk
 /// that is lost in that moment leaves a majority that needs the lost one for ever: the
 /// voter that was merely cut off, and has everything, is none any more.
-fn replace(view: &View, wanted: usize) -> Option<(Members, Box<str>)> {
+fn replace(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     let dead = |voter: &&Member| {
         voter.id != view.own && (view.is_replaced(voter) || !view.is_live(voter.id))
     };
--- a/crates/coordination/src/workers.rs
+++ b/crates/coordination/src/workers.rs
@@ -1,9 +1,9 @@
 //! When a worker, or a former run of it, is surely no longer running anything.
 
 use crate::directory::{Directory, WORKER_LEASE};
-use crate::moment::{Moment, surely_ended_after};
+use crate::moment::{Moment, lease_span_with_drift};
 use std::time::Duration;
-use yuccalink_state::Machine;
+use yuccalink_state::StateMachine;
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::worker::{WorkerPhase, WorkerSpec};
 
@@ -12,22 +12,22 @@
 /// their leases until then.
 ///
 /// ```
-/// # use yuccalink_coordination::{Moment, directory::Directory, workers::lost};
-/// # use yuccalink_state::Machine;
-/// assert!(lost(&Machine::new(), &Directory::new(), Moment::ZERO, Moment::ZERO).is_empty());
+/// # use yuccalink_coordination::{Moment, directory::Directory, workers::expired_workers};
+/// # use yuccalink_state::StateMachine;
+/// assert!(expired_workers(&StateMachine::new(), &Directory::new(), Moment::ZERO, Moment::ZERO).is_empty());
 /// ```
-pub fn lost(
-    machine: &Machine,
+pub fn expired_workers(
+    machine: &StateMachine,
     directory: &Directory,
     since: Moment,
     now: Moment,
 ) -> Vec<(Name, Incarnation)> {
-    let lease = surely_ended_after(WORKER_LEASE);
+    let lease = lease_span_with_drift(WORKER_LEASE);
     let known = machine.workers().filter(|(_, worker)| worker.phase != WorkerPhase::Gone);
     known
         .filter(|(_, worker)| {
             let target = directory.get(&worker.spec.name);
-            let heard = target.map_or(since, |target| target.heard.max(since));
+            let heard = target.map_or(since, |target| target.last_heard.max(since));
             now.since(heard) > lease
         })
         .map(|(_, worker)| (worker.spec.name.clone(), worker.spec.incarnation))
@@ -39,15 +39,15 @@
 /// to a program that does not exist, for as long as the new one is heard.
 ///
 /// ```
-/// # use yuccalink_coordination::workers::former_run;
-/// # use yuccalink_state::{Machine, Resources, id::*, worker::WorkerSpec};
+/// # use yuccalink_coordination::workers::previous_incarnation;
+/// # use yuccalink_state::{StateMachine, Resources, id::*, worker::WorkerSpec};
 /// # let name = Name::new("w1")?;
 /// # let spec = WorkerSpec { name: name.clone(), incarnation: Incarnation(1),
 /// #   address: "127.0.0.1:1".into(), capacity: Resources::ZERO, rack: name.clone(), zone: name };
-/// assert_eq!(former_run(&Machine::new(), &spec), None);
+/// assert_eq!(previous_incarnation(&StateMachine::new(), &spec), None);
 /// # Ok::<(), BadName>(())
 /// ```
-pub fn former_run(machine: &Machine, spec: &WorkerSpec) -> Option<Incarnation> {
+pub fn previous_incarnation(machine: &StateMachine, spec: &WorkerSpec) -> Option<Incarnation> {
     let (_, known) = machine.worker(&spec.name)?;
     let former = known.spec.incarnation;
     (former != spec.incarnation && known.phase != WorkerPhase::Gone).then_some(former)
@@ -63,5 +63,5 @@
 /// assert_eq!(led_long_ago, Duration::ZERO);
 /// ```
 pub fn wait_after_election(since: Moment, now: Moment) -> Duration {
-    surely_ended_after(WORKER_LEASE).saturating_sub(now.since(since))
+    lease_span_with_drift(WORKER_LEASE).saturating_sub(now.since(since))
 }
--- a/crates/coordination/tests/cell.rs
+++ b/crates/coordination/tests/cell.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use world::{Rough, World, job, key, step};
 use yuccalink_coordination::jobs::JobState;
-use yuccalink_fakes::emulator::{Fault, Truth};
+use yuccalink_fakes::emulator::{RunnerFault, TaskBehavior};
 use yuccalink_state::jobs::{JobId, JobSpec};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -18,7 +18,7 @@
     let mut world = World::new(1, 4, Rough::CALM);
     let (first, truth) = step(4, 4, 400);
     let (mut second, truth2) = step(2, 4, 300);
-    second.after = vec![0];
+    second.depends_on = vec![0];
     let (spec, truths) = job(vec![(first, truth), (second, truth2)]);
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 4);
@@ -64,7 +64,7 @@
 #[test]
 fn a_runner_that_fails_all_does_not_fail_jobs() {
     let mut world = World::new(4, 4, Rough::CALM);
-    world.set_fault(0, Fault::FailsAll);
+    world.set_fault(0, RunnerFault::FailsAll);
     for id in 1..=12 {
         let (spec, truths) = job(vec![step(4, 2, 400)]);
         world.submit(JobId(id), spec, truths);
@@ -96,7 +96,7 @@
 #[test]
 fn tasks_that_stand_still_are_moved() {
     let mut world = World::new(5, 3, Rough::CALM);
-    world.set_fault(0, Fault::Stands);
+    world.set_fault(0, RunnerFault::TasksStall);
     let (spec, truths) = job(vec![step(9, 4, 1_000)]);
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 12);
@@ -111,7 +111,7 @@
 fn tasks_that_lag_have_a_copy_where_the_step_allows_it() {
     for allowed in [true, false] {
         let mut world = World::new(9, 4, Rough::CALM);
-        world.set_fault(0, Fault::Slow);
+        world.set_fault(0, RunnerFault::Slow);
         world.run_for(SECOND);
         let (mut spec, truths) = job(vec![step(16, 4, 1_000)]);
         spec.steps[0].speculative = allowed;
@@ -132,7 +132,7 @@
     let mut world = World::new(6, 2, Rough::CALM);
     let (mut spec, truths) = job(vec![step(4, 4, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| Truth { lasts: true, ..t }).collect();
+    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 2);
     world.cancel(JobId(1));
@@ -149,7 +149,7 @@
     let mut world = World::new(7, 2, Rough::CALM);
     let (mut spec, truths) = job(vec![step(2, 4, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| Truth { lasts: true, ..t }).collect();
+    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 2);
     let from = usize::from(world.running_on(0).is_empty());
@@ -175,7 +175,7 @@
     }
     let (mut spec, truths) = job(vec![step(1, 12, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| Truth { lasts: true, ..t }).collect();
+    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
     world.submit(JobId(1), spec, truths);
     for id in 110..140 {
         submit_short(&mut world, id);
@@ -248,14 +248,14 @@
     world.close_all(JOBS)
 }
 
-fn random_job(world: &mut World) -> (JobSpec, Vec<Truth>) {
+fn random_job(world: &mut World) -> (JobSpec, Vec<TaskBehavior>) {
     let mut steps = Vec::new();
     for at in 0..1 + world.draw(3) {
         let (count, cores) = (1 + world.draw(6), 1 + world.draw(5));
         let work = 100 + world.draw(2_500);
         let (mut spec, mut truth) = step(u32::try_from(count).unwrap_or(1), cores, work);
         if at > 0 && world.draw(2) == 0 {
-            spec.after = vec![u16::try_from(at - 1).unwrap_or(0)];
+            spec.depends_on = vec![u16::try_from(at - 1).unwrap_or(0)];
         }
         spec.checkpointing = world.draw(2) == 0;
         spec.gang = world.draw(6) == 0;
--- a/crates/coordination/tests/cell/checks.rs
+++ b/crates/coordination/tests/cell/checks.rs
@@ -24,12 +24,12 @@
         for (task, run, how) in noted.into_values() {
             let past = self.past.entry(task).or_default();
             match how {
-                How::Done => {
+                RunOutcome::Done => {
                     if let Some(done) = past.dones.iter_mut().find(|done| done.run == run) {
                         done.noted = Some(self.now);
                     }
                 }
-                How::Failed => past.failures_noted.push(self.now),
+                RunOutcome::Failed => past.failures_noted.push(self.now),
                 _ => {}
             }
         }
@@ -38,10 +38,11 @@
     /// Ends that were listed before a lease ran out and are noted after it do not
     /// count: the cell had to give up those runs, and said so to nobody.
     pub(super) fn lapsed(&mut self, at: usize) {
-        let listed: Vec<(TaskKey, u32, How)> = self.slots[at].listed.values().copied().collect();
-        self.slots[at].listed.retain(|_, (_, _, how)| *how != How::Failed);
+        let listed: Vec<(TaskKey, u32, RunOutcome)> =
+            self.slots[at].listed.values().copied().collect();
+        self.slots[at].listed.retain(|_, (_, _, how)| *how != RunOutcome::Failed);
         for (task, run, how) in listed {
-            if how == How::Done
+            if how == RunOutcome::Done
                 && let Some(past) = self.past.get_mut(&task)
                 && let Some(found) = past.dones.iter().position(|done| done.run == run)
             {
@@ -54,7 +55,7 @@
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
         let step = &spec.steps[usize::from(task.step)];
         let elsewhere = self.slots.iter().enumerate().any(|(other, slot)| {
-            other != at && slot.runner.as_ref().is_some_and(|runner| runner.runs(task))
+            other != at && slot.runner.as_ref().is_some_and(|runner| runner.is_running(task))
         });
         if elsewhere && !step.speculative {
             self.broken.push(format!("{task} runs in two places"));
@@ -80,7 +81,7 @@
         if past.dones.iter().filter_map(|done| done.noted).any(known) {
             self.broken.push(format!("{task} starts after its end was noted"));
         }
-        for before in &step.after {
+        for before in &step.depends_on {
             let count = spec.steps[usize::from(*before)].count;
             for index in 0..count {
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
--- a/crates/coordination/tests/cell/desk.rs
+++ b/crates/coordination/tests/cell/desk.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::outside::{Call, CallId, Told};
+use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalCallId, ExternalReply};
 use yuccalink_coordination::jobs::{
-    Answer, Ask, Leader, LeaderConfig, Now, Orders, Running, Token,
+    CellRequest, CellResponse, Leader, LeaderConfig, Now, ReportedRun, RequestToken, RunnerOrders,
 };
-use yuccalink_fakes::emulator::{EmulatedRunner, Truth};
+use yuccalink_fakes::emulator::{EmulatedRunner, TaskBehavior};
 use yuccalink_state::jobs::change::Advisor;
-use yuccalink_state::jobs::{JobCommand, JobId, JobSpec, Jobs, StepSpec};
+use yuccalink_state::jobs::{CellState, JobCommand, JobId, JobSpec, StepSpec};
 
 pub struct Desk {
     pub now: Moment,
@@ -18,11 +18,11 @@
     index: u64,
     tokens: u64,
     pub runners: Vec<EmulatedRunner>,
-    truth: Truth,
+    truth: TaskBehavior,
 }
 
 impl Desk {
-    pub fn new(runners: usize, policy: Option<Advisor>, truth: Truth) -> Self {
+    pub fn new(runners: usize, policy: Option<Advisor>, truth: TaskBehavior) -> Self {
         Self::with(runners, policy, truth, Vec::new())
     }
 
@@ -30,7 +30,7 @@
     pub fn with(
         runners: usize,
         policy: Option<Advisor>,
-        truth: Truth,
+        truth: TaskBehavior,
         commands: Vec<JobCommand>,
     ) -> Self {
         Self::deciding_by(LeaderConfig::default(), runners, policy, truth, commands)
@@ -41,10 +41,10 @@
         cfg: LeaderConfig,
         runners: usize,
         policy: Option<Advisor>,
-        truth: Truth,
+        truth: TaskBehavior,
         commands: Vec<JobCommand>,
     ) -> Self {
-        let mut jobs = Jobs::new();
+        let mut jobs = CellState::new();
         let mut set = change();
         set.queues[0].advisor = policy;
         jobs.apply(JobCommand::Change(Box::new(set)));
@@ -53,7 +53,7 @@
         }
         let now = Moment::from_millis(1_000);
         let mut leader = Leader::new(cfg, 3, jobs, Self::at(now));
-        leader.set_name("e1");
+        leader.set_node_name("e1");
         let runner = |at| EmulatedRunner::new(&format!("w{at}"), "r1", 5, CAPACITY, now);
         let runners = (0..runners).map(runner).collect();
         Self { now, leader, index: 0, tokens: 0, runners, truth }
@@ -67,10 +67,10 @@
         Self::at(self.now)
     }
 
-    pub fn ask(&mut self, ask: Ask) -> Answer {
+    pub fn ask(&mut self, ask: CellRequest) -> CellResponse {
         self.tokens += 1;
-        let token = Token(self.tokens);
-        self.leader.ask(Self::at(self.now), token, ask);
+        let token = RequestToken(self.tokens);
+        self.leader.handle_request(Self::at(self.now), token, ask);
         self.commit();
         let answers = self.leader.take_answers();
         let own = answers.into_iter().find(|(of, _)| *of == token);
@@ -83,10 +83,10 @@
             if commands.is_empty() {
                 return;
             }
-            self.leader.proposed(self.index + 1);
+            self.leader.batch_appended(self.index + 1);
             for command in commands {
                 self.index += 1;
-                self.leader.committed(Self::at(self.now), self.index, command);
+                self.leader.apply_committed(Self::at(self.now), self.index, command);
             }
         }
     }
@@ -97,30 +97,30 @@
 
     pub fn submit_as(&mut self, id: JobId, steps: Vec<StepSpec>) {
         let spec = Arc::new(JobSpec { payload: "p".into(), steps, schedule: None });
-        assert_eq!(self.ask(Ask::Submit { at: place(), id, spec }), Answer::Accepted);
+        assert_eq!(self.ask(CellRequest::Submit { at: place(), id, spec }), CellResponse::Accepted);
     }
 
     /// Every runner reports once and obeys; returns the orders of each.
-    pub fn round(&mut self) -> Vec<Orders> {
+    pub fn round(&mut self) -> Vec<RunnerOrders> {
         self.round_showing(|_| None)
     }
 
     /// The same, with what each run's gauge shows.
-    pub fn round_showing<F>(&mut self, gauge: F) -> Vec<Orders>
+    pub fn round_showing<F>(&mut self, gauge: F) -> Vec<RunnerOrders>
     where
-        F: Fn(&Running) -> Option<u64>,
+        F: Fn(&ReportedRun) -> Option<u64>,
     {
         let mut all = Vec::new();
         for at in 0..self.runners.len() {
             let mut report = Box::new(self.runners[at].report(self.now));
             for run in &mut report.running {
-                run.gauge = gauge(run);
+                run.usage_or_tail = gauge(run);
             }
-            let Answer::Orders(orders) = self.ask(Ask::Heartbeat(report)) else {
+            let CellResponse::Orders(orders) = self.ask(CellRequest::Heartbeat(report)) else {
                 panic!("no orders")
             };
             let truth = self.truth;
-            self.runners[at].obey(self.now, self.now, &orders, |_| Some(truth));
+            self.runners[at].apply_orders(self.now, self.now, &orders, |_| Some(truth));
             all.push(*orders);
         }
         all
@@ -132,12 +132,12 @@
         self.commit();
     }
 
-    pub fn told(&mut self, call: CallId, told: Told) {
-        self.leader.told(Self::at(self.now), call, told);
+    pub fn told(&mut self, call: ExternalCallId, told: ExternalReply) {
+        self.leader.handle_external_reply(Self::at(self.now), call, told);
         self.commit();
     }
 
-    pub fn call(&mut self) -> Option<(CallId, Call)> {
+    pub fn call(&mut self) -> Option<(ExternalCallId, ExternalCall)> {
         self.leader.take_calls().pop()
     }
 }
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -10,15 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::ask::Place;
+use yuccalink_coordination::jobs::ask::QueueAddress;
 use yuccalink_coordination::jobs::policy::Policy;
 use yuccalink_coordination::jobs::{
-    Answer, Ask, JobState, Leader, LeaderConfig, Now, Orders, Report, RunnerState, Token,
+    CellRequest, CellResponse, JobState, Leader, LeaderConfig, Now, RequestToken, RunnerOrders,
+    RunnerReport, RunnerState,
+};
+use yuccalink_fakes::emulator::{
+    EmulatedRunner, RunnerEvent, RunnerFault, TaskBehavior, checkpoint_text,
 };
-use yuccalink_fakes::emulator::{EmulatedRunner, Fault, Happened, Truth, saved};
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{
-    ChangeSet, How, JobCommand, JobId, JobSpec, Jobs, Pool, Queue, StepSpec, TaskKey,
+    CellState, ChangeSet, JobCommand, JobId, JobSpec, Pool, Queue, RunOutcome, StepSpec, TaskKey,
 };
 
 pub const STEP: Duration = Duration::from_millis(10);
@@ -78,8 +81,8 @@
 }
 
 enum Message {
-    Report { slot: usize, sent: Moment, report: Box<Report> },
-    Orders { slot: usize, born_ms: u64, sent: Moment, orders: Box<Orders> },
+    Report { slot: usize, sent: Moment, report: Box<RunnerReport> },
+    Orders { slot: usize, started_ms: u64, sent: Moment, orders: Box<RunnerOrders> },
 }
 
 struct Slot {
@@ -89,7 +92,7 @@
     /// Nothing gets through to or from it until then.
     cut_until: Moment,
     /// Ends that were listed, by their numbers, and not yet noted.
-    listed: BTreeMap<u64, (TaskKey, u32, How)>,
+    listed: BTreeMap<u64, (TaskKey, u32, RunOutcome)>,
     ends: u64,
     grows_at: Moment,
 }
@@ -133,7 +136,7 @@
     rng: Pcg64Mcg,
     rough: Rough,
     policy: Policy,
-    committed: Jobs,
+    committed: CellState,
     index: u64,
     term: u64,
     pub leader: Option<Leader>,
@@ -142,9 +145,9 @@
     slots: Vec<Slot>,
     messages: BTreeMap<(Moment, u64), Message>,
     numbers: u64,
-    asked: BTreeMap<Token, (usize, u64, Moment)>,
+    asked: BTreeMap<RequestToken, (usize, u64, Moment)>,
     specs: BTreeMap<JobId, Arc<JobSpec>>,
-    pub truths: BTreeMap<JobId, Vec<Truth>>,
+    pub truths: BTreeMap<JobId, Vec<TaskBehavior>>,
     past: BTreeMap<TaskKey, Past>,
     cancelled: BTreeMap<JobId, Moment>,
     pub accepted: BTreeSet<JobId>,
@@ -166,7 +169,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             rough,
             policy,
-            committed: Jobs::new(),
+            committed: CellState::new(),
             index: 0,
             term: 1,
             leader: None,
@@ -215,9 +218,9 @@
         }
         if self.rough.faults {
             runner.fault = match self.rng.random_range(0..12) {
-                0 => Fault::FailsAll,
-                1 => Fault::Stands,
-                _ => Fault::None,
+                0 => RunnerFault::FailsAll,
+                1 => RunnerFault::TasksStall,
+                _ => RunnerFault::None,
             };
         }
         runner
@@ -236,31 +239,31 @@
     }
 
     /// Hands in a job through whichever leader there is, until it is accepted.
-    pub fn submit(&mut self, id: JobId, spec: JobSpec, truths: Vec<Truth>) {
+    pub fn submit(&mut self, id: JobId, spec: JobSpec, truths: Vec<TaskBehavior>) {
         self.specs.insert(id, Arc::new(spec));
         self.truths.insert(id, truths);
     }
 
     pub fn cancel(&mut self, id: JobId) {
         let at = place();
-        self.ask(Ask::Cancel { at, id });
+        self.ask(CellRequest::Cancel { at, id });
         self.cancelled.entry(id).or_insert(self.now);
     }
 
     pub fn state(&mut self, id: JobId) -> Option<JobState> {
-        match self.ask(Ask::State { at: place(), id })? {
-            Answer::State(state) => Some(state),
-            Answer::Failed(_) => Some(JobState::Failed),
+        match self.ask(CellRequest::State { at: place(), id })? {
+            CellResponse::State(state) => Some(state),
+            CellResponse::Failed(_) => Some(JobState::Failed),
             _ => None,
         }
     }
 
-    fn ask(&mut self, ask: Ask) -> Option<Answer> {
+    fn ask(&mut self, ask: CellRequest) -> Option<CellResponse> {
         let now = self.now();
-        let token = Token(u64::MAX - self.numbers);
+        let token = RequestToken(u64::MAX - self.numbers);
         self.numbers += 1;
         let leader = self.leader.as_mut()?;
-        leader.ask(now, token, ask);
+        leader.handle_request(now, token, ask);
         let answers = self.leader.as_mut()?.take_answers();
         let (own, others): (Vec<_>, Vec<_>) = answers.into_iter().partition(|(t, _)| *t == token);
         self.deliver(others);
@@ -269,8 +272,8 @@
 
     /// Why a job failed, as its caller is told.
     pub fn reason(&mut self, id: JobId) -> Option<Box<str>> {
-        match self.ask(Ask::State { at: place(), id })? {
-            Answer::Failed(reason) => Some(reason),
+        match self.ask(CellRequest::State { at: place(), id })? {
+            CellResponse::Failed(reason) => Some(reason),
             _ => None,
         }
     }
@@ -337,7 +340,7 @@
             .collect();
         for id in missing {
             let spec = self.specs[&id].clone();
-            self.ask(Ask::Submit { at: place(), id, spec });
+            self.ask(CellRequest::Submit { at: place(), id, spec });
         }
     }
 
@@ -350,7 +353,7 @@
         if commands.is_empty() {
             return;
         }
-        leader.proposed(self.index + 1);
+        leader.batch_appended(self.index + 1);
         let wait = self.rng.random_range(5..60);
         let at = self.now + Duration::from_millis(wait);
         self.committing = Some(Committing { at, commands });
@@ -372,16 +375,16 @@
             }
             self.committed.apply(command.clone());
             if let Some(leader) = &mut self.leader {
-                leader.committed(now, self.index, command);
+                leader.apply_committed(now, self.index, command);
             }
         }
     }
 
-    fn deliver(&mut self, answers: Vec<(Token, Answer)>) {
+    fn deliver(&mut self, answers: Vec<(RequestToken, CellResponse)>) {
         for (token, answer) in answers {
-            let Some((slot, born_ms, sent)) = self.asked.remove(&token) else { continue };
-            if let Answer::Orders(orders) = answer {
-                self.send(Message::Orders { slot, born_ms, sent, orders });
+            let Some((slot, started_ms, sent)) = self.asked.remove(&token) else { continue };
+            if let CellResponse::Orders(orders) = answer {
+                self.send(Message::Orders { slot, started_ms, sent, orders });
             }
         }
     }
@@ -407,39 +410,39 @@
             }
             match entry.remove() {
                 Message::Report { slot, sent, report } => self.take_report(slot, sent, report),
-                Message::Orders { slot, born_ms, sent, orders } => {
-                    self.take_orders(slot, born_ms, sent, &orders);
+                Message::Orders { slot, started_ms, sent, orders } => {
+                    self.take_orders(slot, started_ms, sent, &orders);
                 }
             }
         }
     }
 
-    fn take_report(&mut self, slot: usize, sent: Moment, report: Box<Report>) {
+    fn take_report(&mut self, slot: usize, sent: Moment, report: Box<RunnerReport>) {
         let now = self.now();
-        let born = report.born_ms;
+        let born = report.started_ms;
         let Some(leader) = &mut self.leader else { return };
         self.numbers += 1;
-        let token = Token(self.numbers);
+        let token = RequestToken(self.numbers);
         self.asked.insert(token, (slot, born, sent));
-        leader.ask(now, token, Ask::Heartbeat(report));
+        leader.handle_request(now, token, CellRequest::Heartbeat(report));
         let answers = leader.take_answers();
         self.deliver(answers);
     }
 
-    fn take_orders(&mut self, slot: usize, born_ms: u64, sent: Moment, orders: &Orders) {
+    fn take_orders(&mut self, slot: usize, started_ms: u64, sent: Moment, orders: &RunnerOrders) {
         let now = self.now;
         let late = now.since(sent) > Duration::from_secs(1);
         let Some(runner) = self.slots[slot].runner.as_mut() else { return };
-        if runner.born_ms != born_ms || late {
+        if runner.started_ms != started_ms || late {
             return;
         }
         for start in &orders.start {
-            self.check_order(slot, start.task, &start.saved);
+            self.check_order(slot, start.task, &start.checkpoint);
         }
         let truths = &self.truths;
         let truth = |task: TaskKey| truths.get(&task.job)?.get(usize::from(task.step)).copied();
         let Some(runner) = self.slots[slot].runner.as_mut() else { return };
-        runner.obey(now, sent, orders, truth);
+        runner.apply_orders(now, sent, orders, truth);
         let pause = if orders.retry_after_ms == 0 { 500 } else { orders.retry_after_ms };
         self.slots[slot].next_report = now + Duration::from_millis(pause);
         self.observe(slot);
@@ -540,28 +543,28 @@
     /// Takes in what happened on a runner and checks it; true when a run ended.
     fn observe(&mut self, at: usize) -> bool {
         let Some(runner) = self.slots[at].runner.as_mut() else { return false };
-        let happened = runner.take_happened();
-        let started = happened.iter().any(|event| matches!(event, Happened::Started { .. }));
-        if started && !runner.has_room_for_all(self.now) {
-            let (taken, room) = (runner.taken(), runner.capacity);
+        let happened = runner.take_events();
+        let started = happened.iter().any(|event| matches!(event, RunnerEvent::Started { .. }));
+        if started && !runner.is_within_capacity(self.now) {
+            let (taken, room) = (runner.resources_in_use(), runner.capacity);
             self.broken.push(format!("w{at} is brought to {taken:?} of {room:?}"));
         }
         let mut ended = false;
         for event in happened {
             match event {
-                Happened::Started { task, run, at: when } => self.started(at, task, run, when),
-                Happened::Ended { task, run, how, at: when } => {
+                RunnerEvent::Started { task, run, at: when } => self.started(at, task, run, when),
+                RunnerEvent::Ended { task, run, outcome: how, at: when } => {
                     ended = true;
                     let slot = &mut self.slots[at];
                     slot.ends += 1;
                     slot.listed.insert(slot.ends, (task, run, how));
                     let past = self.past.entry(task).or_default();
-                    if how == How::Done {
+                    if how == RunOutcome::Done {
                         past.dones.push(Done { run, at: when, noted: None });
                     }
                 }
-                Happened::Noted(upto) => self.noted(at, upto),
-                Happened::Lapsed(_) => self.lapsed(at),
+                RunnerEvent::EndsAcknowledged(upto) => self.noted(at, upto),
+                RunnerEvent::LeaseExpired(_) => self.lapsed(at),
             }
         }
         ended
@@ -572,7 +575,7 @@
         self.rough = Rough::CALM;
         for slot in &mut self.slots {
             if let Some(runner) = &mut slot.runner {
-                runner.fault = Fault::None;
+                runner.fault = RunnerFault::None;
             }
         }
     }
@@ -587,7 +590,7 @@
     pub fn drain_within(&mut self, at: usize, span: Duration) {
         self.drain(at);
         if let Some(runner) = &mut self.slots[at].runner {
-            runner.leaves_at = Some(self.now + span);
+            runner.terminates_at = Some(self.now + span);
         }
     }
 
@@ -600,7 +603,7 @@
         self.slots[at].back_at = self.now + away;
     }
 
-    pub fn set_fault(&mut self, at: usize, fault: Fault) {
+    pub fn set_fault(&mut self, at: usize, fault: RunnerFault) {
         if let Some(runner) = &mut self.slots[at].runner {
             runner.fault = fault;
         }
@@ -620,7 +623,10 @@
 
     /// Runs that the log has ordered and that have not ended.
     pub fn committed_starts(&self) -> usize {
-        self.committed.lives().map(|(life, _)| self.committed.held(life).count()).sum()
+        self.committed
+            .incarnations()
+            .map(|(incarnation, _)| self.committed.assigned_runs(incarnation).count())
+            .sum()
     }
 
     /// Runners that have crashed and are not back.
@@ -667,8 +673,8 @@
     Resources { millicores: 16_000, memory_mib: 32_000, accelerators: 0 };
 pub const ATTEMPTS: u32 = 3;
 
-pub fn place() -> Place {
-    Place { host: "h".into(), path: "/q/".into() }
+pub fn place() -> QueueAddress {
+    QueueAddress { host: "h".into(), path: "/q/".into() }
 }
 
 pub fn change() -> ChangeSet {
@@ -688,7 +694,7 @@
 }
 
 /// A job of these steps, and what is true of their tasks.
-pub fn job(steps: Vec<(StepSpec, Truth)>) -> (JobSpec, Vec<Truth>) {
+pub fn job(steps: Vec<(StepSpec, TaskBehavior)>) -> (JobSpec, Vec<TaskBehavior>) {
     let (steps, truths): (Vec<_>, Vec<_>) = steps.into_iter().unzip();
     (JobSpec { payload: "work".into(), steps, schedule: None }, truths)
 }
@@ -699,14 +705,18 @@
 }
 
 /// A step and what is true of its tasks.
-pub fn step(count: u32, cores: u64, work_ms: u64) -> (StepSpec, Truth) {
+pub fn step(count: u32, cores: u64, work_ms: u64) -> (StepSpec, TaskBehavior) {
     let need = Resources { millicores: cores * 1_000, memory_mib: 1_000, accelerators: 0 };
     let spec = StepSpec { count, need, estimate_ms: work_ms, ..StepSpec::default() };
-    let truth = Truth { work: Duration::from_millis(work_ms), need, ..Truth::default() };
+    let truth = TaskBehavior {
+        run_time: Duration::from_millis(work_ms),
+        actual_usage: need,
+        ..TaskBehavior::default()
+    };
     (spec, truth)
 }
 
 /// The checkpoint that an emulated runner would tell.
 pub fn checkpoint(task: TaskKey, run: u32) -> Box<str> {
-    saved(task, run)
+    checkpoint_text(task, run)
 }
--- a/crates/coordination/tests/cell_outside.rs
+++ b/crates/coordination/tests/cell_outside.rs
@@ -11,9 +11,9 @@
 use desk::Desk;
 use std::time::Duration;
 use world::{CAPACITY, step};
-use yuccalink_coordination::jobs::outside::{Call, Machine, MachineState, Told};
-use yuccalink_coordination::jobs::{Answer, Ask};
-use yuccalink_fakes::emulator::{EmulatedRunner, Truth};
+use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply, Machine, MachineState};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
+use yuccalink_fakes::emulator::{EmulatedRunner, TaskBehavior};
 use yuccalink_state::jobs::change::Advisor;
 use yuccalink_state::jobs::{StepSpec, Wave};
 
@@ -21,8 +21,8 @@
 
 const TICK: Duration = Duration::from_millis(150);
 
-fn advice(runner: &str) -> Told {
-    Told::Advice { allowed: vec![(runner.into(), "ticket-7".into())], validity_ms: 3_000 }
+fn advice(runner: &str) -> ExternalReply {
+    ExternalReply::Advice { allowed: vec![(runner.into(), "ticket-7".into())], validity_ms: 3_000 }
 }
 
 /// The policy allows one runner of three. A start anywhere else, or without the
@@ -36,7 +36,7 @@
     assert!(desk.round().iter().all(|orders| orders.start.is_empty()), "no ticket yet");
     desk.pass(TICK);
     let (id, call) = desk.call().expect("a question");
-    let Call::Advise { runners, .. } = call else { panic!("{call:?}") };
+    let ExternalCall::Advise { runners, .. } = call else { panic!("{call:?}") };
     assert_eq!(runners.len(), 3);
     desk.told(id, advice("w1"));
     let orders = desk.round();
@@ -75,7 +75,7 @@
     let (id, _) = desk.call().expect("a question");
     desk.told(id, advice("w0"));
     let report = Box::new(desk.runners[0].report(desk.now));
-    let Answer::Orders(lost) = desk.ask(Ask::Heartbeat(report)) else { panic!() };
+    let CellResponse::Orders(lost) = desk.ask(CellRequest::Heartbeat(report)) else { panic!() };
     assert_eq!(lost.start.len(), 1);
     desk.pass(Duration::from_millis(2_500));
     assert!(desk.round()[0].start.is_empty());
@@ -85,19 +85,19 @@
     assert_eq!(desk.round()[0].start[0].run, 2);
 }
 
-fn lasting(count: u32, disruptions_max: Option<u32>) -> (StepSpec, Truth) {
+fn lasting(count: u32, disruptions_max: Option<u32>) -> (StepSpec, TaskBehavior) {
     let (spec, truth) = step(count, 8, 0);
     let spec = StepSpec { long_running: true, disruptions_max, ..spec };
-    (spec, Truth { lasts: true, ..truth })
+    (spec, TaskBehavior { long_running: true, ..truth })
 }
 
-fn machines(desk: &Desk, away: &[usize]) -> Told {
+fn machines(desk: &Desk, away: &[usize]) -> ExternalReply {
     let machine = |at: usize| Machine {
         name: format!("m{at}").into(),
         state: if away.contains(&at) { MachineState::Away } else { MachineState::Up },
         runner: Some(desk.runners[at].id.clone()),
     };
-    Told::Machines { machines: (0..desk.runners.len()).map(machine).collect(), next: None }
+    ExternalReply::Machines { machines: (0..desk.runners.len()).map(machine).collect(), next: None }
 }
 
 fn wave(machines: &[&str], at_once: u32) -> Wave {
@@ -118,10 +118,10 @@
         desk.pass(TICK);
         desk.round();
     }
-    assert_eq!(desk.ask(Ask::WaveStart(wave(&["m0", "m1"], 2))), Answer::Ok);
+    assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0", "m1"], 2))), CellResponse::Ok);
     desk.pass(TICK);
     let (id, call) = desk.call().expect("the list");
-    assert_eq!(call, Call::Machines { page: None });
+    assert_eq!(call, ExternalCall::Machines { page: None });
     desk.told(id, machines(&desk, &[]));
     desk.pass(TICK);
     let stops: usize = desk.round().iter().map(|orders| orders.stop.len()).sum();
@@ -132,33 +132,33 @@
 /// it is up again with another runner, and the same order again changes nothing.
 #[test]
 fn a_wave_is_done_when_its_machines_are_up_again() {
-    let mut desk = Desk::new(1, None, Truth::default());
+    let mut desk = Desk::new(1, None, TaskBehavior::default());
     desk.round();
-    assert_eq!(desk.ask(Ask::WaveStart(wave(&["m0"], 1))), Answer::Ok);
-    assert_eq!(desk.ask(Ask::WaveStart(wave(&["m0"], 1))), Answer::Ok);
+    assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0"], 1))), CellResponse::Ok);
+    assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0"], 1))), CellResponse::Ok);
     desk.pass(TICK);
     let (id, _) = desk.call().expect("the list");
     desk.told(id, machines(&desk, &[]));
     desk.pass(TICK);
     let (id, call) = desk.call().expect("an order");
-    let Call::Upkeep { machine, wave, holder, token } = call else { panic!("{call:?}") };
+    let ExternalCall::Upkeep { machine, wave, holder, token } = call else { panic!("{call:?}") };
     assert_eq!((&*machine, wave, &*holder, token), ("m0", 1, "e1", 3));
-    desk.told(id, Told::Later);
+    desk.told(id, ExternalReply::Later);
     desk.pass(Duration::from_secs(1));
     let calls = desk.leader.take_calls();
-    let again = calls.into_iter().find(|(_, call)| matches!(call, Call::Upkeep { .. }));
+    let again = calls.into_iter().find(|(_, call)| matches!(call, ExternalCall::Upkeep { .. }));
     let (id, _) = again.expect("it may not have been carried out, so it is given again");
-    desk.told(id, Told::Done);
-    assert_eq!(desk.ask(Ask::WaveState(1)), Answer::Wave { done: false });
+    desk.told(id, ExternalReply::Done);
+    assert_eq!(desk.ask(CellRequest::WaveState(1)), CellResponse::Wave { done: false });
     desk.runners[0] = EmulatedRunner::new("w9", "r1", 6, CAPACITY, desk.now);
     for _ in 0..8 {
         desk.pass(Duration::from_millis(800));
-        if let Some((id, Call::Machines { .. })) = desk.call() {
+        if let Some((id, ExternalCall::Machines { .. })) = desk.call() {
             desk.told(id, machines(&desk, &[]));
         }
     }
-    assert_eq!(desk.ask(Ask::WaveState(1)), Answer::Wave { done: true });
-    assert_eq!(desk.ask(Ask::WaveState(2)), Answer::Gone);
+    assert_eq!(desk.ask(CellRequest::WaveState(1)), CellResponse::Wave { done: true });
+    assert_eq!(desk.ask(CellRequest::WaveState(2)), CellResponse::Gone);
 }
 
 /// A report is held up on its way and comes after newer ones. It does not list a run
@@ -173,7 +173,9 @@
     desk.submit(vec![spec]);
     assert_eq!(desk.round()[0].start.len(), 1);
     desk.round();
-    let Answer::Orders(orders) = desk.ask(Ask::Heartbeat(Box::new(held_up))) else { panic!() };
+    let CellResponse::Orders(orders) = desk.ask(CellRequest::Heartbeat(Box::new(held_up))) else {
+        panic!()
+    };
     assert_eq!((orders.lease_ms, orders.start.len(), orders.stop.len()), (0, 0, 0));
 }
 
@@ -182,7 +184,7 @@
 #[test]
 fn a_second_try_goes_to_another_runner() {
     let (spec, truth) = step(1, 1, 100);
-    let mut desk = Desk::new(1, None, Truth { fails: true, ..truth });
+    let mut desk = Desk::new(1, None, TaskBehavior { fails: true, ..truth });
     desk.round();
     desk.submit(vec![spec]);
     assert_eq!(desk.round()[0].start.len(), 1);
--- a/crates/coordination/tests/crashes.rs
+++ b/crates/coordination/tests/crashes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use world::{Rough, World, job, key, step};
 use yuccalink_coordination::jobs::JobState;
-use yuccalink_fakes::emulator::{Crash, Truth};
+use yuccalink_fakes::emulator::{Crash, TaskBehavior};
 use yuccalink_state::jobs::{JobId, JobSpec};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -181,7 +181,7 @@
         world.crash(at, SECOND);
         world.run_for(SECOND * 3);
     }
-    let losses = world.leader.as_ref().map(|leader| leader.jobs().losses().is_empty());
+    let losses = world.leader.as_ref().map(|leader| leader.state().losses().is_empty());
     assert_eq!(losses, Some(true));
     world.assert_kept();
 }
@@ -192,7 +192,8 @@
     let mut world = World::new(13, 3, Rough::CALM);
     let (mut spec, truths) = job(vec![step(1, 2, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|truth| Truth { lasts: true, ..truth }).collect();
+    let truths =
+        truths.into_iter().map(|truth| TaskBehavior { long_running: true, ..truth }).collect();
     world.submit(JobId(1), spec, truths);
     for _ in 0..6 {
         world.run_for(SECOND * 14);
@@ -302,7 +303,7 @@
     let mut world = World::new(5, 12, Rough::CALM);
     let (mut spec, mut truths) = job(vec![step(1, 4, 60_000)]);
     spec.steps[0].long_running = true;
-    truths[0] = Truth { lasts: true, crash: Some(AT_ONCE), ..truths[0] };
+    truths[0] = TaskBehavior { long_running: true, crash: Some(AT_ONCE), ..truths[0] };
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 40);
     assert_eq!(world.state(JobId(1)), Some(JobState::Failed));
@@ -404,7 +405,7 @@
     }
     world.calm_down();
     world.run_for(SECOND * 60);
-    let sound = |steps: &Vec<Truth>| steps.iter().all(|truth| truth.crash.is_none());
+    let sound = |steps: &Vec<TaskBehavior>| steps.iter().all(|truth| truth.crash.is_none());
     for (id, truths) in world.truths.clone() {
         if sound(&truths) && world.is_open(id) {
             world.broken.push(format!("{id} never ended beside crashing tasks"));
@@ -414,14 +415,14 @@
     world.close_all(JOBS)
 }
 
-fn random_job(world: &mut World) -> (JobSpec, Vec<Truth>) {
+fn random_job(world: &mut World) -> (JobSpec, Vec<TaskBehavior>) {
     let mut steps = Vec::new();
     for at in 0..1 + world.draw(2) {
         let (count, cores) = (1 + world.draw(6), 1 + world.draw(5));
         let work = 100 + world.draw(2_500);
         let (mut spec, mut truth) = step(u32::try_from(count).unwrap_or(1), cores, work);
         if at > 0 && world.draw(2) == 0 {
-            spec.after = vec![u16::try_from(at - 1).unwrap_or(0)];
+            spec.depends_on = vec![u16::try_from(at - 1).unwrap_or(0)];
         }
         spec.checkpointing = world.draw(2) == 0;
         spec.gang = world.draw(8) == 0;
--- a/crates/coordination/tests/directory.rs
+++ b/crates/coordination/tests/directory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::directory::{Directory, SUSPECT_MIN, Usage};
-use yuccalink_coordination::entries::{Entries, Hello};
+use yuccalink_coordination::entries::{EntryReport, EntryTable};
 use yuccalink_state::id::{Incarnation, Name, Revision};
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 
@@ -53,18 +53,18 @@
     assert!(pieces > RUNNERS / MOST);
 }
 
-fn entry(now: Moment) -> Entries {
-    let mut entries = Entries::new(Moment::ZERO);
+fn entry(now: Moment) -> EntryTable {
+    let mut entries = EntryTable::new(Moment::ZERO);
     let name = Name::new("e1").expect("a name");
-    let hello = Hello {
+    let hello = EntryReport {
         name,
         incarnation: Incarnation(1),
-        callers: "127.0.0.1:8080".into(),
+        caller_address: "127.0.0.1:8080".into(),
         zone: Name::new("brno").expect("a name"),
-        acked: Revision(0),
+        acked_revision: Revision(0),
         draining: false,
     };
-    entries.hear(now, &hello);
+    entries.record_report(now, &hello);
     entries
 }
 
--- a/crates/coordination/tests/explain.rs
+++ b/crates/coordination/tests/explain.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use world::{place, step};
-use yuccalink_coordination::jobs::{Answer, Ask, Token};
-use yuccalink_fakes::emulator::{Fault, Truth};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse, RequestToken};
+use yuccalink_fakes::emulator::{RunnerFault, TaskBehavior};
 use yuccalink_state::jobs::{JobId, JobSpec};
 
 thread_local! {
@@ -57,8 +57,8 @@
     }
 }
 
-fn truth(work_ms: u64, fails: bool) -> Truth {
-    Truth { work: Duration::from_millis(work_ms), fails, ..Truth::default() }
+fn truth(work_ms: u64, fails: bool) -> TaskBehavior {
+    TaskBehavior { run_time: Duration::from_millis(work_ms), fails, ..TaskBehavior::default() }
 }
 
 fn rounds(desk: &mut Desk, count: u32) {
@@ -80,8 +80,12 @@
     let mut refused = None;
     for number in 1..20_000 {
         let (now, id) = (desk.clock(), JobId(number));
-        desk.leader.ask(now, Token(number), Ask::Submit { at: place(), id, spec: spec.clone() });
-        if let Some((_, Answer::Refused { after_ms })) = desk.leader.take_answers().pop() {
+        desk.leader.handle_request(
+            now,
+            RequestToken(number),
+            CellRequest::Submit { at: place(), id, spec: spec.clone() },
+        );
+        if let Some((_, CellResponse::Refused { after_ms })) = desk.leader.take_answers().pop() {
             refused = Some((id, after_ms));
             break;
         }
@@ -100,13 +104,13 @@
     keep_lines();
     let mut desk = Desk::new(2, None, truth(1_000, false));
     desk.round();
-    desk.runners[0].fault = Fault::Stands;
-    desk.runners[1].fault = Fault::Stands;
+    desk.runners[0].fault = RunnerFault::TasksStall;
+    desk.runners[1].fault = RunnerFault::TasksStall;
     let (spec, _) = step(1, 2, 1_000);
     desk.submit(vec![spec]);
     rounds(&mut desk, 2);
     let on = usize::from(desk.runners[0].running().next().is_none());
-    desk.runners[1 - on].fault = Fault::None;
+    desk.runners[1 - on].fault = RunnerFault::None;
     rounds(&mut desk, 30);
     let runner = &desk.runners[on].id;
     let lines = lines_of(JobId(1));
--- a/crates/coordination/tests/interference.rs
+++ b/crates/coordination/tests/interference.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::interference::{Filling, ImageKey, Interference};
-use yuccalink_coordination::jobs::swing::Swing;
+use yuccalink_coordination::jobs::interference::{BackgroundShare, ImageKey, Interference};
+use yuccalink_coordination::jobs::swing::MarginModel;
 
 const SERVING: usize = 5;
 const FILLS: usize = 9;
@@ -51,7 +51,7 @@
     let mut learnt = Interference::default();
     let (serves, fills) = images(&mut learnt);
     let mut seen_together = vec![vec![0; FILLS]; SERVING];
-    let mut owns: Vec<Swing> = (0..20).map(|_| Swing::new(Moment::ZERO)).collect();
+    let mut owns: Vec<MarginModel> = (0..20).map(|_| MarginModel::new(Moment::ZERO)).collect();
     for tick in 0..seconds * 5 {
         let now = Moment::from_millis(tick * 200);
         for (runner, own) in owns.iter_mut().enumerate() {
@@ -72,9 +72,9 @@
             }
             let noise = 1.0 + f64::from(rng.random_range(-100..=100)) / 1_000.0;
             let seen = truth.margin(serving, load, &beside) * noise;
-            let filling: Vec<Filling> = beside
+            let filling: Vec<BackgroundShare> = beside
                 .iter()
-                .map(|(fill, share)| Filling { image: fills[*fill], share: *share })
+                .map(|(fill, share)| BackgroundShare { image: fills[*fill], share: *share })
                 .collect();
             learnt.observe(serves[serving], own, seen, &filling, now);
         }
@@ -107,7 +107,8 @@
             if seen_together[s][f] < SEEN_MIN {
                 continue;
             }
-            let weight = learnt.taken(*serving, &[Filling { image: *fill, share: 1.0 }]);
+            let weight =
+                learnt.margin_loss(*serving, &[BackgroundShare { image: *fill, share: 1.0 }]);
             let hard = truth.press[s][f] > 1.0;
             all += 1;
             right += usize::from(hard == (weight > BOUND_TO_SHORTEST));
@@ -122,8 +123,8 @@
 fn a_swinging_load_is_blamed_on_nobody() {
     let mut learnt = Interference::default();
     let (serves, fills) = images(&mut learnt);
-    let mut own = Swing::new(Moment::ZERO);
-    let beside = [Filling { image: fills[0], share: 0.2 }];
+    let mut own = MarginModel::new(Moment::ZERO);
+    let beside = [BackgroundShare { image: fills[0], share: 0.2 }];
     for tick in 0..200_u64 {
         let load = 0.48 * (1.0 + 0.5 * (tick as f64 / 100.0 * std::f64::consts::TAU).sin());
         let margin = BOUND_TO_SHORTEST * (1.0 - load);
@@ -131,6 +132,6 @@
         let filling = if tick % 40 < 20 { &beside[..] } else { &[] };
         learnt.observe(serves[0], &mut own, margin, filling, now);
     }
-    let taken = learnt.taken(serves[0], &beside);
+    let taken = learnt.margin_loss(serves[0], &beside);
     assert!(taken < 0.5, "a margin of {taken} is blamed on it");
 }
--- a/crates/coordination/tests/lasting.rs
+++ b/crates/coordination/tests/lasting.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use world::{Rough, World, key, step};
 use yuccalink_coordination::jobs::JobState;
-use yuccalink_fakes::emulator::Truth;
+use yuccalink_fakes::emulator::TaskBehavior;
 use yuccalink_state::jobs::{JobId, JobSpec};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -20,7 +20,7 @@
     let (mut step, truth) = step(count, cores, 60_000);
     step.long_running = true;
     let spec = JobSpec { payload: "serve".into(), steps: vec![step], schedule: None };
-    world.submit(JobId(id), spec, vec![Truth { lasts: true, ..truth }]);
+    world.submit(JobId(id), spec, vec![TaskBehavior { long_running: true, ..truth }]);
 }
 
 fn submit_short(world: &mut World, id: u64, count: u32, cores: u64, work_ms: u64) {
--- a/crates/coordination/tests/lives.rs
+++ b/crates/coordination/tests/lives.rs
@@ -9,25 +9,25 @@
 mod desk;
 
 use desk::Desk;
-use yuccalink_coordination::jobs::{Answer, Ask, Report};
-use yuccalink_fakes::emulator::Truth;
-use yuccalink_state::jobs::{JobCommand, Life};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse, RunnerReport};
+use yuccalink_fakes::emulator::TaskBehavior;
+use yuccalink_state::jobs::{JobCommand, RunnerIncarnation};
 
-fn life(id: &str, address: &str, born_ms: u64) -> JobCommand {
-    JobCommand::Meet(Life { id: id.into(), born_ms, address: address.into() })
+fn incarnation(id: &str, address: &str, started_ms: u64) -> JobCommand {
+    JobCommand::Meet(RunnerIncarnation { id: id.into(), started_ms, address: address.into() })
 }
 
-fn lease_of(desk: &mut Desk, id: &str, address: &str, born_ms: u64) -> u64 {
-    let report = Report {
+fn lease_of(desk: &mut Desk, id: &str, address: &str, started_ms: u64) -> u64 {
+    let report = RunnerReport {
         runner: id.into(),
-        born_ms,
+        started_ms,
         sequence: 1,
         pool: "pool".into(),
         address: address.into(),
-        ..Report::default()
+        ..RunnerReport::default()
     };
-    match desk.ask(Ask::Heartbeat(Box::new(report))) {
-        Answer::Orders(orders) => orders.lease_ms,
+    match desk.ask(CellRequest::Heartbeat(Box::new(report))) {
+        CellResponse::Orders(orders) => orders.lease_ms,
         other => panic!("{other:?}"),
     }
 }
@@ -35,8 +35,9 @@
 /// A new leader refused a live runner every report, since its former address is another's now.
 #[test]
 fn a_runner_that_moved_is_taken_by_a_new_leader() {
-    let lives = vec![life("a", "x:1", 5), life("b", "x:1", 7), life("a", "y:1", 6)];
-    let mut desk = Desk::with(0, None, Truth::default(), lives);
+    let incarnations =
+        vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7), incarnation("a", "y:1", 6)];
+    let mut desk = Desk::with(0, None, TaskBehavior::default(), incarnations);
     assert!(lease_of(&mut desk, "a", "y:1", 6) > 0, "it lives, at another address");
     assert!(lease_of(&mut desk, "b", "x:1", 7) > 0);
     assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0, "this life of it is over");
@@ -45,8 +46,8 @@
 /// A late report of a life whose address another runner took gave it a lease again.
 #[test]
 fn a_life_is_over_once_its_name_or_address_is_anothers() {
-    let lives = vec![life("a", "x:1", 5), life("b", "x:1", 7)];
-    let mut desk = Desk::with(0, None, Truth::default(), lives);
+    let incarnations = vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7)];
+    let mut desk = Desk::with(0, None, TaskBehavior::default(), incarnations);
     assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0);
     assert!(lease_of(&mut desk, "b", "x:1", 7) > 0);
 }
--- a/crates/coordination/tests/neighbours.rs
+++ b/crates/coordination/tests/neighbours.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use world::step;
 use yuccalink_coordination::jobs::policy::{MatchingPolicy, Policy, Switch};
-use yuccalink_coordination::jobs::{LeaderConfig, Orders, Running};
-use yuccalink_fakes::emulator::Truth;
+use yuccalink_coordination::jobs::{LeaderConfig, ReportedRun, RunnerOrders};
+use yuccalink_fakes::emulator::TaskBehavior;
 use yuccalink_state::jobs::{JobCommand, JobId, PairWeight, StepSpec};
 
 const REPORT: Duration = Duration::from_millis(200);
@@ -30,7 +30,7 @@
 
 fn serving() -> StepSpec {
     let (spec, _) = step(1, 8, 60_000);
-    StepSpec { long_running: true, image: Some("front".into()), target_ms: BOUND_MS, ..spec }
+    StepSpec { long_running: true, image: Some("front".into()), tail_bound_ms: BOUND_MS, ..spec }
 }
 
 fn filling(count: u32, cores: u64, image: &str) -> StepSpec {
@@ -49,7 +49,11 @@
 }
 
 fn desk_deciding_by(policy: Policy, learnt: Vec<PairWeight>) -> Desk {
-    let truth = Truth { work: Duration::from_secs(60), lasts: true, ..Truth::default() };
+    let truth = TaskBehavior {
+        run_time: Duration::from_secs(60),
+        long_running: true,
+        ..TaskBehavior::default()
+    };
     let cfg = LeaderConfig { policy, ..LeaderConfig::default() };
     let mut desk = Desk::deciding_by(cfg, 1, None, truth, vec![JobCommand::Learn(learnt)]);
     desk.round();
@@ -62,12 +66,12 @@
     desk
 }
 
-fn tail(ms: u64) -> impl Fn(&Running) -> Option<u64> {
+fn tail(ms: u64) -> impl Fn(&ReportedRun) -> Option<u64> {
     move |run| (run.task.job == SERVING).then_some(ms)
 }
 
 /// Lets reports come for some time and returns all orders.
-fn watch(desk: &mut Desk, reports: u32, tail_ms: u64) -> Vec<Orders> {
+fn watch(desk: &mut Desk, reports: u32, tail_ms: u64) -> Vec<RunnerOrders> {
     let mut all = Vec::new();
     for _ in 0..reports {
         desk.pass(REPORT);
@@ -76,7 +80,7 @@
     all
 }
 
-fn starts_of(orders: &[Orders], job: JobId) -> usize {
+fn starts_of(orders: &[RunnerOrders], job: JobId) -> usize {
     orders.iter().flat_map(|orders| &orders.start).filter(|start| start.task.job == job).count()
 }
 
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -1,11 +1,11 @@
 //! Throttling under pressure: whom, when, and until when.
 
-use yuccalink_coordination::pressure::{Pressure, Turn};
-use yuccalink_state::command::{Apply, Placement, Submit, TaskEvent, TaskReport};
-use yuccalink_state::document::{Document, GivesUp, TaskClass, TaskKind};
+use yuccalink_coordination::pressure::{Pressure, PressureChange};
+use yuccalink_state::command::{Apply, Placement, TaskEvent, TaskReport, TaskSubmission};
+use yuccalink_state::document::{DisruptionTolerance, Document, TaskClass, TaskKind};
 use yuccalink_state::id::{Epoch, Incarnation, Name, TaskId, WorkerKey};
 use yuccalink_state::worker::WorkerSpec;
-use yuccalink_state::{Command, Machine, Resources};
+use yuccalink_state::{Command, Resources, StateMachine};
 
 const WORKER: WorkerKey = WorkerKey(0);
 
@@ -18,8 +18,8 @@
 }
 
 /// A worker of ten cores that runs one task of each kind given.
-fn machine(throttle: bool, classes: &[TaskClass]) -> Machine {
-    let mut machine = Machine::new();
+fn machine(throttle: bool, classes: &[TaskClass]) -> StateMachine {
+    let mut machine = StateMachine::new();
     let kinds = classes.iter().enumerate().map(|(at, class)| TaskKind {
         name: name(&format!("k{at}")),
         need: need(1000),
@@ -34,7 +34,7 @@
         peak: None,
         requests: [].into(),
         tasks: kinds.collect(),
-        gives_up: GivesUp { throttle, ..GivesUp::default() },
+        disruption_tolerance: DisruptionTolerance { throttle, ..DisruptionTolerance::default() },
     };
     let apply = Apply { document, text: "".into(), digest: [0; 32], author: "a".into() };
     machine.apply(Command::Apply(Box::new(apply)));
@@ -47,7 +47,7 @@
         zone: name("z"),
     })));
     for at in 0..classes.len() as u64 {
-        machine.apply(Command::Submit(Submit {
+        machine.apply(Command::Submit(TaskSubmission {
             key: at.to_string().into(),
             service: name("s"),
             kind: name(&format!("k{at}")),
@@ -64,7 +64,7 @@
     machine
 }
 
-fn throttled(pressure: &mut Pressure, machine: &Machine, used: u64) -> Vec<u64> {
+fn throttled(pressure: &mut Pressure, machine: &StateMachine, used: u64) -> Vec<u64> {
     pressure.note(machine, WORKER, used).0.iter().map(|throttle| throttle.task.0).collect()
 }
 
@@ -76,10 +76,10 @@
     let machine = machine(true, &[LatencyCritical, Batch, Batch]);
     let mut pressure = Pressure::default();
     assert!(throttled(&mut pressure, &machine, 8_900).is_empty(), "not yet");
-    assert_eq!(pressure.note(&machine, WORKER, 9_100).1, Some(Turn::Pressed));
+    assert_eq!(pressure.note(&machine, WORKER, 9_100).1, Some(PressureChange::Pressed));
     assert_eq!(throttled(&mut pressure, &machine, 9_100), [2, 3], "renewed at each word");
     assert_eq!(throttled(&mut pressure, &machine, 7_500), [2, 3], "not to and fro");
-    assert_eq!(pressure.note(&machine, WORKER, 6_900).1, Some(Turn::Eased));
+    assert_eq!(pressure.note(&machine, WORKER, 6_900).1, Some(PressureChange::Eased));
     assert!(throttled(&mut pressure, &machine, 8_000).is_empty());
 }
 
--- a/crates/coordination/tests/raft.rs
+++ b/crates/coordination/tests/raft.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::raft::{
-    Entry, Envelope, HardState, Member, Members, Payload, Persist, Raft, ReplicaId, Restored, Role,
-    SnapshotMeta,
+    Envelope, HardState, LogEntry, LogWrite, Member, Members, Payload, Raft, ReplicaId, Restored,
+    Role, SnapshotMeta,
 };
 use yuccalink_state::id::Name;
 
@@ -24,8 +24,8 @@
     hard: HardState,
     snapshot: SnapshotMeta,
     state: Vec<u64>,
-    entries: Vec<Entry>,
-    unsynced: VecDeque<Persist>,
+    entries: Vec<LogEntry>,
+    unsynced: VecDeque<LogWrite>,
 }
 
 impl Disk {
@@ -72,7 +72,7 @@
     Member { id, name: Name::new(&format!("e{seat}")).expect("a name"), address: "".into() }
 }
 
-fn number(entry: &Entry) -> Option<u64> {
+fn number(entry: &LogEntry) -> Option<u64> {
     match &entry.payload {
         Payload::Command(bytes) => Some(u64::from_le_bytes(bytes[..8].try_into().expect("eight"))),
         Payload::Empty | Payload::Members(_) => None,
@@ -104,12 +104,12 @@
             let id = world.new_node();
             world.seats.push(id);
         }
-        world.found();
+        world.bootstrap();
         world
     }
 
     /// Founds the system, as daemons do while all of them say that they have nothing.
-    fn found(&mut self) {
+    fn bootstrap(&mut self) {
         if self.nodes.values().any(|node| node.raft.as_ref().is_none_or(|raft| !raft.is_empty())) {
             return;
         }
@@ -117,7 +117,7 @@
         let first = self.seats[0];
         let at = self.clock(first);
         let founder = self.nodes.get_mut(&first).expect("a node").raft.as_mut().expect("up");
-        founder.found(Members { voters, learners: Vec::new() }, at);
+        founder.bootstrap(Members { voters, learners: Vec::new() }, at);
         self.carry_out(first);
     }
 
@@ -265,7 +265,7 @@
         }
     }
 
-    fn check_committed(&mut self, id: ReplicaId, index: u64, entry: &Entry) {
+    fn check_committed(&mut self, id: ReplicaId, index: u64, entry: &LogEntry) {
         let index = usize::try_from(index).expect("small");
         let value = Some(number(entry).unwrap_or(u64::MAX - entry.term));
         if self.log.len() <= index {
@@ -277,7 +277,7 @@
         }
     }
 
-    fn acknowledge(&mut self, id: ReplicaId, index: u64, entry: &Entry) {
+    fn acknowledge(&mut self, id: ReplicaId, index: u64, entry: &LogEntry) {
         if let Some((number_of, leader, term)) = self.waiting.get(&index).copied()
             && leader == id
             && entry.term == term
@@ -390,7 +390,7 @@
         }
         // A disk may be lost right after the repair of another, but not before.
         let repaired = |raft: &Raft| {
-            raft.is_settled()
+            raft.has_committed_in_term()
                 && raft.members_committed()
                 && self.seats.iter().all(|id| raft.members().is_voter(*id))
         };
@@ -413,7 +413,7 @@
                 let Some(raft) = &mut nodes.get_mut(&leader).expect("a node").raft else {
                     continue;
                 };
-                if !raft.is_settled() || raft.members().is_voter(id) {
+                if !raft.has_committed_in_term() || raft.members().is_voter(id) {
                     continue;
                 }
                 let mut members = raft.members().clone();
@@ -456,7 +456,7 @@
             6 => self.compact(id),
             14 => {
                 if let Some(raft) = &mut self.nodes.get_mut(&id).expect("a node").raft {
-                    raft.hand_over();
+                    raft.transfer_leadership();
                     self.carry_out(id);
                 }
             }
@@ -465,7 +465,7 @@
                 let down: Vec<ReplicaId> =
                     ids.into_iter().filter(|id| self.nodes[id].raft.is_none()).collect();
                 down.into_iter().for_each(|id| self.start(id));
-                self.found();
+                self.bootstrap();
             }
             _ => {}
         }
@@ -486,7 +486,7 @@
         let down: Vec<ReplicaId> =
             self.nodes.keys().copied().filter(|id| self.nodes[id].raft.is_none()).collect();
         down.into_iter().for_each(|id| self.start(id));
-        self.found();
+        self.bootstrap();
         self.step = Duration::from_millis(20);
         for _ in 0..400 {
             self.step();
--- a/crates/coordination/tests/raft_guards.rs
+++ b/crates/coordination/tests/raft_guards.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::raft::{
-    Entry, Envelope, HardState, Member, Members, Message, NotProposed, Payload, Raft, ReplicaId,
+    Envelope, HardState, LogEntry, Member, Members, Message, NotProposed, Payload, Raft, ReplicaId,
     Restored, Role, SnapshotMeta,
 };
 use yuccalink_state::id::Name;
@@ -27,14 +27,14 @@
     Members { voters: ids.iter().map(member).collect(), learners: Vec::new() }
 }
 
-fn entry(term: u64, number: u8) -> Entry {
-    Entry { term, payload: Payload::Command(Arc::from([number])) }
+fn entry(term: u64, number: u8) -> LogEntry {
+    LogEntry { term, payload: Payload::Command(Arc::from([number])) }
 }
 
 /// A replica of a system of three whose log holds entries of these terms after
 /// the one that names the members.
 fn replica(id: ReplicaId, term: u64, terms: &[u64]) -> Raft {
-    let first = Entry { term: 1, payload: Payload::Members(members(&[A, B, C])) };
+    let first = LogEntry { term: 1, payload: Payload::Members(members(&[A, B, C])) };
     let rest = terms.iter().zip(1u8..).map(|(term, number)| entry(*term, number));
     let entries = std::iter::once(first).chain(rest).collect();
     let hard = HardState { term, vote: None };
@@ -192,7 +192,7 @@
     let echo = at(900);
     step(&mut leader, at(901), B, Message::AppendReply { term, ok: true, index: 2, echo });
     assert!(leader.has_lease(at(902)));
-    assert!(leader.hand_over());
+    assert!(leader.transfer_leadership());
     assert!(!leader.has_lease(at(902)));
     let sent = settle(&mut leader, at(902));
     assert!(sent.iter().any(|e| e.to == B && matches!(e.message, Message::TakeOver { .. })));
--- a/crates/coordination/tests/roster.rs
+++ b/crates/coordination/tests/roster.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::raft::ReplicaId;
-use yuccalink_coordination::roster::{LEAD_FRESH, Lead, NodeInfo, Roster};
+use yuccalink_coordination::roster::{LEAD_FRESH, LeaderInfo, NodeInfo, PeerTable};
 
 const SEEDS: usize = 3;
 
@@ -20,7 +20,7 @@
         peer: address(at),
         control: None,
         replica: disk.then_some(ReplicaId(at as u64 + 1)),
-        may_found: disk,
+        may_bootstrap: disk,
     }
 }
 
@@ -29,26 +29,26 @@
 }
 
 /// Processes of a new cell, the first of them its seeds.
-fn rosters(disks: &[bool]) -> Vec<Roster> {
-    let roster = |(at, disk): (usize, &bool)| Roster::new(info(at, *disk), seeds(), true);
+fn rosters(disks: &[bool]) -> Vec<PeerTable> {
+    let roster = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
     disks.iter().enumerate().map(roster).collect()
 }
 
 /// `to` hears `from` itself, and what it says of the founder.
-fn hear(all: &mut [Roster], to: usize, from: usize, now: Moment) {
+fn hear(all: &mut [PeerTable], to: usize, from: usize, now: Moment) {
     let (me, founder) = (all[from].me.clone(), all[from].designated());
-    all[to].heard(me, now);
-    all[to].founder_told(founder, address(from));
+    all[to].record_peer(me, now);
+    all[to].record_bootstrapper(founder, address(from));
 }
 
-fn founders(all: &[Roster]) -> Vec<usize> {
+fn founders(all: &[PeerTable]) -> Vec<usize> {
     (0..all.len())
-        .filter(|at| all[*at].me.replica.is_some() && all[*at].should_found(true))
+        .filter(|at| all[*at].me.replica.is_some() && all[*at].should_bootstrap(true))
         .collect()
 }
 
-fn lead(at: usize, term: u64) -> Lead {
-    Lead { term, peer: address(at), control: None, serving: true }
+fn lead(at: usize, term: u64) -> LeaderInfo {
+    LeaderInfo { term, peer: address(at), control: None, serving: true }
 }
 
 proptest! {
@@ -90,14 +90,14 @@
 /// there is a cell. It must not found a second one beside the first.
 #[test]
 fn nobody_founds_after_the_first_start_or_beside_a_leader() {
-    let later = Roster::new(info(0, true), seeds(), false);
-    assert!(!later.should_found(true));
-    let mut first = Roster::new(info(0, true), seeds(), true);
-    assert!(first.should_found(true));
-    first.lead_told(lead(2, 4), address(5), Moment::ZERO);
-    assert!(!first.should_found(true));
-    first.lead_lost(address(2), "test");
-    assert!(!first.should_found(true), "a cell is there, though nobody leads it now");
+    let later = PeerTable::new(info(0, true), seeds(), false);
+    assert!(!later.should_bootstrap(true));
+    let mut first = PeerTable::new(info(0, true), seeds(), true);
+    assert!(first.should_bootstrap(true));
+    first.record_leader(lead(2, 4), address(5), Moment::ZERO);
+    assert!(!first.should_bootstrap(true));
+    first.clear_leader(address(2), "test");
+    assert!(!first.should_bootstrap(true), "a cell is there, though nobody leads it now");
 }
 
 /// A process that was cut off tells of a leader of an earlier term. Callers must not be
@@ -105,12 +105,12 @@
 #[test]
 fn an_earlier_leader_is_not_believed_in() {
     let now = Moment::from_millis(1_000);
-    let mut roster = Roster::new(info(3, false), seeds(), false);
-    roster.lead_told(lead(1, 5), address(1), now);
+    let mut roster = PeerTable::new(info(3, false), seeds(), false);
+    roster.record_leader(lead(1, 5), address(1), now);
     assert!(roster.lead().is_some_and(|lead| lead.serving), "it says so itself");
-    roster.lead_told(lead(0, 4), address(0), now);
+    roster.record_leader(lead(0, 4), address(0), now);
     assert_eq!(roster.lead().map(|lead| lead.peer), Some(address(1)));
-    roster.lead_told(lead(2, 6), address(0), now);
+    roster.record_leader(lead(2, 6), address(0), now);
     let told = roster.lead().expect("a leader");
     assert_eq!((told.peer, told.serving), (address(2), false));
 }
@@ -120,10 +120,10 @@
 #[test]
 fn a_silent_leader_is_dropped() {
     let mut now = Moment::from_millis(1_000);
-    let mut roster = Roster::new(info(3, false), seeds(), false);
-    roster.lead_told(lead(1, 5), address(1), now);
+    let mut roster = PeerTable::new(info(3, false), seeds(), false);
+    roster.record_leader(lead(1, 5), address(1), now);
     now = now + LEAD_FRESH;
-    roster.lead_told(lead(1, 5), address(0), now);
+    roster.record_leader(lead(1, 5), address(0), now);
     roster.tick(now);
     assert!(roster.lead().is_some(), "it may still answer");
     roster.tick(now + Duration::from_millis(1));
--- a/crates/coordination/tests/router.rs
+++ b/crates/coordination/tests/router.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::router::{
-    Admission, Arrival, Ended, Grant, Refusal, Router, Standing, Ticket,
+    Admission, Grant, Refusal, Router, RoutingRequest, RunnerOutcome, Standing, Ticket,
 };
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::RunnerSpec;
@@ -29,19 +29,20 @@
 fn router(runners: u32, slots: u32) -> Router {
     let mut router = Router::new(name("z"));
     for at in 0..runners {
-        router.own(Moment::ZERO, runner(at, slots), 0, &mut Vec::new());
+        router.add_runner(Moment::ZERO, runner(at, slots), 0, &mut Vec::new());
     }
     router
 }
 
 fn admit(router: &mut Router, now: Moment, worth: u32, wait: Duration) -> Admission {
     let service = name("q");
-    router.admit(now, Arrival { service: &service, deadline: now + wait, worth, avoid: None })
+    router
+        .admit(now, RoutingRequest { service: &service, deadline: now + wait, worth, avoid: None })
 }
 
 fn granted(router: &mut Router, now: Moment) -> Grant {
     match admit(router, now, 1, Duration::from_secs(9)) {
-        Admission::Go(grant) => grant,
+        Admission::Granted(grant) => grant,
         other => panic!("{other:?}"),
     }
 }
@@ -55,7 +56,7 @@
     for at in 0..2000 {
         let now = Moment::from_millis(at);
         let grant = granted(&mut router, now);
-        router.release(now, grant, Ended::Failed, &mut Vec::new());
+        router.release(now, grant, RunnerOutcome::Failed, &mut Vec::new());
     }
     let ejected = router.runners().filter(|r| matches!(r.standing, Standing::Ejected(_))).count();
     assert_eq!(ejected, 3);
@@ -73,12 +74,14 @@
     }
     let bad = held[0].runner;
     for grant in held.drain(..) {
-        let ended = if grant.runner == bad { Ended::Failed } else { Ended::Answered };
+        let ended =
+            if grant.runner == bad { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
         router.release(now, grant, ended, &mut Vec::new());
     }
     for _ in 0..8 {
         let grant = granted(&mut router, now);
-        let ended = if grant.runner == bad { Ended::Failed } else { Ended::Answered };
+        let ended =
+            if grant.runner == bad { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
         router.release(now, grant, ended, &mut Vec::new());
     }
     let Standing::Ejected(until) = router.runner(bad).expect("a runner").standing else {
@@ -87,7 +90,7 @@
     let grants: Vec<Grant> = (0..5).map(|_| granted(&mut router, until)).collect();
     let probes: Vec<&Grant> = grants.iter().filter(|grant| grant.runner == bad).collect();
     assert_eq!(probes.len(), 1);
-    router.release(until, *probes[0], Ended::Answered, &mut Vec::new());
+    router.release(until, *probes[0], RunnerOutcome::Answered, &mut Vec::new());
     assert_eq!(router.runner(bad).expect("a runner").standing, Standing::Open);
 }
 
@@ -100,7 +103,7 @@
     for _ in 0..40 {
         let grant = granted(&mut router, now);
         now = now + Duration::from_millis(100);
-        router.release(now, grant, Ended::Answered, &mut Vec::new());
+        router.release(now, grant, RunnerOutcome::Answered, &mut Vec::new());
     }
     granted(&mut router, now);
     let late = admit(&mut router, now, 1, Duration::from_millis(50));
@@ -123,14 +126,14 @@
 #[test]
 fn slots_of_a_former_owner_stay_reserved() {
     let mut router = Router::new(name("z"));
-    router.own(Moment::ZERO, runner(0, 8), 4, &mut Vec::new());
+    router.add_runner(Moment::ZERO, runner(0, 8), 4, &mut Vec::new());
     let now = Moment::from_millis(1);
     for _ in 0..4 {
         granted(&mut router, now);
     }
     assert!(matches!(admit(&mut router, now, 1, Duration::from_secs(9)), Admission::Wait(_)));
     let mut turns = Vec::new();
-    router.reported(now, &name("r0"), 7, &mut turns);
+    router.update_busy_count(now, &name("r0"), 7, &mut turns);
     assert_eq!(turns.len(), 1);
 }
 
@@ -176,14 +179,14 @@
             match act {
                 Act::Arrive(worth, wait) => {
                     match admit(&mut router, now, worth, Duration::from_millis(wait)) {
-                        Admission::Go(grant) => held.push(grant),
+                        Admission::Granted(grant) => held.push(grant),
                         Admission::Wait(ticket) => waiting.push(ticket),
                         Admission::Refuse(..) => {}
                     }
                 }
                 Act::End(at, how) if !held.is_empty() => {
                     let grant = held.swap_remove(at.index(held.len()));
-                    let ended = [Ended::Answered, Ended::Failed, Ended::Abandoned][usize::from(how)];
+                    let ended = [RunnerOutcome::Answered, RunnerOutcome::Failed, RunnerOutcome::Abandoned][usize::from(how)];
                     router.release(now, grant, ended, &mut turns);
                 }
                 Act::Abandon(at) if !waiting.is_empty() => {
@@ -192,9 +195,9 @@
                 }
                 Act::Own(at, count) => {
                     let spec = runner(at, count);
-                    router.own(now, spec, 0, &mut turns);
+                    router.add_runner(now, spec, 0, &mut turns);
                 }
-                Act::Close(at) => router.close(&name(&format!("r{at}"))),
+                Act::Close(at) => router.stop_routing_to(&name(&format!("r{at}"))),
                 Act::Pass(ms) => now = now + Duration::from_millis(ms),
                 Act::End(..) | Act::Abandon(_) => {}
             }
--- a/crates/coordination/tests/scale.rs
+++ b/crates/coordination/tests/scale.rs
@@ -12,7 +12,7 @@
 
 use desk::Desk;
 use std::time::Duration;
-use yuccalink_fakes::emulator::Truth;
+use yuccalink_fakes::emulator::TaskBehavior;
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{JobId, StepSpec};
 
@@ -29,7 +29,11 @@
 
 /// A pool of `runners` on which each job that waits finds no room, after all had their turn.
 fn full_pool(runners: usize, waiting: &StepSpec) -> Desk {
-    let truth = Truth { work: SECOND * 600, need: work(12).need, ..Truth::default() };
+    let truth = TaskBehavior {
+        run_time: SECOND * 600,
+        actual_usage: work(12).need,
+        ..TaskBehavior::default()
+    };
     let mut desk = Desk::new(runners, None, truth);
     desk.round();
     desk.submit_as(JobId(1), vec![StepSpec { count: runners as u32, ..work(12) }]);
@@ -45,14 +49,14 @@
 }
 
 /// Runners looked at in a second of reports, beside those that report.
-fn looked_at(runners: usize, waiting: &StepSpec) -> u64 {
+fn runners_scanned(runners: usize, waiting: &StepSpec) -> u64 {
     let mut desk = full_pool(runners, waiting);
-    let before = desk.leader.counts().looked_at;
+    let before = desk.leader.counts().runners_scanned;
     for _ in 0..LOOKS {
         desk.round();
         desk.pass(Duration::from_millis(250));
     }
-    desk.leader.counts().looked_at - before
+    desk.leader.counts().runners_scanned - before
 }
 
 /// A leader with thousands of runners spent its processor on why jobs wait, not on starting them.
@@ -61,7 +65,7 @@
     let too_large = work(8);
     let nobody_may = StepSpec { required_label: Some("none-has-it".into()), ..work(1) };
     for waiting in [too_large, nobody_may] {
-        let (small, large) = (looked_at(POOL, &waiting), looked_at(POOL * 4, &waiting));
+        let (small, large) = (runners_scanned(POOL, &waiting), runners_scanned(POOL * 4, &waiting));
         let once_a_look = LOOKS * 3 * POOL as u64;
         assert!(large <= small + once_a_look, "{small} looks at {POOL} runners, then {large}");
     }
--- a/crates/coordination/tests/swing.rs
+++ b/crates/coordination/tests/swing.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::jobs::interference::{ImageKey, Interference};
-use yuccalink_coordination::jobs::swing::{Loads, Swing};
+use yuccalink_coordination::jobs::swing::{MarginForecasts, MarginModel};
 
 const BOUND_TO_SHORTEST: f64 = 6.0;
 const REPORT_MS: u64 = 200;
@@ -25,12 +25,12 @@
 }
 
 /// Plays jobs with a period and returns what was learnt of them after some seconds.
-fn play(seed: u64, period_s: f64, seconds: u64) -> (Loads<u32>, Vec<f64>) {
+fn play(seed: u64, period_s: f64, seconds: u64) -> (MarginForecasts<u32>, Vec<f64>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let phases: Vec<f64> = (0..12).map(|_| rng.random::<f64>()).collect();
     let mut learnt = Interference::default();
     let serves: ImageKey = learnt.image("serves");
-    let mut loads = Loads::default();
+    let mut loads = MarginForecasts::default();
     for tick in 1..=seconds * 1_000 / REPORT_MS {
         let now = Moment::from_millis(tick * REPORT_MS);
         let seen_s = (tick * REPORT_MS) as f64 / 1_000.0 - FIGURE_AGE_S;
@@ -49,12 +49,12 @@
 }
 
 /// Mean error of the forecasts, and of taking the margin of now for that of then.
-fn errors(loads: &Loads<u32>, phases: &[f64], period_s: f64, now_s: u64) -> (f64, f64) {
+fn errors(loads: &MarginForecasts<u32>, phases: &[f64], period_s: f64, now_s: u64) -> (f64, f64) {
     let now = Moment::from_millis(now_s * 1_000);
     let then_s = now_s as f64 + AHEAD.as_secs_f64();
     let (mut forecast, mut naive) = (0.0, 0.0);
     for (job, phase) in phases.iter().enumerate() {
-        let swing: &Swing = loads.get(u32::try_from(job).unwrap()).unwrap();
+        let swing: &MarginModel = loads.get(u32::try_from(job).unwrap()).unwrap();
         let truth = margin(period_s, *phase, then_s);
         forecast += (swing.margin_at(now + AHEAD) - truth).abs();
         naive += (margin(period_s, *phase, now_s as f64) - truth).abs();
@@ -101,12 +101,12 @@
 fn a_steady_load_stays_steady() {
     let mut learnt = Interference::default();
     let serves = learnt.image("serves");
-    let mut swing = Swing::new(Moment::ZERO);
+    let mut swing = MarginModel::new(Moment::ZERO);
     for tick in 1..=200 {
         let now = Moment::from_millis(tick * REPORT_MS);
         learnt.observe(serves, &mut swing, 2.0, &[], now);
     }
     let now = Moment::from_millis(200 * REPORT_MS);
-    let least = swing.least(now, Duration::from_secs(10));
+    let least = swing.min_margin(now, Duration::from_secs(10));
     assert!(least > 1.8, "{least}");
 }
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yuccalink_coordination::raft::{Member, Members, ReplicaId};
-use yuccalink_coordination::voters::{self, Disk, View};
+use yuccalink_coordination::voters::{self, Disk, MembershipView};
 use yuccalink_state::id::Name;
 
 fn member(id: u64, address: &str) -> Member {
@@ -16,12 +16,12 @@
 }
 
 /// A leader with disk 1 that hears all of `disks`.
-fn view(voters: &[u64], learners: &[u64], disks: Vec<Disk>) -> View {
+fn view(voters: &[u64], learners: &[u64], disks: Vec<Disk>) -> MembershipView {
     let all = |ids: &[u64]| ids.iter().map(|id| member(*id, &format!("a{id}"))).collect();
     let members = Members { voters: all(voters), learners: all(learners) };
     let silent = members.all().map(|m| (m.id, Duration::ZERO)).collect();
     let caught_up = members.all().map(|m| m.id).collect();
-    View { members, own: ReplicaId(1), disks, silent, caught_up }
+    MembershipView { members, own: ReplicaId(1), disks, silent, caught_up }
 }
 
 fn disks(ids: &[u64]) -> Vec<Disk> {
@@ -29,7 +29,7 @@
 }
 
 /// Takes every step that is offered, each as if committed.
-fn settle(mut view: View, wanted: usize) -> View {
+fn settle(mut view: MembershipView, wanted: usize) -> MembershipView {
     for _ in 0..50 {
         let Some((members, _)) = voters::next(&view, wanted) else { return view };
         let changed = |members: &Members| {
@@ -162,7 +162,7 @@
 /// Where a change of voters stands: what the leader sees, and which disks are lost.
 #[derive(Clone)]
 struct Repair {
-    view: View,
+    view: MembershipView,
     lost: Vec<ReplicaId>,
     cut_off: Vec<ReplicaId>,
     next_id: u64,
--- a/crates/daemon/benches/memory.rs
+++ b/crates/daemon/benches/memory.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 use yuccalink_daemon::{Config, Daemon};
 use yuccalink_fakes::Caller;
-use yuccalink_state::log::{Frame, Hard};
+use yuccalink_state::log::{LogFrame, TermAndVote};
 use yuccalink_state::{Command, Store, store};
 
 const CONNECTIONS: usize = 2000;
@@ -67,8 +67,8 @@
         let started = Instant::now();
         for _ in 0..count / group {
             let records = (0..group).map(|_| (1, record.clone())).collect();
-            let hard = Hard { term: 1, vote: 1 };
-            store.append(&Frame { hard, first: store.last() + 1, records })?;
+            let hard = TermAndVote { term: 1, vote: 1 };
+            store.append(&LogFrame { hard, first: store.last() + 1, records })?;
         }
         let rate = count as f64 / started.elapsed().as_secs_f64();
         let bytes = store.counts().bytes as f64 / store.counts().records as f64;
@@ -78,7 +78,11 @@
     let (mut store, _) = Store::open(folder.path(), 1)?;
     for _ in 0..RECORDS / 500 {
         let records = (0..500).map(|_| (1, record.clone())).collect();
-        store.append(&Frame { hard: Hard::default(), first: store.last() + 1, records })?;
+        store.append(&LogFrame {
+            hard: TermAndVote::default(),
+            first: store.last() + 1,
+            records,
+        })?;
     }
     drop(store);
     let started = Instant::now();
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -15,8 +15,8 @@
     Announce, Applied, CancelTasks, Heartbeat, LIST_MAX, Leave, SubmitTasks,
 };
 use yuccalink_protocol::document;
-use yuccalink_protocol::peer::{Answer, Ask, TaskFilter};
-use yuccalink_protocol::problem::{Kind, Problem, Ran};
+use yuccalink_protocol::peer::{LeaderRequest, LeaderResponse, TaskFilter};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind};
 use yuccalink_protocol::request::{IDEMPOTENCY_KEY, check_key};
 use yuccalink_state::id::{BadTaskId, Name, TaskId};
 use yuccalink_transport::http::{HeaderMap, Method, StatusCode, request::Parts};
@@ -75,7 +75,7 @@
             ["v1", "decisions"] => self.decisions(&asked).await,
             ["v1", "snapshot"] => {
                 only_get(&asked)?;
-                self.pass(Ask::Snapshot).await
+                self.pass(LeaderRequest::Snapshot).await
             }
             _ => Err(no_path(head.uri.path())),
         }
@@ -98,12 +98,12 @@
     async fn targets(&self, asked: Asked<'_>) -> Response {
         let path = asked.path.clone();
         match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "targets"]) => self.pass(Ask::Targets).await,
+            ("GET", ["v1", "targets"]) => self.pass(LeaderRequest::Targets).await,
             ("POST", ["v1", "targets"]) => {
                 let announce: Announce = json(asked.body).await?;
                 let (target, busy) = announce.into_parts();
                 check_target(&target)?;
-                self.pass(Ask::Announce { target, busy }).await
+                self.pass(LeaderRequest::Announce { target, busy }).await
             }
             ("POST", ["v1", "targets", name, "heartbeat"]) => {
                 let name = named(name)?;
@@ -112,14 +112,14 @@
                 if held > LIST_MAX || beat.reports.len() > LIST_MAX {
                     let what =
                         format!("more than {LIST_MAX} items in a list; send several heartbeats");
-                    return Err(Problem::new(Kind::TooLarge, Ran::NotRun, what));
+                    return Err(Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, what));
                 }
-                self.pass(Ask::Heartbeat { name, beat }).await
+                self.pass(LeaderRequest::Heartbeat { name, beat }).await
             }
             ("POST", ["v1", "targets", name, "leave"]) => {
                 let name = named(name)?;
                 let leave: Leave = json(asked.body).await?;
-                self.pass(Ask::Leave { name, incarnation: leave.incarnation }).await
+                self.pass(LeaderRequest::Leave { name, incarnation: leave.incarnation }).await
             }
             _ => Err(no_method(&asked)),
         }
@@ -128,8 +128,10 @@
     async fn services(&self, asked: Asked<'_>) -> Response {
         let path = asked.path.clone();
         match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "services"]) => self.pass(Ask::Services).await,
-            ("GET", ["v1", "services", name]) => self.pass(Ask::Service(named(name)?)).await,
+            ("GET", ["v1", "services"]) => self.pass(LeaderRequest::Services).await,
+            ("GET", ["v1", "services", name]) => {
+                self.pass(LeaderRequest::Service(named(name)?)).await
+            }
             ("PUT", ["v1", "services", name]) => self.apply(named(name)?, asked).await,
             ("POST", ["v1", "services", name, "check"]) => {
                 read_document(&named(name)?, asked.body).await?;
@@ -144,8 +146,8 @@
         let author = asked.headers.get(AUTHOR).and_then(|value| value.to_str().ok());
         let author = author.filter(|text| text.len() <= 255).unwrap_or("unnamed").into();
         let text = read_document(&name, asked.body).await?;
-        match self.shared.ask(Ask::Apply { text, author }).await {
-            Answer::Applied(mut applied) => {
+        match self.shared.ask(LeaderRequest::Apply { text, author }).await {
+            LeaderResponse::Applied(mut applied) => {
                 if wait {
                     self.wait_in_force(&mut applied).await;
                 }
@@ -158,8 +160,8 @@
     async fn wait_in_force(&self, applied: &mut Applied) {
         let until = Instant::now() + FORCE_WAIT;
         while Instant::now() < until {
-            match self.shared.ask(Ask::InForce { revision: applied.revision }).await {
-                Answer::InForce { everywhere, waiting_for } => {
+            match self.shared.ask(LeaderRequest::InForce { revision: applied.revision }).await {
+                LeaderResponse::InForce { everywhere, waiting_for } => {
                     applied.in_force_everywhere = everywhere;
                     applied.waiting_for = waiting_for;
                     if everywhere {
@@ -174,19 +176,19 @@
     async fn tasks(&self, asked: Asked<'_>) -> Response {
         let path = asked.path.clone();
         match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "tasks"]) => self.pass(Ask::Tasks(filter(asked.query)?)).await,
+            ("GET", ["v1", "tasks"]) => self.pass(LeaderRequest::Tasks(filter(asked.query)?)).await,
             ("POST", ["v1", "tasks"]) => {
                 let key = self.submission_key(asked.headers)?;
                 let tasks: SubmitTasks = json(asked.body).await?;
-                self.pass(Ask::Submit { key, tasks }).await
+                self.pass(LeaderRequest::Submit { key, tasks }).await
             }
             ("POST", ["v1", "tasks", "cancel"]) => {
                 let cancel: CancelTasks = json(asked.body).await?;
-                self.pass(Ask::Cancel(cancel.tasks)).await
+                self.pass(LeaderRequest::Cancel(cancel.tasks)).await
             }
-            ("GET", ["v1", "tasks", id]) => self.pass(Ask::Task(task_id(id)?)).await,
+            ("GET", ["v1", "tasks", id]) => self.pass(LeaderRequest::Task(task_id(id)?)).await,
             ("POST", ["v1", "tasks", id, "cancel"]) => {
-                self.pass(Ask::Cancel(vec![task_id(id)?])).await
+                self.pass(LeaderRequest::Cancel(vec![task_id(id)?])).await
             }
             _ => Err(no_method(&asked)),
         }
@@ -195,9 +197,9 @@
     /// Without a key a submission that is sent again adds tasks again.
     fn submission_key(&self, headers: &HeaderMap) -> Result<Box<str>, Problem> {
         match headers.get(IDEMPOTENCY_KEY) {
-            Some(value) => check_key(value.as_bytes())
-                .map(Into::into)
-                .map_err(|bad| Problem::new(Kind::BadRequest, Ran::NotRun, bad.to_string())),
+            Some(value) => check_key(value.as_bytes()).map(Into::into).map_err(|bad| {
+                Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+            }),
             None => {
                 let mut rng = self.rng.borrow_mut();
                 Ok(format!("drawn-{:016x}{:016x}", rng.next_u64(), rng.next_u64()).into())
@@ -207,8 +209,8 @@
 
     async fn status(&self, asked: &Asked<'_>) -> Response {
         only_get(asked)?;
-        match self.shared.ask(Ask::Status).await {
-            Answer::Status(mut status) => {
+        match self.shared.ask(LeaderRequest::Status).await {
+            LeaderResponse::Status(mut status) => {
                 status.entry = self.shared.config.name.clone();
                 Ok(reply::json(StatusCode::OK, &status))
             }
@@ -220,7 +222,7 @@
     async fn decisions(&self, asked: &Asked<'_>) -> Response {
         only_get(asked)?;
         let mut all = self.shared.decisions.list();
-        if let Answer::Decisions(others) = self.shared.ask(Ask::Decisions).await {
+        if let LeaderResponse::Decisions(others) = self.shared.ask(LeaderRequest::Decisions).await {
             let own = &self.shared.config.name;
             all.extend(others.into_iter().filter(|decision| decision.entry != *own));
         }
@@ -228,32 +230,36 @@
         Ok(reply::json(StatusCode::OK, &all))
     }
 
-    async fn pass(&self, ask: Ask) -> Response {
+    async fn pass(&self, ask: LeaderRequest) -> Response {
         answer(self.shared.ask(ask).await)
     }
 }
 
-fn answer(answer: Answer) -> Response {
+fn answer(answer: LeaderResponse) -> Response {
     let ok = StatusCode::OK;
     Ok(match answer {
-        Answer::Applied(value) => reply::json(ok, &value),
-        Answer::InForce { everywhere, waiting_for } => reply::json(
+        LeaderResponse::Applied(value) => reply::json(ok, &value),
+        LeaderResponse::InForce { everywhere, waiting_for } => reply::json(
             ok,
             &serde_json::json!({ "everywhere": everywhere, "waiting-for": waiting_for }),
         ),
-        Answer::Services(value) => reply::json(ok, &value),
-        Answer::Service(value) => reply::json(ok, &value),
-        Answer::Submitted(value) => reply::json(StatusCode::ACCEPTED, &value),
-        Answer::Cancelled(value) => reply::json(ok, &value),
-        Answer::Task(value) => reply::json(ok, &value),
-        Answer::Tasks(value) => reply::json(ok, &value),
-        Answer::Welcome(value) => reply::json(ok, &value),
-        Answer::Request(_) | Answer::Done => reply::json(ok, &serde_json::json!({ "ok": true })),
-        Answer::Status(value) => reply::json(ok, &value),
-        Answer::Targets(value) => reply::json(ok, &value),
-        Answer::Decisions(value) => reply::json(ok, &value),
-        Answer::Snapshot(bytes) => reply::with_body(ok, "application/octet-stream", bytes.into()),
-        Answer::Problem(problem) => return Err(problem),
+        LeaderResponse::Services(value) => reply::json(ok, &value),
+        LeaderResponse::Service(value) => reply::json(ok, &value),
+        LeaderResponse::Submitted(value) => reply::json(StatusCode::ACCEPTED, &value),
+        LeaderResponse::Cancelled(value) => reply::json(ok, &value),
+        LeaderResponse::Task(value) => reply::json(ok, &value),
+        LeaderResponse::Tasks(value) => reply::json(ok, &value),
+        LeaderResponse::Welcome(value) => reply::json(ok, &value),
+        LeaderResponse::Request(_) | LeaderResponse::Done => {
+            reply::json(ok, &serde_json::json!({ "ok": true }))
+        }
+        LeaderResponse::Status(value) => reply::json(ok, &value),
+        LeaderResponse::Targets(value) => reply::json(ok, &value),
+        LeaderResponse::Decisions(value) => reply::json(ok, &value),
+        LeaderResponse::Snapshot(bytes) => {
+            reply::with_body(ok, "application/octet-stream", bytes.into())
+        }
+        LeaderResponse::Problem(problem) => return Err(problem),
     })
 }
 
@@ -265,24 +271,28 @@
     serde_json::from_slice(&bytes).map_err(|error| {
         let what =
             format!("the body is not the JSON expected here: {error}; see docs/PROTOCOLS.md");
-        Problem::new(Kind::BadRequest, Ran::NotRun, what)
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what)
     })
 }
 
 async fn bytes(body: RequestBody) -> Result<bytes::Bytes, Problem> {
     read_body(body, BODY_MAX, BODY_TIME).await.map_err(|bad| {
         let kind = match bad {
-            yuccalink_transport::server::BadBody::TooLarge(_) => Kind::TooLarge,
-            _ => Kind::BadRequest,
+            yuccalink_transport::server::RequestBodyError::TooLarge(_) => ProblemKind::TooLarge,
+            _ => ProblemKind::BadRequest,
         };
-        Problem::new(kind, Ran::NotRun, bad.to_string())
+        Problem::new(kind, ExecutionStatus::NotRun, bad.to_string())
     })
 }
 
 async fn read_document(name: &Name, body: RequestBody) -> Result<Box<str>, Problem> {
     let bytes = bytes(body).await?;
     let text = std::str::from_utf8(&bytes).map_err(|_| {
-        Problem::new(Kind::BadRequest, Ran::NotRun, "the document is not UTF-8; save it as UTF-8")
+        Problem::new(
+            ProblemKind::BadRequest,
+            ExecutionStatus::NotRun,
+            "the document is not UTF-8; save it as UTF-8",
+        )
     })?;
     let document = document::read(text).map_err(|faults| unacceptable_document(&faults))?;
     if document.service != *name {
@@ -290,14 +300,15 @@
             "the document is for `{}` and was sent for `{name}`; make both the same",
             document.service
         );
-        return Err(Problem::new(Kind::Unacceptable, Ran::NotRun, what));
+        return Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what));
     }
     Ok(text.into())
 }
 
 fn check_target(target: &yuccalink_state::target::TargetSpec) -> Result<(), Problem> {
     use yuccalink_state::target::TargetSpec;
-    let unacceptable = |what: &str| Err(Problem::new(Kind::Unacceptable, Ran::NotRun, what));
+    let unacceptable =
+        |what: &str| Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what));
     if target.address().parse::<std::net::SocketAddr>().is_err() {
         return unacceptable("address must be IP:PORT, such as 10.0.0.7:9000");
     }
@@ -316,18 +327,21 @@
 }
 
 fn named(text: &str) -> Result<Name, Problem> {
-    Name::new(text).map_err(|bad| Problem::new(Kind::BadRequest, Ran::NotRun, bad.to_string()))
+    Name::new(text).map_err(|bad| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    })
 }
 
 fn task_id(text: &str) -> Result<TaskId, Problem> {
-    text.parse()
-        .map_err(|bad: BadTaskId| Problem::new(Kind::BadRequest, Ran::NotRun, bad.to_string()))
+    text.parse().map_err(|bad: BadTaskId| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    })
 }
 
 fn filter(query: &str) -> Result<TaskFilter, Problem> {
     const PAGE: u32 = 100;
     let mut filter = TaskFilter { limit: PAGE, ..TaskFilter::default() };
-    let bad = |what: String| Problem::new(Kind::BadRequest, Ran::NotRun, what);
+    let bad = |what: String| Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what);
     for part in query.split('&').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         let number = || value.parse().map_err(|_| bad(format!("{name} must be a whole number")));
@@ -355,10 +369,10 @@
 fn no_method(asked: &Asked<'_>) -> Problem {
     let path = asked.path.join("/");
     let what = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", asked.method);
-    Problem::new(Kind::MethodNotAllowed, Ran::NotRun, what)
+    Problem::new(ProblemKind::MethodNotAllowed, ExecutionStatus::NotRun, what)
 }
 
 fn no_path(path: &str) -> Problem {
     let what = format!("there is nothing at {path}; see docs/PROTOCOLS.md");
-    Problem::new(Kind::NotFound, Ran::NotRun, what)
+    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what)
 }
--- a/crates/daemon/src/cell.rs
+++ b/crates/daemon/src/cell.rs
@@ -23,6 +23,6 @@
 mod seats;
 
 pub use config::{CellConfig, CellConfigBuilder};
-pub use dialect::{Dialect, Incoming, Outgoing, Reply, Settings};
-pub use native::{Native, caller_ask, json, number, parse, plain_reply, problem};
+pub use dialect::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest, SeedSource};
+pub use native::{Native, common_response, json, number, parse, parse_caller_request, problem};
 pub use run::run;
--- a/crates/daemon/src/cell/config.rs
+++ b/crates/daemon/src/cell/config.rs
@@ -24,8 +24,8 @@
     pub(crate) metrics: Option<SocketAddr>,
     pub(crate) data: Option<PathBuf>,
     pub(crate) seeds: Vec<SocketAddr>,
-    pub(crate) found: bool,
-    pub(crate) losses: usize,
+    pub(crate) bootstrap: bool,
+    pub(crate) tolerated_disk_losses: usize,
     pub(crate) leader: LeaderConfig,
     pub(crate) drain: Duration,
     pub(crate) connections_max: usize,
@@ -41,7 +41,7 @@
     /// ```
     /// use yuccalink_daemon::cell::CellConfig;
     /// let any = "127.0.0.1:0".parse()?;
-    /// let config = CellConfig::builder("e1", any).control(any).found(true).build();
+    /// let config = CellConfig::builder("e1", any).control(any).bootstrap(true).build();
     /// assert!(config.is_err(), "a cell of one process needs a data folder");
     /// # Ok::<(), std::net::AddrParseError>(())
     /// ```
@@ -57,8 +57,8 @@
             metrics: None,
             data: None,
             seeds: Vec::new(),
-            found: false,
-            losses: 1,
+            bootstrap: false,
+            tolerated_disk_losses: 1,
             leader: LeaderConfig::default(),
             drain: Duration::from_millis(3_000),
             connections_max: CONNECTIONS_MAX,
@@ -150,15 +150,15 @@
 
     /// Whether the cell is new, so that its first seed with a disk may found it.
     #[must_use]
-    pub fn found(mut self, found: bool) -> Self {
-        self.0.found = found;
+    pub fn bootstrap(mut self, found: bool) -> Self {
+        self.0.bootstrap = found;
         self
     }
 
     /// Disks that may be lost at once.
     #[must_use]
-    pub fn losses(mut self, losses: usize) -> Self {
-        self.0.losses = losses;
+    pub fn tolerated_disk_losses(mut self, losses: usize) -> Self {
+        self.0.tolerated_disk_losses = losses;
         self
     }
 
--- a/crates/daemon/src/cell/dialect.rs
+++ b/crates/daemon/src/cell/dialect.rs
@@ -2,12 +2,12 @@
 
 use bytes::Bytes;
 use std::net::SocketAddr;
-use yuccalink_coordination::jobs::outside::{Call, Told};
-use yuccalink_coordination::jobs::{Answer, Ask};
+use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// A request, read whole.
 #[derive(Clone, Copy, Debug)]
-pub struct Incoming<'a> {
+pub struct ApiRequest<'a> {
     /// Upper-case.
     pub method: &'a str,
     /// Without a query.
@@ -20,7 +20,7 @@
 
 /// A response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reply {
+pub struct ApiResponse {
     /// Its HTTP status.
     pub status: u16,
     /// JSON, or nothing.
@@ -31,7 +31,7 @@
     pub location: Option<Box<str>>,
 }
 
-impl Reply {
+impl ApiResponse {
     /// A response without a body.
     pub fn empty(status: u16) -> Self {
         Self { status, ..Self::default() }
@@ -50,33 +50,33 @@
 }
 
 /// One HTTP interface of the cell: its own, or that of a platform.
-pub trait Dialect {
+pub trait ApiAdapter {
     /// A caller's request.
     ///
     /// # Errors
     /// The response to one that cannot be understood.
-    fn caller(&self, req: Incoming<'_>) -> Result<Ask, Reply>;
+    fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
     /// A runner's or operator's request.
     ///
     /// # Errors
     /// The response to one that cannot be understood.
-    fn control(&self, req: Incoming<'_>) -> Result<Ask, Reply>;
+    fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
     /// The response to an answer.
-    fn reply(&self, answer: Answer) -> Reply;
+    fn reply(&self, answer: CellResponse) -> ApiResponse;
 
     /// The request for a call to a service outside; none where there is no such
     /// service.
-    fn request(&self, call: &Call) -> Option<Outgoing>;
+    fn request(&self, call: &ExternalCall) -> Option<ExternalRequest>;
 
     /// What the service's response says.
-    fn told(&self, call: &Call, status: u16, body: &[u8]) -> Told;
+    fn decode_reply(&self, call: &ExternalCall, status: u16, body: &[u8]) -> ExternalReply;
 }
 
 /// A request to a service outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct ExternalRequest {
     /// Where the service listens.
     pub to: SocketAddr,
     /// Upper-case.
@@ -90,7 +90,7 @@
 }
 
 /// Where settings that may change come from.
-pub trait Settings {
+pub trait SeedSource {
     /// The seeds as they are set now.
     ///
     /// # Errors
--- a/crates/daemon/src/cell/disk.rs
+++ b/crates/daemon/src/cell/disk.rs
@@ -1,12 +1,12 @@
 //! Feeds the disk thread of a replica.
 
 use crate::cell::node::Shared;
-use crate::journal::{Done, Journal};
-use yuccalink_coordination::raft::Persist;
+use crate::journal::{DiskEvent, Journal};
+use yuccalink_coordination::raft::LogWrite;
 
 /// What the disk is to do next.
-pub(crate) enum Work {
-    Write(Vec<Persist>),
+pub(crate) enum DiskTask {
+    Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
     Compact { index: u64, bytes: Vec<u8> },
 }
@@ -17,16 +17,16 @@
     loop {
         let work = node.with(|node| node.replica.as_mut().and_then(|r| r.next_work()));
         match work {
-            Some(Work::Write(writes)) => journal.write(writes),
-            Some(Work::Install { index, bytes }) => journal.install(index, bytes),
-            Some(Work::Compact { index, bytes }) => journal.compact(index, bytes),
+            Some(DiskTask::Write(writes)) => journal.write(writes),
+            Some(DiskTask::Install { index, bytes }) => journal.install(index, bytes),
+            Some(DiskTask::Compact { index, bytes }) => journal.compact(index, bytes),
             None => {
                 wake.notified().await;
                 continue;
             }
         }
         match journal.done().await {
-            Some(Done::Failed(error)) => {
+            Some(DiskEvent::Failed(error)) => {
                 // What reached the disk is not known, so nothing more may be
                 // promised: the process ends, and recovers from the disk.
                 log::error!("the disk failed: {error}");
--- a/crates/daemon/src/cell/frame.rs
+++ b/crates/daemon/src/cell/frame.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
-use yuccalink_coordination::jobs::{Answer, Ask};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
-use yuccalink_coordination::roster::{Lead, NodeInfo};
+use yuccalink_coordination::roster::{LeaderInfo, NodeInfo};
 
 /// Largest frame in bytes: a chunk of a snapshot or a batch of entries, with room.
 pub(crate) const FRAME_MAX: usize = 16 * 1024 * 1024;
@@ -13,13 +13,13 @@
 
 /// One message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Frame {
+pub(crate) enum PeerMessage {
     /// Here I am; also shows that the connection is alive.
     Hello(NodeInfo),
     /// Answer to it.
     Welcome {
         me: NodeInfo,
-        lead: Option<Lead>,
+        lead: Option<LeaderInfo>,
         /// Disks that the sender has heard itself.
         disks: Vec<NodeInfo>,
         /// Whom the first seed, having no disk, lets found the cell.
@@ -28,13 +28,13 @@
     /// Messages of the consensus.
     Raft(Vec<Envelope>),
     /// To the leader.
-    Ask { id: u64, ask: Ask },
+    Ask { id: u64, ask: CellRequest },
     /// Back.
-    Answer { id: u64, answer: Answer },
+    Answer { id: u64, answer: CellResponse },
 }
 
 /// Appends a frame to `buf`.
-pub(crate) fn encode(frame: &Frame, buf: &mut Vec<u8>) {
+pub(crate) fn encode(frame: &PeerMessage, buf: &mut Vec<u8>) {
     let body = match postcard::to_stdvec(frame) {
         Ok(body) => body,
         Err(error) => return log::error!("a message to another daemon is dropped: {error}"),
@@ -67,7 +67,7 @@
     }
 
     /// The next frame; cancelling the call loses nothing.
-    pub(crate) async fn next(&mut self) -> io::Result<Frame> {
+    pub(crate) async fn next(&mut self) -> io::Result<PeerMessage> {
         loop {
             if let Some(frame) = self.take()? {
                 return Ok(frame);
@@ -83,7 +83,7 @@
         }
     }
 
-    fn take(&mut self) -> io::Result<Option<Frame>> {
+    fn take(&mut self) -> io::Result<Option<PeerMessage>> {
         let waiting = &self.buf[self.start..];
         let Some((head, rest)) = waiting.split_first_chunk::<HEAD>() else { return Ok(None) };
         let size = u32::from_le_bytes(*head) as usize;
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -1,7 +1,7 @@
 //! HTTP for callers, runners, operators and the balancer.
 
 use crate::cell::connections::{Admission, Connections, Held};
-use crate::cell::dialect::{Dialect, Incoming, Reply};
+use crate::cell::dialect::{ApiAdapter, ApiRequest, ApiResponse};
 use crate::cell::native;
 use crate::cell::node::{PassOn, Shared};
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::Instant;
-use yuccalink_coordination::jobs::{Answer, Ask};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// Longest wait for the leader on behalf of a caller: callers wait for 3 s, and
 /// another entry may do better.
@@ -57,7 +57,7 @@
 /// What all connections share.
 pub(crate) struct Site {
     pub(crate) node: Shared,
-    pub(crate) dialect: Rc<dyn Dialect>,
+    pub(crate) dialect: Rc<dyn ApiAdapter>,
     pub(crate) connections: Rc<Connections>,
     /// Requests being answered.
     pub(crate) in_flight: Cell<usize>,
@@ -168,12 +168,12 @@
     };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let path = head.uri.path();
-    let incoming = Incoming { method: head.method.as_str(), path, host, body: &body };
+    let incoming = ApiRequest { method: head.method.as_str(), path, host, body: &body };
     let asked = match port {
         Port::Callers => site.dialect.caller(incoming),
         _ => site.dialect.control(incoming),
     };
-    let concerns_change = matches!(asked, Ok(Ask::Change(_) | Ask::Document));
+    let concerns_change = matches!(asked, Ok(CellRequest::Change(_) | CellRequest::Document));
     let reply = match asked {
         Err(reply) => {
             log::info!("method={} path={path} status={} by itself", head.method, reply.status);
@@ -187,10 +187,10 @@
                 (_, PassOn::No) => (PassOn::No, LARGE_BUDGET),
             };
             match site.node.ask(ask, pass_on, budget).await {
-                Answer::AskLeader { control } => Reply::elsewhere(control, path),
-                Answer::Orders(mut orders) => {
+                CellResponse::AskLeader { control } => ApiResponse::elsewhere(control, path),
+                CellResponse::Orders(mut orders) => {
                     orders.report_to = site.node.takes_reports_at();
-                    site.dialect.reply(Answer::Orders(orders))
+                    site.dialect.reply(CellResponse::Orders(orders))
                 }
                 answer => site.dialect.reply(answer),
             }
@@ -240,10 +240,10 @@
 }
 
 fn plain(status: u16) -> Response<Full<Bytes>> {
-    render(Reply::empty(status))
+    render(ApiResponse::empty(status))
 }
 
-fn render(reply: Reply) -> Response<Full<Bytes>> {
+fn render(reply: ApiResponse) -> Response<Full<Bytes>> {
     let has_body = !reply.body.is_empty();
     let mut response = Response::new(Full::new(reply.body));
     *response.status_mut() =
