--- a/crates/daemon/src/cell/link.rs
+++ b/crates/daemon/src/cell/link.rs
@@ -2,7 +2,7 @@
 //! is lost. A connection may go silent without a reset; greetings that stay
 //! unanswered show it.
 
-use crate::cell::frame::{self, Frame, Reader};
+use crate::cell::frame::{self, PeerMessage, Reader};
 use crate::cell::node::Shared;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
-use yuccalink_coordination::jobs::{Answer, Ask};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// Between greetings: short enough to notice a lost leader within two seconds.
 const GREET: Duration = Duration::from_millis(400);
@@ -32,16 +32,16 @@
 /// Bytes gathered for one write.
 const BATCH_BYTES: usize = 256 * 1024;
 
-type Answers = Rc<RefCell<HashMap<u64, oneshot::Sender<Answer>>>>;
+type Answers = Rc<RefCell<HashMap<u64, oneshot::Sender<CellResponse>>>>;
 
 /// Handle of a connection; dropping it closes the connection.
-pub(crate) struct Link {
-    frames: mpsc::Sender<Frame>,
+pub(crate) struct PeerConnection {
+    frames: mpsc::Sender<PeerMessage>,
     answers: Answers,
     next: u64,
 }
 
-impl Link {
+impl PeerConnection {
     /// Keeps a connection to `to` until dropped.
     pub(crate) fn open(node: Shared, to: SocketAddr) -> Self {
         let (frames, rx) = mpsc::channel(WAITING_MAX);
@@ -52,24 +52,24 @@
 
     /// Sends a frame, or drops it where too many wait: all frames but asks are
     /// sent again by whoever needs them.
-    pub(crate) fn send(&self, frame: Frame) {
+    pub(crate) fn send(&self, frame: PeerMessage) {
         let _ = self.frames.try_send(frame);
     }
 
     /// Asks the other process; the receiver fails once the connection is lost.
-    pub(crate) fn ask(&mut self, ask: Ask) -> oneshot::Receiver<Answer> {
+    pub(crate) fn ask(&mut self, ask: CellRequest) -> oneshot::Receiver<CellResponse> {
         let (tx, rx) = oneshot::channel();
         let id = self.next;
         self.next += 1;
         // Where the channel is full `tx` goes with the frame, and `rx` fails.
-        if self.frames.try_send(Frame::Ask { id, ask }).is_ok() {
+        if self.frames.try_send(PeerMessage::Ask { id, ask }).is_ok() {
             self.answers.borrow_mut().insert(id, tx);
         }
         rx
     }
 }
 
-async fn keep(node: Shared, to: SocketAddr, mut rx: mpsc::Receiver<Frame>, answers: Answers) {
+async fn keep(node: Shared, to: SocketAddr, mut rx: mpsc::Receiver<PeerMessage>, answers: Answers) {
     let mut up = false;
     loop {
         let result = match timeout(CONNECT, TcpStream::connect(to)).await {
@@ -93,7 +93,7 @@
                 up = false;
                 node.with(|node| {
                     node.metrics.links_lost += 1;
-                    node.lead_lost(to, "connection");
+                    node.clear_leader(to, "connection");
                 });
             }
         }
@@ -115,7 +115,7 @@
     node: &Shared,
     to: SocketAddr,
     stream: TcpStream,
-    rx: &mut mpsc::Receiver<Frame>,
+    rx: &mut mpsc::Receiver<PeerMessage>,
     answers: &Answers,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
@@ -139,15 +139,15 @@
         let frame = reader.next().await?;
         heard.set(Instant::now());
         match frame {
-            Frame::Answer { id, answer } => {
+            PeerMessage::Answer { id, answer } => {
                 if let Some(tx) = answers.borrow_mut().remove(&id) {
                     let _ = tx.send(answer);
                 }
             }
-            Frame::Welcome { me, lead, disks, founder } => {
+            PeerMessage::Welcome { me, lead, disks, founder } => {
                 node.welcomed(to, me, lead, &disks, founder);
             }
-            Frame::Hello(_) | Frame::Raft(_) | Frame::Ask { .. } => {}
+            PeerMessage::Hello(_) | PeerMessage::Raft(_) | PeerMessage::Ask { .. } => {}
         }
     }
 }
@@ -155,7 +155,7 @@
 async fn write(
     node: &Shared,
     mut into: OwnedWriteHalf,
-    rx: &mut mpsc::Receiver<Frame>,
+    rx: &mut mpsc::Receiver<PeerMessage>,
     heard: &std::cell::Cell<Instant>,
 ) -> io::Result<()> {
     let mut greet = tokio::time::interval(GREET);
@@ -171,7 +171,7 @@
                 if heard.get().elapsed() > SILENT {
                     return Err(timed_out("it is silent"));
                 }
-                frame::encode(&Frame::Hello(node.info()), &mut buf);
+                frame::encode(&PeerMessage::Hello(node.info()), &mut buf);
             }
         }
         while buf.len() < BATCH_BYTES
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -4,13 +4,13 @@
 //! taken from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
 //! `/leave`. Operators: `PUT` and `GET /v1/change`.
 
-use crate::cell::dialect::{Dialect, Incoming, Outgoing, Reply};
+use crate::cell::dialect::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
-use yuccalink_coordination::jobs::ask::Place;
-use yuccalink_coordination::jobs::outside::{Call, Told};
-use yuccalink_coordination::jobs::{Answer, Ask, JobState, Report};
+use yuccalink_coordination::jobs::ask::QueueAddress;
+use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse, JobState, RunnerReport};
 use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, Wave};
 
 /// The interface that this project speaks by itself.
@@ -43,53 +43,53 @@
     state: &'static str,
 }
 
-impl Dialect for Native {
-    fn caller(&self, req: Incoming<'_>) -> Result<Ask, Reply> {
-        caller_ask(req, parse::<JobSpec>)
+impl ApiAdapter for Native {
+    fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
+        parse_caller_request(req, parse::<JobSpec>)
     }
 
-    fn control(&self, req: Incoming<'_>) -> Result<Ask, Reply> {
+    fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
         let parts: Vec<&str> = req.path.trim_matches('/').split('/').collect();
         match (req.method, parts.as_slice()) {
             ("POST", ["v1", "runners", id, "heartbeat"]) => {
-                let mut report: Report = parse(req.body)?;
+                let mut report: RunnerReport = parse(req.body)?;
                 report.runner = (*id).into();
-                Ok(Ask::Heartbeat(Box::new(report)))
+                Ok(CellRequest::Heartbeat(Box::new(report)))
             }
             ("POST", ["v1", "runners", id, "leave"]) => {
-                Ok(Ask::Leave { runner: (*id).into(), born_ms: None })
+                Ok(CellRequest::Leave { runner: (*id).into(), started_ms: None })
             }
             ("PUT", ["v1", "change"]) => {
                 let mut change: ChangeSet = parse(req.body)?;
                 change.text = req.body.into();
-                Ok(Ask::Change(Arc::new(change)))
+                Ok(CellRequest::Change(Arc::new(change)))
             }
-            ("GET", ["v1", "change"]) => Ok(Ask::Document),
+            ("GET", ["v1", "change"]) => Ok(CellRequest::Document),
             ("PUT", ["v1", "waves", id]) => {
                 let mut wave: Wave = parse(req.body)?;
                 wave.id = number(id)?;
-                Ok(Ask::WaveStart(wave))
+                Ok(CellRequest::WaveStart(wave))
             }
-            ("GET", ["v1", "waves", id]) => Ok(Ask::WaveState(number(id)?)),
+            ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(number(id)?)),
             _ => Err(problem(404, "no such path; see docs/PROTOCOLS.md for those there are")),
         }
     }
 
-    fn reply(&self, answer: Answer) -> Reply {
+    fn reply(&self, answer: CellResponse) -> ApiResponse {
         match answer {
-            Answer::Orders(orders) => json(200, &*orders),
-            Answer::Invalid(what) => problem(400, &what),
-            other => plain_reply(other),
+            CellResponse::Orders(orders) => json(200, &*orders),
+            CellResponse::Invalid(what) => problem(400, &what),
+            other => common_response(other),
         }
     }
 
-    fn request(&self, _: &Call) -> Option<Outgoing> {
+    fn request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
         // On its own the cell has no policy to ask and no machines to order.
         None
     }
 
-    fn told(&self, _: &Call, _: u16, _: &[u8]) -> Told {
-        Told::Refused
+    fn decode_reply(&self, _: &ExternalCall, _: u16, _: &[u8]) -> ExternalReply {
+        ExternalReply::Refused
     }
 }
 
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// The response to what is none.
-pub fn number(text: &str) -> Result<u64, Reply> {
+pub fn number(text: &str) -> Result<u64, ApiResponse> {
     text.parse().map_err(|_| problem(400, &format!("{text:?} is no number; use digits")))
 }
 
@@ -105,46 +105,55 @@
 ///
 /// # Errors
 /// The response to a body that `read` refuses.
-pub fn caller_ask<F>(req: Incoming<'_>, read: F) -> Result<Ask, Reply>
+pub fn parse_caller_request<F>(req: ApiRequest<'_>, read: F) -> Result<CellRequest, ApiResponse>
 where
-    F: FnOnce(&[u8]) -> Result<JobSpec, Reply>,
+    F: FnOnce(&[u8]) -> Result<JobSpec, ApiResponse>,
 {
     let host = req.host.split(':').next().unwrap_or_default();
     let cut = req.path.rfind('/').map_or(0, |at| at + 1);
     let (prefix, name) = req.path.split_at(cut);
-    let at = Place { host: host.into(), path: prefix.into() };
+    let at = QueueAddress { host: host.into(), path: prefix.into() };
     if name.is_empty() {
-        return Ok(if req.method == "GET" { Ask::Pending { at } } else { Ask::Other { at } });
+        return Ok(if req.method == "GET" {
+            CellRequest::Pending { at }
+        } else {
+            CellRequest::Other { at }
+        });
     }
-    let Some(id) = JobId::parse(name) else { return Ok(Ask::Other { at }) };
+    let Some(id) = JobId::parse(name) else { return Ok(CellRequest::Other { at }) };
     match req.method {
-        "POST" => Ok(Ask::Submit { at, id, spec: Arc::new(read(req.body)?) }),
-        "GET" => Ok(Ask::State { at, id }),
-        "DELETE" => Ok(Ask::Cancel { at, id }),
-        _ => Ok(Ask::Other { at }),
+        "POST" => Ok(CellRequest::Submit { at, id, spec: Arc::new(read(req.body)?) }),
+        "GET" => Ok(CellRequest::State { at, id }),
+        "DELETE" => Ok(CellRequest::Cancel { at, id }),
+        _ => Ok(CellRequest::Other { at }),
     }
 }
 
 /// The responses that any JSON interface gives in the same way.
-pub fn plain_reply(answer: Answer) -> Reply {
-    let later = |status, after_ms| Reply { retry_after_ms: Some(after_ms), ..Reply::empty(status) };
+pub fn common_response(answer: CellResponse) -> ApiResponse {
+    let later = |status, after_ms| ApiResponse {
+        retry_after_ms: Some(after_ms),
+        ..ApiResponse::empty(status)
+    };
     match answer {
-        Answer::Accepted | Answer::Ok => Reply::empty(200),
-        Answer::State(state) => json(200, &StateView { state, reason: None }),
-        Answer::Failed(reason) => {
+        CellResponse::Accepted | CellResponse::Ok => ApiResponse::empty(200),
+        CellResponse::State(state) => json(200, &StateView { state, reason: None }),
+        CellResponse::Failed(reason) => {
             json(200, &StateView { state: JobState::Failed, reason: Some(reason) })
         }
-        Answer::Pending(pending) => json(200, &PendingView { pending }),
-        Answer::Gone => Reply::empty(410),
-        Answer::NoQueue => Reply::empty(404),
-        Answer::NotTaken => Reply::empty(405),
-        Answer::Refused { after_ms } => later(429, after_ms),
-        Answer::NotServing { after_ms } => later(503, after_ms),
-        Answer::Unknown | Answer::NotLeader { .. } | Answer::AskLeader { .. } => Reply::empty(504),
-        Answer::Document(text) => Reply::json(200, text.to_vec()),
-        Answer::Invalid(what) => problem(400, &what),
-        Answer::Orders(orders) => json(200, &*orders),
-        Answer::Wave { done } => {
+        CellResponse::Pending(pending) => json(200, &PendingView { pending }),
+        CellResponse::Gone => ApiResponse::empty(410),
+        CellResponse::NoQueue => ApiResponse::empty(404),
+        CellResponse::NotTaken => ApiResponse::empty(405),
+        CellResponse::Refused { after_ms } => later(429, after_ms),
+        CellResponse::NotServing { after_ms } => later(503, after_ms),
+        CellResponse::Unknown | CellResponse::NotLeader { .. } | CellResponse::AskLeader { .. } => {
+            ApiResponse::empty(504)
+        }
+        CellResponse::Document(text) => ApiResponse::json(200, text.to_vec()),
+        CellResponse::Invalid(what) => problem(400, &what),
+        CellResponse::Orders(orders) => json(200, &*orders),
+        CellResponse::Wave { done } => {
             json(200, &WaveView { state: if done { "completed" } else { "running" } })
         }
     }
@@ -154,7 +163,7 @@
 ///
 /// # Errors
 /// A response that says what is wrong and where.
-pub fn parse<T>(body: &[u8]) -> Result<T, Reply>
+pub fn parse<T>(body: &[u8]) -> Result<T, ApiResponse>
 where
     T: DeserializeOwned,
 {
@@ -162,20 +171,20 @@
 }
 
 /// An error with its remedy.
-pub fn problem(status: u16, error: &str) -> Reply {
+pub fn problem(status: u16, error: &str) -> ApiResponse {
     json(status, &Problem { error })
 }
 
 /// A JSON response.
-pub fn json<T>(status: u16, value: &T) -> Reply
+pub fn json<T>(status: u16, value: &T) -> ApiResponse
 where
     T: Serialize,
 {
     match serde_json::to_vec(value) {
-        Ok(body) => Reply::json(status, body),
+        Ok(body) => ApiResponse::json(status, body),
         Err(error) => {
             log::error!("a response cannot be written: {error}");
-            Reply::empty(500)
+            ApiResponse::empty(500)
         }
     }
 }
--- a/crates/daemon/src/cell/node.rs
+++ b/crates/daemon/src/cell/node.rs
@@ -1,15 +1,15 @@
 //! The state of one process of a cell, and what its parts do with it.
 
 use crate::cell::config::CellConfig;
-use crate::cell::dialect::Dialect;
-use crate::cell::frame::Frame;
-use crate::cell::link::Link;
+use crate::cell::dialect::ApiAdapter;
+use crate::cell::frame::PeerMessage;
+use crate::cell::link::PeerConnection;
 use crate::cell::metrics::Metrics;
 use crate::cell::outside;
 use crate::cell::policy;
 use crate::cell::replica::Replica;
 use crate::clock::{BootClock, unix_ms};
-use crate::journal::Done;
+use crate::journal::DiskEvent;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -20,11 +20,11 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, timeout_at};
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::outside::{CallId, Told};
+use yuccalink_coordination::jobs::outside::{ExternalCallId, ExternalReply};
 use yuccalink_coordination::jobs::policy::Policy;
-use yuccalink_coordination::jobs::{Answer, Ask, Now, Token};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse, Now, RequestToken};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
-use yuccalink_coordination::roster::{Lead, NodeInfo, Roster};
+use yuccalink_coordination::roster::{LeaderInfo, NodeInfo, PeerTable};
 
 /// Pause before a process asks again who leads.
 const LOOK_AGAIN: Duration = Duration::from_millis(25);
@@ -78,15 +78,15 @@
 pub(crate) struct Node {
     pub(crate) cfg: CellConfig,
     clock: BootClock,
-    pub(crate) roster: Roster,
+    pub(crate) roster: PeerTable,
     pub(crate) replica: Option<Replica>,
-    links: HashMap<SocketAddr, Link>,
-    waiting: HashMap<Token, oneshot::Sender<Answer>>,
+    links: HashMap<SocketAddr, PeerConnection>,
+    waiting: HashMap<RequestToken, oneshot::Sender<CellResponse>>,
     next_token: u64,
     /// When a leader was last known.
     led_at: Moment,
     pub(crate) metrics: Metrics,
-    dialect: Rc<dyn Dialect>,
+    dialect: Rc<dyn ApiAdapter>,
 }
 
 /// Handle of the state; one thread uses it, and never across an await.
@@ -106,9 +106,9 @@
         clock: BootClock,
         info: NodeInfo,
         replica: Option<Replica>,
-        dialect: Rc<dyn Dialect>,
+        dialect: Rc<dyn ApiAdapter>,
     ) -> Self {
-        let roster = Roster::new(info, cfg.seeds.clone(), cfg.found);
+        let roster = PeerTable::new(info, cfg.seeds.clone(), cfg.bootstrap);
         let node = Node {
             cfg,
             clock,
@@ -180,7 +180,7 @@
         self.with(|node| node.tick(self));
     }
 
-    pub(crate) fn disk_did(&self, done: &Done) {
+    pub(crate) fn disk_did(&self, done: &DiskEvent) {
         self.drive(|replica, now| replica.did(now, done));
     }
 
@@ -193,10 +193,10 @@
     }
 
     /// A service outside has answered a call of the leader's.
-    pub(crate) fn told(&self, id: CallId, told: Told) {
+    pub(crate) fn handle_external_reply(&self, id: ExternalCallId, told: ExternalReply) {
         self.drive(|replica, now| {
             if let Some(leader) = replica.leader(now.at) {
-                leader.told(now, id, told);
+                leader.handle_external_reply(now, id, told);
             }
             replica.propose(now);
         });
@@ -207,29 +207,29 @@
         &self,
         from: SocketAddr,
         me: NodeInfo,
-        lead: Option<Lead>,
+        lead: Option<LeaderInfo>,
         disks: &[NodeInfo],
         founder: Option<ReplicaId>,
     ) {
         self.with(|node| {
             let now = node.clock.now();
-            node.roster.heard(me, now);
+            node.roster.record_peer(me, now);
             for disk in disks {
-                node.roster.told(disk, now);
+                node.roster.record_reported_peer(disk, now);
             }
-            node.roster.founder_told(founder, from);
+            node.roster.record_bootstrapper(founder, from);
             if let Some(lead) = lead {
-                node.roster.lead_told(lead, from, now);
+                node.roster.record_leader(lead, from, now);
             }
         });
     }
 
     /// Another process greets this one.
-    pub(crate) fn greeted(&self, info: NodeInfo) -> Frame {
+    pub(crate) fn greeted(&self, info: NodeInfo) -> PeerMessage {
         self.with(|node| {
             let now = node.clock.now();
-            node.roster.heard(info, now);
-            Frame::Welcome {
+            node.roster.record_peer(info, now);
+            PeerMessage::Welcome {
                 me: node.info(),
                 lead: node.known_lead(),
                 disks: node.roster.disks(now),
@@ -239,12 +239,12 @@
     }
 
     /// Asks the leader's part of this process; `None` where it does not lead.
-    pub(crate) fn ask_here(&self, ask: Ask) -> Option<oneshot::Receiver<Answer>> {
+    pub(crate) fn ask_here(&self, ask: CellRequest) -> Option<oneshot::Receiver<CellResponse>> {
         self.with(|node| {
             let now = node.now();
-            let token = Token(node.next_token);
+            let token = RequestToken(node.next_token);
             let leader = node.replica.as_mut()?.leader(now.at)?;
-            leader.ask(now, token, ask);
+            leader.handle_request(now, token, ask);
             node.next_token += 1;
             let (tx, rx) = oneshot::channel();
             node.waiting.insert(token, tx);
@@ -257,7 +257,12 @@
     }
 
     /// Asks whichever process leads, for at most `budget`.
-    pub(crate) async fn ask(&self, ask: Ask, pass_on: PassOn, budget: Duration) -> Answer {
+    pub(crate) async fn ask(
+        &self,
+        ask: CellRequest,
+        pass_on: PassOn,
+        budget: Duration,
+    ) -> CellResponse {
         let until = Instant::now() + budget;
         let mut sent = false;
         while Instant::now() < until {
@@ -266,7 +271,7 @@
                 None if pass_on == PassOn::No
                     && let Some(control) = self.leader_control() =>
                 {
-                    return Answer::AskLeader { control };
+                    return CellResponse::AskLeader { control };
                 }
                 None => self.ask_leader(&ask),
             };
@@ -280,22 +285,25 @@
             sent = true;
             let limit = until.min(Instant::now() + TRY);
             match timeout_at(limit, rx).await {
-                Ok(Ok(Answer::NotLeader { .. })) => {
-                    self.lead_lost(peer, "it does not lead");
+                Ok(Ok(CellResponse::NotLeader { .. })) => {
+                    self.clear_leader(peer, "it does not lead");
                     tokio::time::sleep(LOOK_AGAIN).await;
                 }
                 Ok(Ok(answer)) => return answer,
                 Ok(Err(_)) => tokio::time::sleep(LOOK_AGAIN).await,
-                Err(_) => self.lead_lost(peer, "no answer in time"),
+                Err(_) => self.clear_leader(peer, "no answer in time"),
             }
         }
         match sent {
-            true => Answer::Unknown,
-            false => Answer::NotServing { after_ms: COME_BACK_MS },
+            true => CellResponse::Unknown,
+            false => CellResponse::NotServing { after_ms: COME_BACK_MS },
         }
     }
 
-    fn ask_leader(&self, ask: &Ask) -> Option<(Option<SocketAddr>, oneshot::Receiver<Answer>)> {
+    fn ask_leader(
+        &self,
+        ask: &CellRequest,
+    ) -> Option<(Option<SocketAddr>, oneshot::Receiver<CellResponse>)> {
         self.with(|node| {
             let lead = node.roster.lead()?;
             let link = node.links.get_mut(&lead.peer)?;
@@ -305,19 +313,19 @@
 
     /// An answer as another process is told it: one that is too large for the link between
     /// them is left for its caller to fetch here.
-    pub(crate) fn to_pass_on(&self, answer: Answer) -> Answer {
+    pub(crate) fn to_pass_on(&self, answer: CellResponse) -> CellResponse {
         let control = self.with(|node| node.cfg.control);
         match (&answer, control) {
-            (Answer::Document(text), Some(control)) if text.len() > PASSED_ON_MAX => {
-                Answer::AskLeader { control }
+            (CellResponse::Document(text), Some(control)) if text.len() > PASSED_ON_MAX => {
+                CellResponse::AskLeader { control }
             }
             _ => answer,
         }
     }
 
-    fn lead_lost(&self, peer: Option<SocketAddr>, why: &str) {
+    fn clear_leader(&self, peer: Option<SocketAddr>, why: &str) {
         if let Some(peer) = peer {
-            self.with(|node| node.lead_lost(peer, why));
+            self.with(|node| node.clear_leader(peer, why));
         }
     }
 
@@ -356,7 +364,7 @@
 
     fn info(&self) -> NodeInfo {
         let empty = self.replica.as_ref().is_some_and(|replica| replica.raft.is_empty());
-        NodeInfo { may_found: empty && self.cfg.found, ..self.roster.me.clone() }
+        NodeInfo { may_bootstrap: empty && self.cfg.bootstrap, ..self.roster.me.clone() }
     }
 
     /// What this process tells operators of itself.
@@ -377,36 +385,36 @@
     fn is_serving(&mut self) -> bool {
         let now = self.clock.now();
         if let Some(leader) = self.replica.as_mut().and_then(|replica| replica.leader(now)) {
-            return leader.jobs().change().is_some();
+            return leader.state().change_set().is_some();
         }
         self.roster.lead().is_some_and(|lead| lead.serving)
     }
 
     /// Who leads: by the own replica, else by what others say.
-    pub(crate) fn known_lead(&mut self) -> Option<Lead> {
+    pub(crate) fn known_lead(&mut self) -> Option<LeaderInfo> {
         let now = self.clock.now();
         let me = (self.roster.me.peer, self.roster.me.control);
         if let Some(replica) = &mut self.replica {
             let term = replica.raft.term();
             if let Some(leader) = replica.leader(now) {
-                let serving = leader.jobs().change().is_some();
-                return Some(Lead { term, peer: me.0, control: me.1, serving });
+                let serving = leader.state().change_set().is_some();
+                return Some(LeaderInfo { term, peer: me.0, control: me.1, serving });
             }
         }
         self.roster.lead()
     }
 
     /// The process believed to lead does not, or does not answer.
-    pub(crate) fn lead_lost(&mut self, peer: SocketAddr, why: &str) {
+    pub(crate) fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
         if self.roster.lead().is_some_and(|lead| lead.peer == peer) {
             self.metrics.leaders_lost += 1;
         }
-        self.roster.lead_lost(peer, why);
+        self.roster.clear_leader(peer, why);
     }
 
     /// The newest change set that this process's replica has, while it is a voter or learner.
     pub(crate) fn change_version(&self) -> Option<u64> {
-        let change = self.replica.as_ref()?.state()?.change()?;
+        let change = self.replica.as_ref()?.state()?.change_set()?;
         Some(change.version)
     }
 
@@ -419,8 +427,8 @@
         let Some(peer) = self.address_of(id) else { return };
         if self.roster.lead().is_none_or(|lead| lead.term < term) {
             let control = self.roster.control_of(peer);
-            let lead = Lead { term, peer, control, serving: false };
-            self.roster.lead_told(lead, self.roster.me.peer, now);
+            let lead = LeaderInfo { term, peer, control, serving: false };
+            self.roster.record_leader(lead, self.roster.me.peer, now);
         }
     }
 
@@ -451,7 +459,7 @@
         let wanted = self.roster.wanted_links(&self.member_addresses());
         self.links.retain(|to, _| wanted.contains(to));
         for to in wanted {
-            self.links.entry(to).or_insert_with(|| Link::open(shared.clone(), to));
+            self.links.entry(to).or_insert_with(|| PeerConnection::open(shared.clone(), to));
         }
     }
 
@@ -493,7 +501,7 @@
         }
         for (peer, envelopes) in by_peer {
             if let Some(link) = self.links.get(&peer) {
-                link.send(Frame::Raft(envelopes));
+                link.send(PeerMessage::Raft(envelopes));
             }
         }
     }
--- a/crates/daemon/src/cell/outside.rs
+++ b/crates/daemon/src/cell/outside.rs
@@ -1,6 +1,6 @@
 //! Calls to services outside the cell, on behalf of the leader.
 
-use crate::cell::dialect::{Dialect, Outgoing};
+use crate::cell::dialect::{ApiAdapter, ExternalRequest};
 use crate::cell::node::Shared;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use yuccalink_coordination::jobs::outside::{Call, CallId, Told};
+use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalCallId, ExternalReply};
 
 /// Longest wait for a whole answer; an order that got none may have been carried out.
 const ANSWER_MAX: Duration = Duration::from_millis(2_200);
@@ -34,24 +34,29 @@
 }
 
 /// Makes one call and tells the leader what came of it.
-pub(crate) async fn perform(node: Shared, dialect: Rc<dyn Dialect>, id: CallId, call: Call) {
+pub(crate) async fn perform(
+    node: Shared,
+    dialect: Rc<dyn ApiAdapter>,
+    id: ExternalCallId,
+    call: ExternalCall,
+) {
     let told = match dialect.request(&call) {
-        None => Told::Refused,
+        None => ExternalReply::Refused,
         Some(outgoing) => match timeout(ANSWER_MAX, exchange(outgoing)).await {
-            Ok(Ok((status, body))) => dialect.told(&call, status, &body),
+            Ok(Ok((status, body))) => dialect.decode_reply(&call, status, &body),
             Ok(Err(why)) => unanswered(&call, &why),
             Err(_) => unanswered(&call, &Unanswered::Late),
         },
     };
-    node.told(id, told);
+    node.handle_external_reply(id, told);
 }
 
-fn unanswered(call: &Call, why: &Unanswered) -> Told {
+fn unanswered(call: &ExternalCall, why: &Unanswered) -> ExternalReply {
     log::warn!("call={call:?} unanswered: {why}");
-    Told::Later
+    ExternalReply::Later
 }
 
-async fn exchange(outgoing: Outgoing) -> Result<(u16, Bytes), Unanswered> {
+async fn exchange(outgoing: ExternalRequest) -> Result<(u16, Bytes), Unanswered> {
     let stream = TcpStream::connect(outgoing.to).await.map_err(Unanswered::Connect)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
--- a/crates/daemon/src/cell/peers.rs
+++ b/crates/daemon/src/cell/peers.rs
@@ -1,6 +1,6 @@
 //! Serves other processes of the cell.
 
-use crate::cell::frame::{self, Frame, Reader};
+use crate::cell::frame::{self, PeerMessage, Reader};
 use crate::cell::node::Shared;
 use std::io;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use yuccalink_coordination::jobs::{Answer, Ask};
+use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// Silence after which a connection is closed; its other end greets every 400 ms.
 const SILENT: Duration = Duration::from_secs(5);
@@ -50,7 +50,11 @@
     }
 }
 
-async fn read<R>(node: &Shared, mut reader: Reader<R>, tx: mpsc::Sender<Frame>) -> io::Result<()>
+async fn read<R>(
+    node: &Shared,
+    mut reader: Reader<R>,
+    tx: mpsc::Sender<PeerMessage>,
+) -> io::Result<()>
 where
     R: tokio::io::AsyncRead + Unpin,
 {
@@ -60,28 +64,28 @@
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         };
         match frame {
-            Frame::Hello(info) => {
+            PeerMessage::Hello(info) => {
                 let _ = tx.try_send(node.greeted(info));
             }
-            Frame::Raft(envelopes) => node.step(envelopes),
-            Frame::Ask { id, ask } => {
+            PeerMessage::Raft(envelopes) => node.step(envelopes),
+            PeerMessage::Ask { id, ask } => {
                 tokio::task::spawn_local(answer(node.clone(), id, ask, tx.clone()));
             }
-            Frame::Welcome { .. } | Frame::Answer { .. } => {}
+            PeerMessage::Welcome { .. } | PeerMessage::Answer { .. } => {}
         }
     }
 }
 
-async fn answer(node: Shared, id: u64, ask: Ask, tx: mpsc::Sender<Frame>) {
+async fn answer(node: Shared, id: u64, ask: CellRequest, tx: mpsc::Sender<PeerMessage>) {
     let answer = match node.ask_here(ask) {
         // The leader's part ends without an answer when it leads no more.
-        Some(rx) => node.to_pass_on(rx.await.unwrap_or(Answer::NotLeader { leader: None })),
-        None => Answer::NotLeader { leader: None },
+        Some(rx) => node.to_pass_on(rx.await.unwrap_or(CellResponse::NotLeader { leader: None })),
+        None => CellResponse::NotLeader { leader: None },
     };
-    let _ = tx.send(Frame::Answer { id, answer }).await;
+    let _ = tx.send(PeerMessage::Answer { id, answer }).await;
 }
 
-async fn write(mut into: OwnedWriteHalf, mut rx: mpsc::Receiver<Frame>) -> io::Result<()> {
+async fn write(mut into: OwnedWriteHalf, mut rx: mpsc::Receiver<PeerMessage>) -> io::Result<()> {
     let mut buf = Vec::new();
     while let Some(frame) = rx.recv().await {
         frame::encode(&frame, &mut buf);
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -6,7 +6,7 @@
 use yuccalink_coordination::jobs::policy::Policy;
 
 /// Variable that names the file.
-pub const VARIABLE: &str = "YUCCALINK_POLICY";
+pub const POLICY_FILE_VAR: &str = "YUCCALINK_POLICY";
 
 /// Reads a policy file: TOML with a section a mechanism; what it does not name stays as
 /// it ships.
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -1,20 +1,20 @@
 //! One replica of the cell's state: its part in the consensus, and the leader
 //! while it leads. Carries out what the consensus asks for.
 
-use crate::cell::disk::Work;
-use crate::journal::{Done, from_hard, to_entry};
+use crate::cell::disk::DiskTask;
+use crate::journal::{DiskEvent, from_hard, to_entry};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::jobs::{Leader, LeaderConfig, Now};
 use yuccalink_coordination::raft::{
-    Entry, Envelope, KEPT_BEHIND, Members, Payload, Persist, Raft, ReplicaId, Restored, Role,
-    SnapshotMeta,
+    Envelope, LogEntry, LogWrite, Members, Payload, RETAINED_LOG_ENTRIES, Raft, ReplicaId,
+    Restored, Role, SnapshotMeta,
 };
 use yuccalink_protocol::peer;
-use yuccalink_state::jobs::{JobCommand, Jobs};
-use yuccalink_state::log::Counts;
+use yuccalink_state::jobs::{CellState, JobCommand};
+use yuccalink_state::log::LogCounters;
 use yuccalink_state::snapshot::{self, Meta};
 use yuccalink_state::store::Recovered;
 
@@ -31,31 +31,31 @@
     name: Box<str>,
     pub(crate) raft: Raft,
     /// The state, but while this replica leads: then the leader has it.
-    jobs: Option<Jobs>,
+    jobs: Option<CellState>,
     pub(crate) leader: Option<Leader>,
     applied: u64,
-    writes: Vec<Persist>,
+    writes: Vec<LogWrite>,
     install: Option<(SnapshotMeta, Vec<u8>)>,
     held: VecDeque<(u64, Envelope)>,
     written: u64,
     /// Messages to send now.
     pub(crate) outbox: Vec<Envelope>,
-    counts: Counts,
-    snapshot_at: Counts,
+    counts: LogCounters,
+    snapshot_at: LogCounters,
 }
 
 impl Replica {
     pub(crate) fn new(
         cfg: LeaderConfig,
         name: Box<str>,
-        recovered: Recovered<Jobs>,
+        recovered: Recovered<CellState>,
         seed: u64,
         now: Moment,
     ) -> Result<Self, peer::BadMessage> {
-        let Recovered { replica, meta, machine, records, hard } = recovered;
+        let Recovered { replica, meta, state: machine, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<Entry>, _>>()?;
+        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
             hard: from_hard(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
@@ -73,8 +73,8 @@
             held: VecDeque::new(),
             written: 0,
             outbox: Vec::new(),
-            counts: Counts::default(),
-            snapshot_at: Counts::default(),
+            counts: LogCounters::default(),
+            snapshot_at: LogCounters::default(),
         })
     }
 
@@ -87,9 +87,9 @@
     }
 
     /// The state as far as this replica has applied it.
-    pub(crate) fn state(&self) -> Option<&Jobs> {
+    pub(crate) fn state(&self) -> Option<&CellState> {
         match &self.leader {
-            Some(leader) => Some(leader.jobs()),
+            Some(leader) => Some(leader.state()),
             None => self.jobs.as_ref(),
         }
     }
@@ -120,7 +120,7 @@
             if !commands.is_empty() {
                 match encode_all(&commands) {
                     Ok(encoded) => match self.raft.propose(now.at, encoded) {
-                        Ok(first) => leader.proposed(first),
+                        Ok(first) => leader.batch_appended(first),
                         // A replica that lost the lead drops its leader right below.
                         Err(why) => log::info!("nothing was proposed: {why}"),
                     },
@@ -155,7 +155,7 @@
         self.release();
     }
 
-    fn apply(&mut self, now: Now, index: u64, entry: &Entry) {
+    fn apply(&mut self, now: Now, index: u64, entry: &LogEntry) {
         self.applied = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command: JobCommand = match postcard::from_bytes(bytes) {
@@ -168,7 +168,7 @@
             }
         };
         if let Some(leader) = &mut self.leader {
-            leader.committed(now, index, command);
+            leader.apply_committed(now, index, command);
         } else if let Some(jobs) = &mut self.jobs {
             jobs.apply(command);
         }
@@ -181,13 +181,13 @@
             log::warn!("role=follower term={} was=leader", self.raft.term());
             self.jobs = Some(leader.into_jobs());
         }
-        if self.raft.is_settled()
+        if self.raft.has_committed_in_term()
             && self.leader.is_none()
             && let Some(jobs) = self.jobs.take()
         {
             log::info!("role=leader term={} record={}", self.raft.term(), self.applied);
             let mut leader = Leader::new(self.cfg, self.raft.term(), jobs, now);
-            leader.set_name(&self.name);
+            leader.set_node_name(&self.name);
             self.leader = Some(leader);
         }
     }
@@ -208,12 +208,12 @@
     // ---- the disk ----
 
     /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<Work> {
+    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
         if !self.writes.is_empty() {
-            return Some(Work::Write(std::mem::take(&mut self.writes)));
+            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
         }
         if let Some((meta, bytes)) = &self.install {
-            return Some(Work::Install { index: meta.index, bytes: bytes.clone() });
+            return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
         self.snapshot_due()
     }
@@ -224,26 +224,26 @@
     }
 
     /// The disk has done something.
-    pub(crate) fn did(&mut self, now: Now, done: &Done) {
+    pub(crate) fn did(&mut self, now: Now, done: &DiskEvent) {
         match done {
-            Done::Written { seq, counts } => {
+            DiskEvent::Written { seq, counts } => {
                 self.written = *seq;
                 self.counts = *counts;
                 self.raft.persisted(*seq, now.at);
             }
-            Done::Compacted { index } => self.raft.compact(*index, KEPT_BEHIND),
-            Done::Installed => self.installed(),
-            Done::Failed(_) => {}
+            DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
+            DiskEvent::Installed => self.installed(),
+            DiskEvent::Failed(_) => {}
         }
         self.propose(now);
     }
 
     fn installed(&mut self) {
         let Some((meta, bytes)) = self.install.take() else { return };
-        match snapshot::decode_as::<Jobs>(&bytes, "a snapshot of the leader") {
+        match snapshot::decode_as::<CellState>(&bytes, "a snapshot of the leader") {
             Ok(found) => {
                 log::info!("took over the leader's state up to record {}", meta.index);
-                self.jobs = Some(found.machine);
+                self.jobs = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
             }
@@ -276,13 +276,13 @@
         records >= SNAPSHOT_RECORDS || bytes >= SNAPSHOT_BYTES
     }
 
-    fn snapshot_due(&mut self) -> Option<Work> {
+    fn snapshot_due(&mut self) -> Option<DiskTask> {
         if !self.is_snapshot_due() {
             return None;
         }
         self.snapshot_at = self.counts;
         let (meta, bytes) = self.encode_snapshot()?;
-        Some(Work::Compact { index: meta.index, bytes })
+        Some(DiskTask::Compact { index: meta.index, bytes })
     }
 
     fn offer_snapshot(&mut self, now: Now, to: ReplicaId) {
@@ -294,7 +294,7 @@
 
     /// How long ago this leader heard a member's replica.
     pub(crate) fn silent(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
-        self.raft.heard(id).map(|heard| now.since(heard))
+        self.raft.last_heard(id).map(|heard| now.since(heard))
     }
 }
 
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -2,7 +2,7 @@
 
 use crate::cell::config::CellConfig;
 use crate::cell::connections::Connections;
-use crate::cell::dialect::{Dialect, Settings};
+use crate::cell::dialect::{ApiAdapter, SeedSource};
 use crate::cell::http::{self, Port, Site};
 use crate::cell::node::Shared;
 use crate::cell::policy;
@@ -26,7 +26,7 @@
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::raft::ReplicaId;
 use yuccalink_coordination::roster::NodeInfo;
-use yuccalink_state::jobs::Jobs;
+use yuccalink_state::jobs::CellState;
 
 /// How often time is looked at where there is a replica: a quarter of the
 /// heartbeat of the consensus.
@@ -47,8 +47,8 @@
 /// disk fails later on.
 pub fn run(
     config: CellConfig,
-    dialect: Box<dyn Dialect>,
-    settings: Box<dyn Settings>,
+    dialect: Box<dyn ApiAdapter>,
+    settings: Box<dyn SeedSource>,
 ) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -59,13 +59,13 @@
 
 async fn serve(
     config: CellConfig,
-    dialect: Box<dyn Dialect>,
-    settings: Box<dyn Settings>,
+    dialect: Box<dyn ApiAdapter>,
+    settings: Box<dyn SeedSource>,
 ) -> Result<()> {
     let mut term = on(SignalKind::terminate())?;
     let mut int = on(SignalKind::interrupt())?;
     let mut hup = on(SignalKind::hangup())?;
-    let dialect: Rc<dyn Dialect> = Rc::from(dialect);
+    let dialect: Rc<dyn ApiAdapter> = Rc::from(dialect);
     let (node, journal) = recover(&config, &dialect)?;
     let (close, closing) = watch::channel(false);
     let in_flight = Cell::new(0);
@@ -110,7 +110,7 @@
     log::info!("stopping: no longer ready, serving for {drain:?} more");
     let began = Instant::now();
     node.start_draining();
-    hand_over(node).await;
+    transfer_leadership(node).await;
     tokio::time::sleep_until(began + drain).await;
     let _ = close.send(true);
     let until = Instant::now() + FINISH;
@@ -122,11 +122,11 @@
     log::info!("stopped in-flight={}", site.in_flight.get());
 }
 
-async fn hand_over(node: &Shared) {
+async fn transfer_leadership(node: &Shared) {
     let asked = node.with(|node| {
         let now = node.now();
         let Some(replica) = &mut node.replica else { return false };
-        let asked = replica.raft.hand_over();
+        let asked = replica.raft.transfer_leadership();
         replica.pump(now);
         asked
     });
@@ -151,7 +151,7 @@
     }
 }
 
-fn read_again(node: &Shared, settings: &dyn Settings, asked: bool) {
+fn read_again(node: &Shared, settings: &dyn SeedSource, asked: bool) {
     match settings.seeds() {
         Ok(seeds) => node.with(|node| {
             if node.roster.seeds != seeds {
@@ -165,7 +165,7 @@
     }
 }
 
-fn recover(config: &CellConfig, dialect: &Rc<dyn Dialect>) -> Result<(Shared, Option<Journal>)> {
+fn recover(config: &CellConfig, dialect: &Rc<dyn ApiAdapter>) -> Result<(Shared, Option<Journal>)> {
     let clock = BootClock::start();
     let mut replica = None;
     let mut journal = None;
@@ -180,14 +180,14 @@
         peer: config.peer_advertised(),
         control: config.control,
         replica: replica.as_ref().map(|replica: &Replica| replica.raft.id()),
-        may_found: false,
+        may_bootstrap: false,
     };
     let node = Shared::new(config.clone(), clock, info, replica, dialect.clone());
     Ok((node, journal))
 }
 
 fn open_disk(config: &CellConfig, folder: &Path, now: Moment) -> Result<(Journal, Replica)> {
-    let (journal, recovered) = Journal::open::<Jobs>(folder, draw())?;
+    let (journal, recovered) = Journal::open::<CellState>(folder, draw())?;
     log::info!(
         "disk replica={} snapshot={} records={}",
         ReplicaId(recovered.replica),
--- a/crates/daemon/src/cell/seats.rs
+++ b/crates/daemon/src/cell/seats.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use yuccalink_coordination::raft::{Members, ReplicaId};
 use yuccalink_coordination::roster::member_of;
-use yuccalink_coordination::voters::{self, View};
+use yuccalink_coordination::voters::{self, MembershipView};
 
 /// How often the voters are looked at.
 const LOOK: Duration = Duration::from_millis(100);
@@ -17,16 +17,16 @@
     loop {
         looks.tick().await;
         node.with(|node| {
-            found(node);
+            bootstrap(node);
             settle(node);
         });
         node.tick();
     }
 }
 
-fn found(node: &mut Node) {
+fn bootstrap(node: &mut Node) {
     let empty = node.replica.as_ref().is_some_and(|replica| replica.raft.is_empty());
-    if !node.roster.should_found(empty) {
+    if !node.roster.should_bootstrap(empty) {
         return;
     }
     let now = node.now();
@@ -34,16 +34,16 @@
     let Some(replica) = &mut node.replica else { return };
     if replica.raft.is_empty() {
         log::info!("founding a new cell with replica {}", member.id);
-        replica.raft.found(Members { voters: vec![member], learners: Vec::new() }, now.at);
+        replica.raft.bootstrap(Members { voters: vec![member], learners: Vec::new() }, now.at);
     }
 }
 
 fn settle(node: &mut Node) {
     let now = node.now();
     let disks = node.roster.candidates(now.at);
-    let wanted = voters::wanted(node.cfg.losses);
+    let wanted = voters::wanted(node.cfg.tolerated_disk_losses);
     let Some(replica) = &mut node.replica else { return };
-    if !replica.raft.is_settled() || !replica.raft.members_committed() {
+    if !replica.raft.has_committed_in_term() || !replica.raft.members_committed() {
         return;
     }
     let members = replica.raft.members().clone();
@@ -51,7 +51,7 @@
     let silent = ids.iter().filter_map(|id| Some((*id, replica.silent(now.at, *id)?))).collect();
     let caught_up = ids.into_iter().filter(|id| replica.raft.is_caught_up(*id)).collect();
     let own = replica.raft.id();
-    let view = View { members, own, disks, silent, caught_up };
+    let view = MembershipView { members, own, disks, silent, caught_up };
     if let Some((members, why)) = voters::next(&view, wanted) {
         match replica.raft.change_members(now.at, members) {
             Ok(()) => log::info!("members: {why}"),
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -4,7 +4,7 @@
 use crate::entry::Entry;
 use crate::error::{Error, Result};
 use crate::journal::Journal;
-use crate::link::{Backoff, Link};
+use crate::link::{Backoff, LeaderClient};
 use crate::orders::Sender;
 use crate::peers::PeerService;
 use crate::replica::{self, Replica};
@@ -72,7 +72,7 @@
         writer = Some(tokio::task::spawn_local(feed));
         replica = Some(made);
     }
-    let link = Rc::new(Link::new(shared.clone(), incarnation, replica.clone()));
+    let link = Rc::new(LeaderClient::new(shared.clone(), incarnation, replica.clone()));
     serve_peers(&shared, peer_listener, replica.clone());
     if let Some(replica) = &replica {
         start_voting(&shared, incarnation, replica, &link);
@@ -84,7 +84,7 @@
     let _ = stop.wait_for(|stop| *stop).await;
     follower.abort();
     if let Some(replica) = &replica {
-        hand_over(replica).await;
+        transfer_leadership(replica).await;
     }
     let state = entry.borrow_mut().state(true, link.generation());
     let _ = tokio::time::timeout(GOODBYE, link.sync(&state)).await;
@@ -96,8 +96,8 @@
 }
 
 /// Waits until another voter leads, but not longer than [`HAND_OVER`].
-async fn hand_over(replica: &Rc<RefCell<Replica>>) {
-    if !replica.borrow_mut().hand_over() {
+async fn transfer_leadership(replica: &Rc<RefCell<Replica>>) {
+    if !replica.borrow_mut().transfer_leadership() {
         return;
     }
     let until = tokio::time::Instant::now() + HAND_OVER;
@@ -110,7 +110,7 @@
     shared: &Arc<Shared>,
     incarnation: Incarnation,
     replica: &Rc<RefCell<Replica>>,
-    link: &Rc<Link>,
+    link: &Rc<LeaderClient>,
 ) {
     tokio::task::spawn_local(Rc::new(Sender::new(replica.clone())).run());
     tokio::task::spawn_local(ticks(replica.clone()));
@@ -140,7 +140,7 @@
 async fn follow(
     shared: Arc<Shared>,
     entry: Rc<RefCell<Entry>>,
-    link: Rc<Link>,
+    link: Rc<LeaderClient>,
     incarnation: Incarnation,
 ) {
     let mut backoff = Backoff::new(incarnation.0);
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use yuccalink_state::id::Incarnation;
 use yuccalink_transport::auth::Keys;
-use yuccalink_transport::server::{Limits, Server};
+use yuccalink_transport::server::{Server, ServerLimits};
 
 /// Threads for targets and operators.
 const CONTROL_THREADS: usize = 1;
@@ -197,7 +197,7 @@
 
 fn serve_callers(shared: &Arc<Shared>, listener: TcpListener) -> Result<Server> {
     let config = &shared.config;
-    let limits = Limits {
+    let limits = ServerLimits {
         threads: config.traffic_threads,
         connections: config.connections,
         head_timeout: config.head_timeout,
@@ -210,8 +210,11 @@
 }
 
 fn serve_admin(shared: &Arc<Shared>, listener: TcpListener) -> Result<Server> {
-    let limits =
-        Limits { threads: CONTROL_THREADS, connections: CONTROL_CONNECTIONS, ..Limits::default() };
+    let limits = ServerLimits {
+        threads: CONTROL_THREADS,
+        connections: CONTROL_CONNECTIONS,
+        ..ServerLimits::default()
+    };
     let shared = shared.clone();
     Server::start(listener, limits, move || Admin::new(shared.clone(), draw()))
         .map_err(Error::Thread)
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,19 +1,19 @@
 //! The entry's side of control: applies what the leader tells, keeps the view
 //! of the traffic threads and the lease that lets this entry serve.
 
-use crate::shared::{Owner, Shared, View};
+use crate::shared::{Owner, RoutingTable, Shared};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::entries::Lease;
-use yuccalink_protocol::peer::{EntryState, Neighbour, News, RunnerChange};
+use yuccalink_coordination::entries::ConfigLease;
+use yuccalink_protocol::peer::{EntryState, EntryUpdate, PeerEntry, RunnerChange};
 use yuccalink_state::document::Document;
 use yuccalink_state::id::{Incarnation, Name};
 
 pub(crate) struct Entry {
     shared: Arc<Shared>,
     incarnation: Incarnation,
-    lease: Lease,
+    lease: ConfigLease,
     revision: u64,
     term: u64,
     table_version: u64,
@@ -23,10 +23,10 @@
     /// Runners that the leader of this term has told of.
     heard: BTreeSet<Name>,
     /// Whether this leader's table is complete.
-    settled: bool,
+    runner_table_complete: bool,
     documents: BTreeMap<Name, Arc<Document>>,
     runners: BTreeMap<Name, RunnerChange>,
-    neighbours: Vec<Neighbour>,
+    neighbours: Vec<PeerEntry>,
     releasing: Vec<Name>,
 }
 
@@ -35,14 +35,14 @@
         Self {
             shared,
             incarnation,
-            lease: Lease::default(),
+            lease: ConfigLease::default(),
             revision: 0,
             term: 0,
             table_version: 0,
             told_owned: 0,
             telling: 0,
             heard: BTreeSet::new(),
-            settled: false,
+            runner_table_complete: false,
             documents: BTreeMap::new(),
             runners: BTreeMap::new(),
             neighbours: Vec::new(),
@@ -55,22 +55,22 @@
         if !self.lease.holds(self.shared.clock.now()) {
             self.lapse();
         }
-        let let_go = self.let_go();
+        let let_go = self.take_released();
         let config = &self.shared.config;
         let owned = if self.told_owned == way { Vec::new() } else { self.owned_specs() };
         self.telling = way;
         EntryState {
             entry: config.name.clone(),
             incarnation: self.incarnation,
-            callers: config.callers_address().to_string().into(),
+            caller_address: config.callers_address().to_string().into(),
             zone: config.zone.clone(),
-            acked: self.revision,
+            acked_revision: self.revision,
             draining: self.shared.is_draining(),
             term: self.term,
             table_version: self.table_version,
-            let_go,
+            released_runners: let_go,
             owned,
-            settled: self.settled,
+            runner_table_complete: self.runner_table_complete,
             leaving,
         }
     }
@@ -86,7 +86,7 @@
         let mut routing = self.shared.routing();
         let names: Vec<Name> = routing.router.runners().map(|r| r.spec.name.clone()).collect();
         for name in names {
-            routing.router.close(&name);
+            routing.router.stop_routing_to(&name);
             if !self.releasing.contains(&name) {
                 self.releasing.push(name);
             }
@@ -100,13 +100,13 @@
     }
 
     /// Runners that another entry shall have and that hold nothing of ours any more.
-    fn let_go(&mut self) -> Vec<Name> {
+    fn take_released(&mut self) -> Vec<Name> {
         let mut routing = self.shared.routing();
         let mut gone = Vec::new();
         self.releasing.retain(|name| match routing.router.in_flight(name) {
             Some(busy) if busy > 0 => true,
             _ => {
-                routing.router.disown(name);
+                routing.router.remove_runner(name);
                 gone.push(name.clone());
                 false
             }
@@ -115,7 +115,7 @@
     }
 
     /// Takes in news that answer a request sent at `sent`, then renews the lease.
-    pub(crate) fn apply(&mut self, news: News, sent: Moment) {
+    pub(crate) fn apply(&mut self, news: EntryUpdate, sent: Moment) {
         // A late answer of an earlier leader must not bring back what a later one
         // has replaced.
         if news.term < self.term {
@@ -124,18 +124,19 @@
         if news.term > self.term {
             log::info!("following the leader of term {}", news.term);
             self.term = news.term;
-            self.settled = false;
+            self.runner_table_complete = false;
             self.heard.clear();
         }
         self.told_owned = self.telling;
         let mut changed = self.take_documents(news.documents);
         self.revision = self.revision.max(news.revision);
         self.table_version = news.table_version;
-        let neighbours = Neighbour::known(news.entries, &self.neighbours, news.settled);
+        let neighbours =
+            PeerEntry::known(news.entries, &self.neighbours, news.runner_table_complete);
         changed |= !news.runners.is_empty() || self.neighbours != neighbours;
         self.neighbours = neighbours;
         self.take_runners(news.runners);
-        if news.settled && !self.settled {
+        if news.runner_table_complete && !self.runner_table_complete {
             changed |= self.settle();
         }
         if changed {
@@ -143,7 +144,7 @@
         }
         self.lease.renew(sent);
         self.shared.set_lease(self.lease.until());
-        if self.settled {
+        if self.runner_table_complete {
             self.shared.set_informed();
         }
     }
@@ -151,14 +152,14 @@
     /// The leader's table is complete now: what it does not know any more is gone.
     /// Until then the table of the leader before it is the better guess.
     fn settle(&mut self) -> bool {
-        self.settled = true;
+        self.runner_table_complete = true;
         let gone: Vec<Name> =
             self.runners.keys().filter(|name| !self.heard.contains(*name)).cloned().collect();
         let mut routing = self.shared.routing();
         for name in &gone {
             self.runners.remove(name);
             if routing.router.in_flight(name).is_some() {
-                routing.router.close(name);
+                routing.router.stop_routing_to(name);
                 self.releasing.push(name.clone());
             }
         }
@@ -203,12 +204,12 @@
             self.releasing.retain(|other| other != name);
             routing.change(now, |router, turns| {
                 if had {
-                    router.reported(now, name, change.busy, turns);
+                    router.update_busy_count(now, name, change.busy, turns);
                 }
-                router.own(now, change.spec.clone(), change.busy, turns);
+                router.add_runner(now, change.spec.clone(), change.busy, turns);
             });
         } else if had {
-            routing.router.close(name);
+            routing.router.stop_routing_to(name);
             if !mine && !self.releasing.contains(name) {
                 self.releasing.push(name.clone());
             }
@@ -220,7 +221,7 @@
         for change in self.runners.values().filter(|change| change.usable) {
             let Some(owner) = &change.owner else { continue };
             let found = self.neighbours.iter().find(|n| n.name == *owner && !n.draining);
-            let Some(callers) = found.and_then(|entry| entry.callers.parse().ok()) else {
+            let Some(callers) = found.and_then(|entry| entry.caller_address.parse().ok()) else {
                 continue;
             };
             let service = owners.entry(change.spec.service.as_str().into()).or_default();
@@ -232,7 +233,7 @@
             owner.slots += change.spec.slots;
         }
         let documents = self.documents.iter();
-        let view = View {
+        let view = RoutingTable {
             services: documents.map(|(name, doc)| (name.as_str().into(), doc.clone())).collect(),
             owners: owners
                 .into_iter()
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -6,23 +6,23 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::{self, JoinHandle};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use yuccalink_coordination::raft::{Entry, HardState, Payload, Persist, ReplicaId};
+use yuccalink_coordination::raft::{HardState, LogEntry, LogWrite, Payload, ReplicaId};
 use yuccalink_state::Store;
-use yuccalink_state::log::{Counts, Frame, Hard, Record};
+use yuccalink_state::log::{LogCounters, LogFrame, Record, TermAndVote};
 use yuccalink_state::snapshot::Replicated;
 use yuccalink_state::store::Recovered;
 
 enum Job {
-    Write(Vec<Persist>),
+    Write(Vec<LogWrite>),
     Compact { index: u64, bytes: Vec<u8> },
     Install { index: u64, bytes: Vec<u8> },
 }
 
 /// What the disk thread did.
 #[derive(Debug)]
-pub(crate) enum Done {
+pub(crate) enum DiskEvent {
     /// All writes up to this number are durable.
-    Written { seq: u64, counts: Counts },
+    Written { seq: u64, counts: LogCounters },
     /// The snapshot of this record is in place.
     Compacted { index: u64 },
     /// The snapshot that came from the leader is in place.
@@ -34,7 +34,7 @@
 /// Handle of the disk thread.
 pub(crate) struct Journal {
     jobs: Sender<Job>,
-    done: UnboundedReceiver<Done>,
+    done: UnboundedReceiver<DiskEvent>,
     thread: JoinHandle<()>,
 }
 
@@ -54,7 +54,7 @@
         Ok((Self { jobs, done, thread }, recovered))
     }
 
-    pub(crate) fn write(&self, writes: Vec<Persist>) {
+    pub(crate) fn write(&self, writes: Vec<LogWrite>) {
         let _ = self.jobs.send(Job::Write(writes));
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// The next finished job; `None` when the thread is gone.
-    pub(crate) async fn done(&mut self) -> Option<Done> {
+    pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
@@ -78,33 +78,35 @@
     }
 }
 
-fn run(mut store: Store, jobs: &Receiver<Job>, done: &UnboundedSender<Done>) {
+fn run(mut store: Store, jobs: &Receiver<Job>, done: &UnboundedSender<DiskEvent>) {
     while let Ok(job) = jobs.recv() {
         let result = match job {
             Job::Write(writes) => write(&mut store, writes),
             Job::Compact { index, bytes } => {
-                store.compact(index, &bytes).map(|()| Done::Compacted { index })
+                store.compact(index, &bytes).map(|()| DiskEvent::Compacted { index })
+            }
+            Job::Install { index, bytes } => {
+                store.install(index, &bytes).map(|()| DiskEvent::Installed)
             }
-            Job::Install { index, bytes } => store.install(index, &bytes).map(|()| Done::Installed),
         };
         let failed = result.is_err();
-        if done.send(result.unwrap_or_else(Done::Failed)).is_err() || failed {
+        if done.send(result.unwrap_or_else(DiskEvent::Failed)).is_err() || failed {
             return;
         }
     }
 }
 
-fn write(store: &mut Store, writes: Vec<Persist>) -> yuccalink_state::Result<Done> {
+fn write(store: &mut Store, writes: Vec<LogWrite>) -> yuccalink_state::Result<DiskEvent> {
     let seq = writes.last().map_or(0, |write| write.seq);
     for frame in merge(writes)? {
         store.append(&frame)?;
     }
-    Ok(Done::Written { seq, counts: store.counts() })
+    Ok(DiskEvent::Written { seq, counts: store.counts() })
 }
 
 /// Makes one frame, and so one sync, of all writes that follow on each other.
-fn merge(writes: Vec<Persist>) -> yuccalink_state::Result<Vec<Frame>> {
-    let mut frames: Vec<Frame> = Vec::new();
+fn merge(writes: Vec<LogWrite>) -> yuccalink_state::Result<Vec<LogFrame>> {
+    let mut frames: Vec<LogFrame> = Vec::new();
     for write in writes {
         let hard = to_hard(write.hard);
         let mut records = Vec::with_capacity(write.entries.len());
@@ -118,22 +120,22 @@
                 frame.records.append(&mut records);
                 frame.hard = hard;
             }
-            _ => frames.push(Frame { hard, first: write.first, records }),
+            _ => frames.push(LogFrame { hard, first: write.first, records }),
         }
     }
     Ok(frames)
 }
 
-fn follows(frame: &Frame, first: u64) -> bool {
+fn follows(frame: &LogFrame, first: u64) -> bool {
     (frame.first..=frame.first + frame.records.len() as u64).contains(&first)
 }
 
-fn to_hard(hard: HardState) -> Hard {
-    Hard { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
+fn to_hard(hard: HardState) -> TermAndVote {
+    TermAndVote { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
 }
 
 /// The hard state as the consensus knows it.
-pub(crate) fn from_hard(hard: Hard) -> HardState {
+pub(crate) fn from_hard(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
 }
@@ -149,7 +151,7 @@
 /// An entry as the log kept it.
 pub(crate) fn to_entry(
     record: &Record,
-) -> std::result::Result<Entry, yuccalink_protocol::peer::BadMessage> {
+) -> std::result::Result<LogEntry, yuccalink_protocol::peer::BadMessage> {
     let payload = yuccalink_protocol::peer::decode(&record.bytes)?;
-    Ok(Entry { term: record.term, payload })
+    Ok(LogEntry { term: record.term, payload })
 }
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -13,29 +13,33 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot, watch};
-use yuccalink_coordination::directory::{Directory, HEARTBEAT, Heard, Usage, WORKER_LEASE};
-use yuccalink_coordination::dispatch::{Differences, Dispatch, Due, Order, Reconcile};
-use yuccalink_coordination::entries::{Entries, Hello, InForce};
+use yuccalink_coordination::directory::{
+    Directory, HEARTBEAT_INTERVAL, HeartbeatOutcome, Usage, WORKER_LEASE,
+};
+use yuccalink_coordination::dispatch::{Differences, Dispatch, DueOrder, Order, Reconcile};
+use yuccalink_coordination::entries::{EntryReport, EntryTable, RolloutStatus};
 use yuccalink_coordination::moment::Moment;
 use yuccalink_coordination::placement::{self, Decision, PLAN_MAX};
-use yuccalink_coordination::pressure::{self, Pressure, Throttle, Turn};
+use yuccalink_coordination::pressure::{self, Pressure, PressureChange, Throttle};
 use yuccalink_coordination::workers;
 use yuccalink_protocol::api::{
-    Applied, Cancelled, EntryView, Heartbeat, Held, LIST_MAX, LogView, MemberView, OrderTask,
-    PAYLOAD_MAX, SUBMIT_MAX, Start, Status, SubmitTasks, Submitted, TargetView, Welcome,
-    held_digest,
+    Applied, Cancelled, EntryView, Heartbeat, HeartbeatReply, LIST_MAX, LogView, MemberView,
+    OrderTask, PAYLOAD_MAX, ReportedTask, SUBMIT_MAX, Status, SubmitTasks, Submitted, TargetView,
+    TaskStart, held_digest,
 };
 use yuccalink_protocol::document;
 use yuccalink_protocol::peer::{
-    Answer, Ask, EntryState, Neighbour, News, RunnerChange, TaskFilter,
+    EntryState, EntryUpdate, LeaderRequest, LeaderResponse, PeerEntry, RunnerChange, TaskFilter,
+};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind};
+use yuccalink_state::command::{
+    Apply, Command, Missing, Outcome, TaskEvent, TaskReport, TaskSubmission,
 };
-use yuccalink_protocol::problem::{Kind, Problem, Ran};
-use yuccalink_state::command::{Apply, Command, Missing, Outcome, Submit, TaskEvent, TaskReport};
 use yuccalink_state::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
 use yuccalink_state::target::TargetSpec;
 use yuccalink_state::task::{Task, TaskPhase};
 use yuccalink_state::worker::WorkerPhase;
-use yuccalink_state::{Machine, Resources};
+use yuccalink_state::{Resources, StateMachine};
 
 /// Commands waiting for the log; more are refused as "not run".
 const QUEUE_MAX: usize = 16 * 1024;
@@ -46,7 +50,7 @@
 /// How often all unconfirmed orders are looked through.
 const SWEEP: Duration = Duration::from_secs(1);
 
-type Reply = oneshot::Sender<Answer>;
+type Reply = oneshot::Sender<LeaderResponse>;
 
 /// What to do with the outcome of a command.
 enum Then {
@@ -74,7 +78,7 @@
     pub(crate) name: Name,
     pub(crate) incarnation: Incarnation,
     pub(crate) address: Box<str>,
-    pub(crate) due: Vec<Due>,
+    pub(crate) due: Vec<DueOrder>,
     pub(crate) orders: Vec<OrderTask>,
 }
 
@@ -83,9 +87,9 @@
     clock: Clock,
     term: u64,
     started: Moment,
-    machine: Machine,
+    machine: StateMachine,
     directory: Directory,
-    entries: Entries,
+    entries: EntryTable,
     dispatch: Dispatch,
     reconcile: Reconcile,
     proposed: VecDeque<(Command, Then)>,
@@ -103,7 +107,7 @@
     throttles: BTreeMap<WorkerKey, Vec<Throttle>>,
     swept: Moment,
     force: Vec<ForceWaiter>,
-    /// Whether the directory is complete; see [`News::settled`].
+    /// Whether the directory is complete; see [`EntryUpdate::runner_table_complete`].
     settled: bool,
     /// Wakes the task that sends orders.
     orders: Arc<Notify>,
@@ -114,7 +118,7 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         term: u64,
-        machine: Machine,
+        machine: StateMachine,
         orders: Arc<Notify>,
     ) -> Self {
         let clock = shared.clock;
@@ -126,7 +130,7 @@
             started,
             machine,
             directory: Directory::new(),
-            entries: Entries::new(started),
+            entries: EntryTable::new(started),
             dispatch: Dispatch::new(),
             reconcile: Reconcile::default(),
             proposed: VecDeque::new(),
@@ -147,13 +151,13 @@
         }
     }
 
-    pub(crate) fn machine(&self) -> &Machine {
+    pub(crate) fn machine(&self) -> &StateMachine {
         &self.machine
     }
 
     /// The state, for a replica that no longer leads. Whoever waits for an answer
     /// is told that there is no leader: what it asked may yet be decided.
-    pub(crate) fn into_machine(self) -> Machine {
+    pub(crate) fn into_machine(self) -> StateMachine {
         self.machine
     }
 
@@ -174,8 +178,9 @@
     {
         if self.proposed.len() >= QUEUE_MAX {
             let what = "the log has too much to write; send it again later";
-            let problem = Problem::new(Kind::Overloaded, Ran::NotRun, what).retry_after(1000);
-            let _ = reply.send(Answer::Problem(problem));
+            let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, what)
+                .retry_after(1000);
+            let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
         self.propose(command, then(reply));
@@ -237,18 +242,18 @@
             Then::Reported(reply) => {
                 self.plan_due = true;
                 if let Some((reply, send_held)) = reply {
-                    let _ = reply.send(Answer::Welcome(worker_welcome(send_held)));
+                    let _ = reply.send(LeaderResponse::Welcome(worker_welcome(send_held)));
                 }
             }
             Then::Request(reply) => {
                 let answer = match outcome {
-                    Outcome::Request(verdict) => Answer::Request(verdict),
+                    Outcome::Request(verdict) => LeaderResponse::Request(verdict),
                     other => unexpected(&other),
                 };
                 let _ = reply.send(answer);
             }
             Then::Done(reply) => {
-                let _ = reply.send(Answer::Done);
+                let _ = reply.send(LeaderResponse::Done);
             }
             Then::WorkerGone(name) => {
                 self.directory.drop_worker(&name);
@@ -266,7 +271,7 @@
                     self.plan_due = true;
                     self.bump();
                 }
-                Answer::Applied(Applied {
+                LeaderResponse::Applied(Applied {
                     service,
                     version,
                     revision: revision.0,
@@ -281,7 +286,11 @@
                      it, merge your change and apply it as version {}",
                     winner + 1
                 );
-                Answer::Problem(Problem::new(Kind::Conflict, Ran::NotRun, what))
+                LeaderResponse::Problem(Problem::new(
+                    ProblemKind::Conflict,
+                    ExecutionStatus::NotRun,
+                    what,
+                ))
             }
             other => unexpected(&other),
         };
@@ -301,7 +310,7 @@
         self.orders.notify_one();
         let done =
             tasks.iter().zip(outcomes).map(|(task, outcome)| Cancelled { task: *task, outcome });
-        let _ = reply.send(Answer::Cancelled(done.collect()));
+        let _ = reply.send(LeaderResponse::Cancelled(done.collect()));
     }
 
     fn finish_place(&mut self, decisions: &[Decision], outcome: &Outcome) {
@@ -336,11 +345,11 @@
     fn finish_announce(&mut self, outcome: &Outcome, reply: Reply) {
         self.plan_due = true;
         let answer = match outcome {
-            Outcome::WorkerUp(_) => Answer::Welcome(worker_welcome(true)),
+            Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_welcome(true)),
             Outcome::WorkerBusy => {
                 let what = "tasks of an earlier run are not given up yet; announce again";
-                let problem = Problem::new(Kind::InProgress, Ran::NotRun, what);
-                Answer::Problem(problem.retry_after(1000))
+                let problem = Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what);
+                LeaderResponse::Problem(problem.retry_after(1000))
             }
             other => unexpected(other),
         };
@@ -376,13 +385,13 @@
     }
 }
 
-fn runner_welcome() -> Welcome {
-    Welcome { heartbeat_ms: millis(HEARTBEAT), lease_ms: None, send_held: false }
+fn runner_welcome() -> HeartbeatReply {
+    HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms: None, send_held: false }
 }
 
-fn worker_welcome(send_held: bool) -> Welcome {
+fn worker_welcome(send_held: bool) -> HeartbeatReply {
     let lease_ms = Some(millis(WORKER_LEASE));
-    Welcome { heartbeat_ms: millis(HEARTBEAT), lease_ms, send_held }
+    HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms, send_held }
 }
 
 fn busy_problem(target: &TargetSpec, wait: Duration) -> Problem {
@@ -390,22 +399,27 @@
         "another run of {} may still be alive; announce again when its lease has ended",
         target.name()
     );
-    Problem::new(Kind::InProgress, Ran::NotRun, what).retry_after(millis(wait).max(1))
+    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what)
+        .retry_after(millis(wait).max(1))
 }
 
-fn not_found(what: String) -> Answer {
-    Answer::Problem(Problem::new(Kind::NotFound, Ran::NotRun, what))
+fn not_found(what: String) -> LeaderResponse {
+    LeaderResponse::Problem(Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what))
 }
 
-fn unexpected(outcome: &Outcome) -> Answer {
+fn unexpected(outcome: &Outcome) -> LeaderResponse {
     log::error!("a command came to {outcome:?}, which it never should; please report this");
-    Answer::Problem(Problem::new(Kind::NotServing, Ran::Unknown, "an internal error; see the log"))
+    LeaderResponse::Problem(Problem::new(
+        ProblemKind::NotServing,
+        ExecutionStatus::Unknown,
+        "an internal error; see the log",
+    ))
 }
 
-fn submitted(outcome: Outcome) -> Answer {
+fn submitted(outcome: Outcome) -> LeaderResponse {
     match outcome {
         Outcome::Submitted { first, count, resent } => {
-            Answer::Submitted(Submitted { first, count, resent })
+            LeaderResponse::Submitted(Submitted { first, count, resent })
         }
         Outcome::Unknown(Missing::Service(name)) => {
             not_found(format!("no service is called {name}; apply its document first"))
@@ -418,8 +432,10 @@
 }
 
 /// The problem of a document with faults.
-pub(crate) fn unacceptable_document(faults: &yuccalink_protocol::fields::Faults) -> Problem {
+pub(crate) fn unacceptable_document(
+    faults: &yuccalink_protocol::fields::ValidationErrors,
+) -> Problem {
     let what = "the document has faults; correct them and apply it again";
-    Problem::new(Kind::Unacceptable, Ran::NotRun, what)
+    Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what)
         .with_faults(faults.0.iter().map(|fault| fault.to_string().into()).collect())
 }
--- a/crates/daemon/src/leader/asks.rs
+++ b/crates/daemon/src/leader/asks.rs
@@ -3,40 +3,44 @@
 use super::*;
 
 impl Leader {
-    pub(crate) fn ask(&mut self, ask: Ask, reply: Reply) {
+    pub(crate) fn ask(&mut self, ask: LeaderRequest, reply: Reply) {
         let answer = match ask {
-            Ask::Apply { text, author } => return self.apply(text, author, reply),
-            Ask::InForce { revision } => return self.wait_in_force(Revision(revision), reply),
-            Ask::Submit { key, tasks } => return self.submit(key, tasks, reply),
-            Ask::Cancel(tasks) => return self.cancel(tasks, reply),
-            Ask::Announce { target, busy } => return self.announce(target, busy, reply),
-            Ask::Heartbeat { name, beat } => return self.heartbeat(&name, beat, reply),
-            Ask::Leave { name, incarnation } => return self.leave(name, incarnation, reply),
-            Ask::RequestBegin(begin) => {
+            LeaderRequest::Apply { text, author } => return self.apply(text, author, reply),
+            LeaderRequest::InForce { revision } => {
+                return self.wait_in_force(Revision(revision), reply);
+            }
+            LeaderRequest::Submit { key, tasks } => return self.submit(key, tasks, reply),
+            LeaderRequest::Cancel(tasks) => return self.cancel(tasks, reply),
+            LeaderRequest::Announce { target, busy } => return self.announce(target, busy, reply),
+            LeaderRequest::Heartbeat { name, beat } => return self.heartbeat(&name, beat, reply),
+            LeaderRequest::Leave { name, incarnation } => {
+                return self.leave(name, incarnation, reply);
+            }
+            LeaderRequest::RequestBegin(begin) => {
                 return self.propose_for(Command::RequestBegin(begin), Then::Request, reply);
             }
-            Ask::RequestEnd(end) => {
+            LeaderRequest::RequestEnd(end) => {
                 return self.propose_for(Command::RequestEnd(end), Then::Done, reply);
             }
-            Ask::Services => {
+            LeaderRequest::Services => {
                 let all = self.machine.services();
-                Answer::Services(all.map(|s| views::service(&s.accepted, false)).collect())
+                LeaderResponse::Services(all.map(|s| views::service(&s.accepted, false)).collect())
             }
-            Ask::Service(name) => match self.machine.service(&name) {
-                Some(found) => Answer::Service(views::service(&found.accepted, true)),
+            LeaderRequest::Service(name) => match self.machine.service(&name) {
+                Some(found) => LeaderResponse::Service(views::service(&found.accepted, true)),
                 None => {
                     not_found(format!("no service is called {name}; `yuccalink list` shows all"))
                 }
             },
-            Ask::Task(id) => match self.machine.task(id) {
-                Some(task) => Answer::Task(views::task(&self.machine, task)),
+            LeaderRequest::Task(id) => match self.machine.task(id) {
+                Some(task) => LeaderResponse::Task(views::task(&self.machine, task)),
                 None => not_found(format!("no task {id} is known; it may have ended long ago")),
             },
-            Ask::Tasks(filter) => Answer::Tasks(self.tasks(&filter)),
-            Ask::Targets => Answer::Targets(self.targets()),
-            Ask::Decisions => Answer::Decisions(self.shared.decisions.list()),
+            LeaderRequest::Tasks(filter) => LeaderResponse::Tasks(self.tasks(&filter)),
+            LeaderRequest::Targets => LeaderResponse::Targets(self.targets()),
+            LeaderRequest::Decisions => LeaderResponse::Decisions(self.shared.decisions.list()),
             // Answered by the replica, which knows the log and the members.
-            Ask::Status | Ask::Snapshot => Answer::Problem(no_leader()),
+            LeaderRequest::Status | LeaderRequest::Snapshot => LeaderResponse::Problem(no_leader()),
         };
         let _ = reply.send(answer);
     }
@@ -45,7 +49,7 @@
         let document = match document::read(&text) {
             Ok(document) => document,
             Err(faults) => {
-                let _ = reply.send(Answer::Problem(unacceptable_document(&faults)));
+                let _ = reply.send(LeaderResponse::Problem(unacceptable_document(&faults)));
                 return;
             }
         };
@@ -66,26 +70,26 @@
     pub(super) fn answer_in_force(&mut self) {
         let now = self.clock.now();
         for waiter in std::mem::take(&mut self.force) {
-            let state = self.entries.in_force(now, waiter.revision);
-            let everywhere = state == InForce::Everywhere;
+            let state = self.entries.rollout_status(now, waiter.revision);
+            let everywhere = state == RolloutStatus::Everywhere;
             if !everywhere && now < waiter.until {
                 self.force.push(waiter);
                 continue;
             }
             let waiting_for = match state {
-                InForce::Not(names) => names.into(),
-                InForce::Everywhere | InForce::LeaderTooNew => Vec::new(),
+                RolloutStatus::Not(names) => names.into(),
+                RolloutStatus::Everywhere | RolloutStatus::LeaderTooNew => Vec::new(),
             };
-            let _ = waiter.reply.send(Answer::InForce { everywhere, waiting_for });
+            let _ = waiter.reply.send(LeaderResponse::InForce { everywhere, waiting_for });
         }
     }
 
     pub(super) fn submit(&mut self, key: Box<str>, tasks: SubmitTasks, reply: Reply) {
         if let Some(problem) = self.unacceptable(&tasks) {
-            let _ = reply.send(Answer::Problem(problem));
+            let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
-        let command = Command::Submit(Submit {
+        let command = Command::Submit(TaskSubmission {
             key,
             service: tasks.service,
             kind: tasks.kind,
@@ -98,7 +102,9 @@
     }
 
     pub(super) fn unacceptable(&self, tasks: &SubmitTasks) -> Option<Problem> {
-        let refuse = |what: String| Some(Problem::new(Kind::Unacceptable, Ran::NotRun, what));
+        let refuse = |what: String| {
+            Some(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what))
+        };
         if tasks.count == 0 || tasks.count > SUBMIT_MAX {
             return refuse(format!(
                 "count must be from 1 to {SUBMIT_MAX}; submit in several parts"
@@ -123,8 +129,8 @@
         if tasks.len() > LIST_MAX {
             let what =
                 format!("at most {LIST_MAX} tasks can be cancelled at once; send several parts");
-            let problem = Problem::new(Kind::Unacceptable, Ran::NotRun, what);
-            let _ = reply.send(Answer::Problem(problem));
+            let problem = Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what);
+            let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
         let command = Command::Cancel(tasks.clone().into());
@@ -137,16 +143,16 @@
             .directory
             .get(target.name())
             .is_none_or(|known| known.spec.incarnation() != target.incarnation());
-        if let Some(wait) = self.former_run(&target, now) {
-            let _ = reply.send(Answer::Problem(busy_problem(&target, wait)));
+        if let Some(wait) = self.previous_incarnation(&target, now) {
+            let _ = reply.send(LeaderResponse::Problem(busy_problem(&target, wait)));
             return;
         }
         match self.directory.announce(now, target.clone(), busy) {
-            Heard::Busy(wait) => {
-                let _ = reply.send(Answer::Problem(busy_problem(&target, wait)));
+            HeartbeatOutcome::PreviousIncarnationAlive(wait) => {
+                let _ = reply.send(LeaderResponse::Problem(busy_problem(&target, wait)));
                 return;
             }
-            Heard::Noted | Heard::AnnounceAgain => {}
+            HeartbeatOutcome::Noted | HeartbeatOutcome::AnnounceAgain => {}
         }
         if new_run {
             log::info!("target {} announced itself at {}", target.name(), target.address());
@@ -155,15 +161,15 @@
         self.bump();
         match target {
             TargetSpec::Runner(_) => {
-                let _ = reply.send(Answer::Welcome(runner_welcome()));
+                let _ = reply.send(LeaderResponse::Welcome(runner_welcome()));
             }
             TargetSpec::Worker(spec) => {
                 let known = self.machine.worker(&spec.name);
                 if known.is_some_and(|(_, w)| w.spec == spec && w.phase == WorkerPhase::Live) {
-                    let _ = reply.send(Answer::Welcome(worker_welcome(true)));
+                    let _ = reply.send(LeaderResponse::Welcome(worker_welcome(true)));
                     return;
                 }
-                if let Some(former) = workers::former_run(&self.machine, &spec) {
+                if let Some(former) = workers::previous_incarnation(&self.machine, &spec) {
                     let name = spec.name.clone();
                     let gone = Command::WorkerGone(name.clone(), former);
                     self.propose(gone, Then::FormerRunGone(name));
@@ -176,9 +182,13 @@
 
     /// After a change of leader the directory is empty, but the state knows the
     /// worker: its former run may hold a lease of the last leader.
-    pub(super) fn former_run(&self, target: &TargetSpec, now: Moment) -> Option<Duration> {
+    pub(super) fn previous_incarnation(
+        &self,
+        target: &TargetSpec,
+        now: Moment,
+    ) -> Option<Duration> {
         let TargetSpec::Worker(spec) = target else { return None };
-        workers::former_run(&self.machine, spec)?;
+        workers::previous_incarnation(&self.machine, spec)?;
         if self.directory.get(&spec.name).is_some() {
             return None;
         }
@@ -191,10 +201,10 @@
         let usage =
             Usage { busy: beat.busy, millicores: beat.millicores, memory_mib: beat.memory_mib };
         let before = self.directory.version();
-        if self.directory.heartbeat(now, name, beat.incarnation, usage) != Heard::Noted {
+        if self.directory.heartbeat(now, name, beat.incarnation, usage) != HeartbeatOutcome::Noted {
             let what = format!("target {name} is not known in this run; announce it first");
-            let problem = Problem::new(Kind::NotFound, Ran::NotRun, what);
-            let _ = reply.send(Answer::Problem(problem));
+            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
+            let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
         if self.directory.version() != before {
@@ -205,7 +215,7 @@
             Some(TargetSpec::Worker(_))
         );
         if !is_worker {
-            let _ = reply.send(Answer::Welcome(runner_welcome()));
+            let _ = reply.send(LeaderResponse::Welcome(runner_welcome()));
             return;
         }
         self.worker_beat(name, beat, reply);
@@ -218,8 +228,8 @@
         let Some((key, _)) = known else {
             // It was given up: whatever it still holds is somebody else's by now.
             let what = format!("worker {name} was given up; stop its tasks and announce it again");
-            let problem = Problem::new(Kind::NotFound, Ran::NotRun, what);
-            let _ = reply.send(Answer::Problem(problem));
+            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
+            let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         };
         self.relieve(key, beat.millicores);
@@ -243,7 +253,7 @@
         let lost = lost.map(|(task, epoch)| TaskReport { task, epoch, event: TaskEvent::Stopped });
         let reports: Box<[TaskReport]> = beat.reports.into_iter().chain(lost).collect();
         if reports.is_empty() {
-            let _ = reply.send(Answer::Welcome(worker_welcome(send_held)));
+            let _ = reply.send(LeaderResponse::Welcome(worker_welcome(send_held)));
             return;
         }
         let then = |reply| Then::Reported(Some((reply, send_held)));
@@ -256,12 +266,12 @@
         if let Some(turn) = turn {
             let name = &self.machine.worker_at(worker).spec.name;
             let line = match turn {
-                Turn::Pressed => format!(
+                PressureChange::Pressed => format!(
                     "worker {name} uses {used_millicores} millicores and runs latency-critical \
                      tasks: throttling {} batch tasks",
                     throttles.len()
                 ),
-                Turn::Eased => format!("worker {name} has room again: throttles run out"),
+                PressureChange::Eased => format!("worker {name} has room again: throttles run out"),
             };
             self.shared.decisions.note(line);
         }
@@ -276,9 +286,9 @@
     fn digest_of(&self, worker: WorkerKey) -> u32 {
         let confirmed = self
             .machine
-            .held_by(worker)
+            .tasks_on_worker(worker)
             .filter(|task| matches!(task.phase, TaskPhase::Running(_) | TaskPhase::Stopping(..)));
-        held_digest(confirmed.map(|task| Held { task: task.id, epoch: task.epoch }))
+        held_digest(confirmed.map(|task| ReportedTask { task: task.id, epoch: task.epoch }))
     }
 
     /// Reports that came as the answer to orders.
@@ -290,7 +300,7 @@
 
     pub(super) fn leave(&mut self, name: Name, run: Incarnation, reply: Reply) {
         let now = self.clock.now();
-        if self.directory.leave(&name, run) != Heard::Noted {
+        if self.directory.leave(&name, run) != HeartbeatOutcome::Noted {
             let what = format!("target {name} is not known in this run");
             let _ = reply.send(not_found(what));
             return;
@@ -302,7 +312,7 @@
             let command = Command::WorkerLeaving(name, run);
             self.propose_for(command, Then::Done, reply);
         } else {
-            let _ = reply.send(Answer::Done);
+            let _ = reply.send(LeaderResponse::Done);
         }
     }
 
@@ -323,11 +333,11 @@
         let entries = self.entries.iter().map(|(name, entry)| EntryView {
             entry: name.clone(),
             zone: entry.zone.clone(),
-            callers: entry.callers.clone(),
-            revision: entry.acked.0,
+            caller_address: entry.caller_address.clone(),
+            revision: entry.acked_revision.0,
             lease: entry.may_hold_lease(now),
             draining: entry.draining,
-            silent_ms: millis(now.since(entry.heard)),
+            silent_ms: millis(now.since(entry.last_heard)),
         });
         let on_workers = self.machine.workers().map(|(_, worker)| u64::from(worker.tasks)).sum();
         Status {
@@ -353,7 +363,7 @@
                 health: target.health.to_string().into(),
                 busy: target.usage.busy,
                 owner: target.owner.clone(),
-                silent_ms: millis(now.since(target.heard)),
+                silent_ms: millis(now.since(target.last_heard)),
                 committed: self.committed_on(name),
             };
         self.directory.iter().map(view).collect()
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -20,29 +20,29 @@
             self.bump();
             return;
         }
-        let hello = Hello {
+        let hello = EntryReport {
             name: state.entry.clone(),
             incarnation: state.incarnation,
-            callers: state.callers.clone(),
+            caller_address: state.caller_address.clone(),
             zone: state.zone.clone(),
-            acked: Revision(state.acked),
+            acked_revision: Revision(state.acked_revision),
             draining: state.draining,
         };
         let known = self.entries.get(&state.entry);
         let news = known.is_none_or(|entry| {
             entry.draining != state.draining || entry.incarnation != state.incarnation
         });
-        if self.entries.hear(now, &hello) {
+        if self.entries.record_report(now, &hello) {
             log::info!("entry {} was restarted", state.entry);
             self.directory.owner_restarted(now, &state.entry);
         }
         for spec in &state.owned {
-            self.directory.adopt(now, spec.clone(), &state.entry);
+            self.directory.restore_owner(now, spec.clone(), &state.entry);
         }
-        for name in &state.let_go {
-            self.directory.let_go(name, &state.entry);
+        for name in &state.released_runners {
+            self.directory.confirm_release(name, &state.entry);
         }
-        if news || !state.owned.is_empty() || !state.let_go.is_empty() {
+        if news || !state.owned.is_empty() || !state.released_runners.is_empty() {
             self.directory.tick(now, &self.entries);
             self.bump();
         }
@@ -50,14 +50,14 @@
     }
 
     /// What is new for an entry, and whether that is anything at all.
-    pub(crate) fn news_for(&self, state: &EntryState) -> (News, bool) {
+    pub(crate) fn news_for(&self, state: &EntryState) -> (EntryUpdate, bool) {
         let same_term = state.term == self.term;
         let table_version = if same_term { state.table_version } else { 0 };
-        let (documents, revision) = self.documents_after(state.acked);
+        let (documents, revision) = self.documents_after(state.acked_revision);
         let (runners, upto) = self.directory.changes(table_version, RUNNERS_MAX);
         let any = !same_term
-            || self.machine.revision().0 > state.acked
-            || (self.settled && !state.settled)
+            || self.machine.revision().0 > state.acked_revision
+            || (self.settled && !state.runner_table_complete)
             || self.directory.version() > table_version;
         let complete = revision == self.machine.revision().0 && upto == self.directory.version();
         let runners = runners.into_iter().map(|change| RunnerChange {
@@ -66,14 +66,14 @@
             busy: change.busy,
             owner: change.owner,
         });
-        let news = News {
+        let news = EntryUpdate {
             term: self.term,
             revision,
             documents,
             table_version: upto,
             runners: runners.collect(),
             entries: self.neighbours(),
-            settled: self.settled && complete,
+            runner_table_complete: self.settled && complete,
         };
         (news, any)
     }
@@ -97,13 +97,13 @@
         (told, upto)
     }
 
-    pub(super) fn neighbours(&self) -> Vec<Neighbour> {
+    pub(super) fn neighbours(&self) -> Vec<PeerEntry> {
         let now = self.clock.now();
         let alive = self.entries.iter().filter(|(_, entry)| entry.may_hold_lease(now));
         alive
-            .map(|(name, entry)| Neighbour {
+            .map(|(name, entry)| PeerEntry {
                 name: name.clone(),
-                callers: entry.callers.clone(),
+                caller_address: entry.caller_address.clone(),
                 zone: entry.zone.clone(),
                 draining: entry.draining,
             })
--- a/crates/daemon/src/leader/orders.rs
+++ b/crates/daemon/src/leader/orders.rs
@@ -13,7 +13,7 @@
             self.dirty.remove(&key);
             let mut due = self.dispatch.due(now, &self.machine, key);
             for (task, epoch) in self.strays.remove(&key).unwrap_or_default() {
-                due.push(Due { task, epoch, order: Order::Stop });
+                due.push(DueOrder { task, epoch, order: Order::Stop });
             }
             // Not repeated when lost: the next heartbeat brings them again.
             let throttles = self.throttles.remove(&key).unwrap_or_default();
@@ -37,15 +37,15 @@
         batches
     }
 
-    pub(super) fn order(&self, due: &Due) -> Option<OrderTask> {
-        let held = Held { task: due.task, epoch: due.epoch };
+    pub(super) fn order(&self, due: &DueOrder) -> Option<OrderTask> {
+        let held = ReportedTask { task: due.task, epoch: due.epoch };
         match due.order {
             Order::Stop => Some(OrderTask::Stop(held)),
             Order::Checkpoint => Some(OrderTask::Checkpoint(held)),
             Order::Start => {
                 let task = self.machine.task(due.task)?;
                 let kind = self.machine.kind_of(task);
-                Some(OrderTask::Start(Start {
+                Some(OrderTask::Start(TaskStart {
                     task: task.id,
                     epoch: task.epoch,
                     service: self.machine.document_of(task).service.clone(),
@@ -61,7 +61,7 @@
     }
 
     /// Orders could not be delivered: they are due again at the next sweep.
-    pub(crate) fn orders_failed(&mut self, due: &[Due]) {
+    pub(crate) fn orders_failed(&mut self, due: &[DueOrder]) {
         for due in due {
             self.dispatch.failed(due);
         }
@@ -72,7 +72,7 @@
     OrderTask::Throttle {
         task: throttle.task,
         epoch: throttle.epoch,
-        share: pressure::SHARE,
-        for_ms: millis(pressure::LASTS),
+        share: pressure::THROTTLED_SHARE_PERMILLE,
+        for_ms: millis(pressure::THROTTLE_DURATION),
     }
 }
--- a/crates/daemon/src/leader/time.rs
+++ b/crates/daemon/src/leader/time.rs
@@ -15,7 +15,7 @@
         if self.directory.version() != before {
             self.bump();
         }
-        if !self.settled && !self.entries.too_new(now) {
+        if !self.settled && !self.entries.earlier_leases_may_run(now) {
             self.settled = true;
             self.bump();
         }
@@ -39,7 +39,9 @@
     }
 
     pub(super) fn give_up_workers(&mut self, now: Moment) {
-        for (name, run) in workers::lost(&self.machine, &self.directory, self.started, now) {
+        for (name, run) in
+            workers::expired_workers(&self.machine, &self.directory, self.started, now)
+        {
             if !self.going.insert(name.clone()) {
                 continue;
             }
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -14,10 +14,10 @@
 use tokio::sync::{Notify, Semaphore, mpsc};
 use tokio::time::{Instant, sleep, timeout};
 use yuccalink_coordination::raft::ReplicaId;
-use yuccalink_protocol::peer::{self, Answer, Ask, EntryState, News};
-use yuccalink_protocol::problem::{Kind, Problem, Ran};
+use yuccalink_protocol::peer::{self, EntryState, EntryUpdate, LeaderRequest, LeaderResponse};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind};
 use yuccalink_state::id::{Incarnation, Name};
-use yuccalink_transport::auth::NotTrusted;
+use yuccalink_transport::auth::AuthError;
 use yuccalink_transport::rpc;
 
 /// How long the leader holds back an answer that has no news.
@@ -38,7 +38,7 @@
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum CallError {
     /// cannot connect: {0}
-    Connect(NotTrusted),
+    Connect(AuthError),
     /// no answer in time
     Timeout,
     /// the call failed: {0}
@@ -99,7 +99,7 @@
 pub(crate) async fn greet(
     shared: &Shared,
     incarnation: Incarnation,
-    link: &rpc::Link,
+    link: &rpc::RpcConnection,
 ) -> Result<Greeting, CallError> {
     let call = async {
         let mut call = link.peer.hello_request();
@@ -124,17 +124,17 @@
 }
 
 struct Waiting {
-    ask: Ask,
-    reply: tokio::sync::oneshot::Sender<Answer>,
+    ask: LeaderRequest,
+    reply: tokio::sync::oneshot::Sender<LeaderResponse>,
     until: Instant,
 }
 
 /// The way to the leader, wherever it is.
-pub(crate) struct Link {
+pub(crate) struct LeaderClient {
     shared: Arc<Shared>,
     incarnation: Incarnation,
     replica: Option<Rc<RefCell<Replica>>>,
-    remote: RefCell<Option<Rc<rpc::Link>>>,
+    remote: RefCell<Option<Rc<rpc::RpcConnection>>>,
     connecting: tokio::sync::Mutex<()>,
     next_voter: Cell<usize>,
     /// Counts up with every new way to a leader.
@@ -145,7 +145,7 @@
     seed: Cell<u64>,
 }
 
-impl Link {
+impl LeaderClient {
     pub(crate) fn new(
         shared: Arc<Shared>,
         incarnation: Incarnation,
@@ -186,7 +186,7 @@
     }
 
     /// Tells the leader this entry's state and waits for news.
-    pub(crate) async fn sync(&self, state: &EntryState) -> Result<News, CallError> {
+    pub(crate) async fn sync(&self, state: &EntryState) -> Result<EntryUpdate, CallError> {
         if self.leads()
             && let Some(replica) = &self.replica
         {
@@ -197,7 +197,7 @@
             let mut call = link.peer.sync_request();
             state.fill(call.get().init_state())?;
             let response = call.send().promise.await?;
-            Ok(News::read(response.get()?.get_news()?)?)
+            Ok(EntryUpdate::read(response.get()?.get_news()?)?)
         };
         // A leader that is cut off silently leaves calls hanging: only time tells.
         let result = timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
@@ -223,7 +223,7 @@
         result
     }
 
-    async fn remote(&self) -> Result<Rc<rpc::Link>, CallError> {
+    async fn remote(&self) -> Result<Rc<rpc::RpcConnection>, CallError> {
         let _one_at_a_time = self.connecting.lock().await;
         if let Some(link) = &*self.remote.borrow() {
             return Ok(link.clone());
@@ -235,7 +235,7 @@
     }
 
     /// Asks the voters in turn; one that does not lead may know who does.
-    async fn find_leader(&self) -> Result<rpc::Link, CallError> {
+    async fn find_leader(&self) -> Result<rpc::RpcConnection, CallError> {
         let voters = &self.shared.config.voters;
         let own = &self.shared.config.name;
         let hint = self.replica.as_ref().and_then(|replica| replica.borrow().leader_name());
@@ -264,14 +264,14 @@
     async fn try_voter(
         &self,
         at: std::net::SocketAddr,
-    ) -> Result<(rpc::Link, Greeting), CallError> {
+    ) -> Result<(rpc::RpcConnection, Greeting), CallError> {
         let link = rpc::connect(at, &self.shared.keys).await.map_err(CallError::Connect)?;
         let greeting = greet(&self.shared, self.incarnation, &link).await?;
         Ok((link, greeting))
     }
 
     /// Drops a connection that failed, unless another was made since.
-    fn drop_remote(&self, failed: &Rc<rpc::Link>) {
+    fn drop_remote(&self, failed: &Rc<rpc::RpcConnection>) {
         let mut link = self.remote.borrow_mut();
         if link.as_ref().is_some_and(|current| Rc::ptr_eq(current, failed)) {
             *link = None;
@@ -361,15 +361,16 @@
                 Ok(answers) => {
                     log::error!("{} asks got {} answers", batch.len(), answers.len());
                     for waiting in batch {
-                        let _ = waiting.reply.send(Answer::Problem(no_leader()));
+                        let _ = waiting.reply.send(LeaderResponse::Problem(no_leader()));
                     }
                     return;
                 }
                 Err(CallError::Message(peer::BadMessage::TooLarge(size))) => {
                     let what = format!("{size} bytes are too much at once; send it in parts");
                     for waiting in batch {
-                        let problem = Problem::new(Kind::TooLarge, Ran::NotRun, &*what);
-                        let _ = waiting.reply.send(Answer::Problem(problem));
+                        let problem =
+                            Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, &*what);
+                        let _ = waiting.reply.send(LeaderResponse::Problem(problem));
                     }
                     return;
                 }
@@ -381,7 +382,7 @@
         }
     }
 
-    async fn call(&self, batch: &[Waiting]) -> Result<Vec<Answer>, CallError> {
+    async fn call(&self, batch: &[Waiting]) -> Result<Vec<LeaderResponse>, CallError> {
         let link = self.remote().await?;
         let call = async {
             let mut call = link.peer.ask_request();
@@ -400,16 +401,18 @@
     }
 }
 
-fn body_size(ask: &Ask) -> usize {
-    use yuccalink_state::ledger::Ended;
+fn body_size(ask: &LeaderRequest) -> usize {
+    use yuccalink_state::ledger::RequestOutcome;
     const SMALL: usize = 256;
     match ask {
-        Ask::Apply { text, .. } => text.len(),
-        Ask::RequestEnd(end) => match &end.ended {
-            Ended::Answered(answer) => answer.body.len() + SMALL,
-            Ended::AnsweredTooLarge | Ended::NotRun | Ended::Unknown => SMALL,
+        LeaderRequest::Apply { text, .. } => text.len(),
+        LeaderRequest::RequestEnd(end) => match &end.ended {
+            RequestOutcome::Answered(answer) => answer.body.len() + SMALL,
+            RequestOutcome::AnsweredTooLarge | RequestOutcome::NotRun | RequestOutcome::Unknown => {
+                SMALL
+            }
         },
-        Ask::Heartbeat { beat, .. } => {
+        LeaderRequest::Heartbeat { beat, .. } => {
             (beat.held.as_ref().map_or(0, Vec::len) + beat.reports.len()) * SMALL + SMALL
         }
         _ => SMALL,
@@ -418,7 +421,10 @@
 
 /// The leader's side of a sync: waits for news, but not longer than [`HOLD`].
 /// `None` when this replica does not lead, or no longer does.
-pub(crate) async fn news(replica: &Rc<RefCell<Replica>>, state: &EntryState) -> Option<News> {
+pub(crate) async fn news(
+    replica: &Rc<RefCell<Replica>>,
+    state: &EntryState,
+) -> Option<EntryUpdate> {
     if !replica.borrow_mut().hear(state) {
         return None;
     }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -45,7 +45,7 @@
                 let sender = self.clone();
                 tokio::task::spawn_local(async move { sender.deliver(batch).await });
             }
-            self.pool.tidy();
+            self.pool.close_expired();
         }
     }
 
@@ -80,7 +80,7 @@
             .map_err(|e| e.to_string())?;
         let deadline = Instant::now() + TIMEOUT;
         let mut answer = self.pool.send(to, req, deadline).await.map_err(|e| e.to_string())?;
-        let whole = tokio::time::timeout_at(deadline, answer.whole(ANSWER_MAX));
+        let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX));
         let body = whole
             .await
             .map_err(|_| "the answer came too slowly".to_string())?
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use yuccalink_coordination::raft::{Envelope, Member, ReplicaId};
-use yuccalink_protocol::peer::{self, Answer, Ask, EntryState};
+use yuccalink_protocol::peer::{self, EntryState, LeaderRequest, LeaderResponse};
 use yuccalink_protocol::peer_capnp::peer as schema;
 use yuccalink_state::id::Name;
 
@@ -71,14 +71,15 @@
         mut results: schema::AskResults,
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
-        let asks: Vec<Ask> = peer::read_parts(params.get()?.get_asks()?).map_err(|e| failed(&e))?;
+        let asks: Vec<LeaderRequest> =
+            peer::read_parts(params.get()?.get_asks()?).map_err(|e| failed(&e))?;
         let mut pending = Vec::with_capacity(asks.len());
         for ask in asks {
             let (reply, answer) = oneshot::channel();
             replica.borrow_mut().ask(ask, reply).map_err(|_| does_not_lead())?;
             pending.push(answer);
         }
-        let mut answers: Vec<Answer> = Vec::with_capacity(pending.len());
+        let mut answers: Vec<LeaderResponse> = Vec::with_capacity(pending.len());
         for answer in pending {
             // No longer leading: the asking daemon finds the next leader and asks again.
             answers.push(answer.await.map_err(|_| does_not_lead())?);
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -5,7 +5,7 @@
 mod repair;
 
 use crate::clock::millis;
-use crate::journal::{Done, Journal, from_hard, to_entry};
+use crate::journal::{DiskEvent, Journal, from_hard, to_entry};
 use crate::leader::Leader;
 use crate::shared::{Shared, no_leader};
 use std::collections::{BTreeMap, VecDeque};
@@ -14,16 +14,16 @@
 use tokio::sync::{Notify, oneshot};
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::raft::{
-    Entry, Envelope, KEPT_BEHIND, Member, Members, Payload, Persist, Raft, ReplicaId, Restored,
-    Role, SnapshotMeta,
+    Envelope, LogEntry, LogWrite, Member, Members, Payload, RETAINED_LOG_ENTRIES, Raft, ReplicaId,
+    Restored, Role, SnapshotMeta,
 };
 use yuccalink_protocol::api::{LogView, MemberView, Status};
-use yuccalink_protocol::peer::{self, Answer, Ask, EntryState, News};
+use yuccalink_protocol::peer::{self, EntryState, EntryUpdate, LeaderRequest, LeaderResponse};
 use yuccalink_state::id::Name;
-use yuccalink_state::log::Counts;
+use yuccalink_state::log::LogCounters;
 use yuccalink_state::snapshot::{self, Meta};
 use yuccalink_state::store::Recovered;
-use yuccalink_state::{Machine, store};
+use yuccalink_state::{StateMachine, store};
 
 /// Messages that may wait for one other voter; the oldest are dropped.
 const OUTBOX_MAX: usize = 1024;
@@ -39,13 +39,13 @@
 const BATCH_MAX: usize = 1024;
 
 /// What the disk is to do next.
-pub(crate) enum Work {
-    Write(Vec<Persist>),
+pub(crate) enum DiskTask {
+    Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
     Compact { index: u64, bytes: Vec<u8> },
 }
 
-type Reply = oneshot::Sender<Answer>;
+type Reply = oneshot::Sender<LeaderResponse>;
 
 struct Joining {
     member: Member,
@@ -56,18 +56,18 @@
     shared: Arc<Shared>,
     raft: Raft,
     /// The state, but while this replica leads: then the leader has it.
-    machine: Option<Machine>,
+    machine: Option<StateMachine>,
     leader: Option<Leader>,
     applied: u64,
-    writes: Vec<Persist>,
+    writes: Vec<LogWrite>,
     install: Option<(SnapshotMeta, Vec<u8>)>,
     held: VecDeque<(u64, Envelope)>,
     written: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
     joining: BTreeMap<ReplicaId, Joining>,
     names: BTreeMap<ReplicaId, Name>,
-    counts: Counts,
-    snapshot_at: Counts,
+    counts: LogCounters,
+    snapshot_at: LogCounters,
     /// Wakes the task that feeds the disk.
     pub(crate) work: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
@@ -82,10 +82,10 @@
         recovered: Recovered,
         seed: u64,
     ) -> Result<Self, peer::BadMessage> {
-        let Recovered { replica, meta, machine, records, hard } = recovered;
+        let Recovered { replica, meta, state: machine, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<Entry>, _>>()?;
+        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
             hard: from_hard(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
@@ -105,8 +105,8 @@
             outboxes: BTreeMap::new(),
             joining: BTreeMap::new(),
             names: BTreeMap::new(),
-            counts: Counts::default(),
-            snapshot_at: Counts::default(),
+            counts: LogCounters::default(),
+            snapshot_at: LogCounters::default(),
             work: Arc::default(),
             sends: Arc::default(),
             orders: Arc::default(),
@@ -126,12 +126,12 @@
         self.raft.members().is_voter(self.raft.id())
     }
 
-    /// Founds a new system; see [`Raft::found`].
-    pub(crate) fn found(&mut self, voters: Vec<Member>) {
+    /// Founds a new system; see [`Raft::bootstrap`].
+    pub(crate) fn bootstrap(&mut self, voters: Vec<Member>) {
         let names: Vec<String> = voters.iter().map(|voter| voter.name.to_string()).collect();
         log::info!("founding a new system of {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
-        self.raft.found(members, self.shared.clock.now());
+        self.raft.bootstrap(members, self.shared.clock.now());
         self.pump();
     }
 
@@ -152,21 +152,25 @@
     }
 
     /// Asks the leader's part; gives the ask back when this replica does not lead.
-    pub(crate) fn ask(&mut self, ask: Ask, reply: Reply) -> Result<(), (Ask, Reply)> {
+    pub(crate) fn ask(
+        &mut self,
+        ask: LeaderRequest,
+        reply: Reply,
+    ) -> Result<(), (LeaderRequest, Reply)> {
         let Some(leader) = self.leader() else { return Err((ask, reply)) };
         match ask {
-            Ask::Snapshot => drop(reply.send(self.saved())),
-            Ask::Status => drop(reply.send(self.status())),
+            LeaderRequest::Snapshot => drop(reply.send(self.saved())),
+            LeaderRequest::Status => drop(reply.send(self.status())),
             ask => leader.ask(ask, reply),
         }
         self.propose();
         Ok(())
     }
 
-    fn status(&self) -> Answer {
-        let Some(leader) = &self.leader else { return Answer::Problem(no_leader()) };
+    fn status(&self) -> LeaderResponse {
+        let Some(leader) = &self.leader else { return LeaderResponse::Problem(no_leader()) };
         let status: Status = leader.status(self.log_view(), self.member_views());
-        Answer::Status(Box::new(status))
+        LeaderResponse::Status(Box::new(status))
     }
 
     /// Takes in an entry's word; false when this replica does not lead.
@@ -177,14 +181,14 @@
         true
     }
 
-    pub(crate) fn news_for(&mut self, state: &EntryState) -> Option<(News, bool)> {
+    pub(crate) fn news_for(&mut self, state: &EntryState) -> Option<(EntryUpdate, bool)> {
         self.leader().map(|leader| leader.news_for(state))
     }
 
-    fn saved(&self) -> Answer {
+    fn saved(&self) -> LeaderResponse {
         match self.encode_snapshot() {
-            Some((_, bytes)) => Answer::Snapshot(bytes.into()),
-            None => Answer::Problem(no_leader()),
+            Some((_, bytes)) => LeaderResponse::Snapshot(bytes.into()),
+            None => LeaderResponse::Problem(no_leader()),
         }
     }
 
@@ -207,7 +211,9 @@
             leads: member.id == own,
             silent_ms: match member.id == own {
                 true => 0,
-                false => self.raft.heard(member.id).map_or(u64::MAX, |at| millis(now.since(at))),
+                false => {
+                    self.raft.last_heard(member.id).map_or(u64::MAX, |at| millis(now.since(at)))
+                }
             },
         };
         let members = self.raft.members();
@@ -287,7 +293,7 @@
         }
     }
 
-    fn apply(&mut self, index: u64, entry: &Entry) {
+    fn apply(&mut self, index: u64, entry: &LogEntry) {
         self.applied = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command = match store::decode(bytes) {
@@ -312,7 +318,7 @@
             log::warn!("no longer leading in term {}", self.raft.term());
             self.machine = Some(leader.into_machine());
         }
-        if self.raft.is_settled()
+        if self.raft.has_committed_in_term()
             && self.leader.is_none()
             && let Some(machine) = self.machine.take()
         {
@@ -369,9 +375,9 @@
     loop {
         let work = replica.borrow_mut().next_work();
         match work {
-            Some(Work::Write(writes)) => journal.write(writes),
-            Some(Work::Install { index, bytes }) => journal.install(index, bytes),
-            Some(Work::Compact { index, bytes }) => journal.compact(index, bytes),
+            Some(DiskTask::Write(writes)) => journal.write(writes),
+            Some(DiskTask::Install { index, bytes }) => journal.install(index, bytes),
+            Some(DiskTask::Compact { index, bytes }) => journal.compact(index, bytes),
             None => {
                 tokio::select! {
                     () = wake.notified() => continue,
@@ -380,7 +386,7 @@
             }
         }
         match journal.done().await {
-            Some(Done::Failed(error)) => {
+            Some(DiskEvent::Failed(error)) => {
                 // What reached the disk is not known, so nothing more may be
                 // promised: the daemon stops and recovers from the disk.
                 let _ = failed.send(error);
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -4,27 +4,27 @@
 
 impl Replica {
     /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<Work> {
+    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
         if !self.writes.is_empty() {
-            return Some(Work::Write(std::mem::take(&mut self.writes)));
+            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
         }
         if let Some((meta, bytes)) = &self.install {
-            return Some(Work::Install { index: meta.index, bytes: bytes.clone() });
+            return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
         self.snapshot_due()
     }
 
     /// The disk has done something.
-    pub(crate) fn did(&mut self, done: &Done) {
+    pub(crate) fn did(&mut self, done: &DiskEvent) {
         match done {
-            Done::Written { seq, counts } => {
+            DiskEvent::Written { seq, counts } => {
                 self.written = *seq;
                 self.counts = *counts;
                 self.raft.persisted(*seq, self.shared.clock.now());
             }
-            Done::Compacted { index } => self.raft.compact(*index, KEPT_BEHIND),
-            Done::Installed => self.installed(),
-            Done::Failed(_) => {}
+            DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
+            DiskEvent::Installed => self.installed(),
+            DiskEvent::Failed(_) => {}
         }
         self.propose();
     }
@@ -34,7 +34,7 @@
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
                 log::info!("took over the leader's state up to record {}", meta.index);
-                self.machine = Some(found.machine);
+                self.machine = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
             }
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn snapshot_due(&mut self) -> Option<Work> {
+    pub(super) fn snapshot_due(&mut self) -> Option<DiskTask> {
         let records = self.counts.records - self.snapshot_at.records;
         let bytes = self.counts.bytes - self.snapshot_at.bytes;
         if records < SNAPSHOT_RECORDS && bytes < SNAPSHOT_BYTES {
@@ -72,7 +72,7 @@
         }
         self.snapshot_at = self.counts;
         let (meta, bytes) = self.encode_snapshot()?;
-        Some(Work::Compact { index: meta.index, bytes })
+        Some(DiskTask::Compact { index: meta.index, bytes })
     }
 
     pub(super) fn offer_snapshot(&mut self, to: ReplicaId) {
@@ -84,8 +84,8 @@
     }
 
     /// Before a planned stop: lets another voter lead at once.
-    pub(crate) fn hand_over(&mut self) -> bool {
-        let asked = self.raft.hand_over();
+    pub(crate) fn transfer_leadership(&mut self) -> bool {
+        let asked = self.raft.transfer_leadership();
         self.pump();
         asked
     }
--- a/crates/daemon/src/replica/repair.rs
+++ b/crates/daemon/src/replica/repair.rs
@@ -52,7 +52,8 @@
             return None;
         }
         if let Some(former) = former {
-            let silent = self.raft.heard(former.id).is_none_or(|h| now.since(h) > REPLACE_AFTER);
+            let silent =
+                self.raft.last_heard(former.id).is_none_or(|h| now.since(h) > REPLACE_AFTER);
             if !silent {
                 return None;
             }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -15,10 +15,10 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::router::{
-    Admission, Arrival, Ended, Grant, Refusal, Router, Ticket, Turn,
+    Admission, DequeuedRequest, Grant, Refusal, Router, RoutingRequest, RunnerOutcome, Ticket,
 };
-use yuccalink_protocol::peer::{Answer, Ask};
-use yuccalink_protocol::problem::{Kind, Problem, Ran};
+use yuccalink_protocol::peer::{LeaderRequest, LeaderResponse};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind};
 use yuccalink_state::document::Document;
 use yuccalink_state::id::Name;
 use yuccalink_state::target::RunnerSpec;
@@ -42,7 +42,7 @@
 
 /// What traffic threads know of the system. Never changed, only replaced.
 #[derive(Debug, Default)]
-pub(crate) struct View {
+pub(crate) struct RoutingTable {
     pub(crate) services: HashMap<Box<str>, Arc<Document>>,
     pub(crate) owners: HashMap<Box<str>, Vec<Owner>>,
 }
@@ -50,15 +50,15 @@
 /// A request to the leader and where its answer goes.
 #[derive(Debug)]
 pub(crate) struct ToLeader {
-    pub(crate) ask: Ask,
-    pub(crate) reply: oneshot::Sender<Answer>,
+    pub(crate) ask: LeaderRequest,
+    pub(crate) reply: oneshot::Sender<LeaderResponse>,
 }
 
 #[derive(Debug)]
 pub(crate) struct Routing {
     pub(crate) router: Router,
     waiting: HashMap<Ticket, oneshot::Sender<Grant>>,
-    turns: Vec<Turn>,
+    turns: Vec<DequeuedRequest>,
 }
 
 /// How a request is let in.
@@ -73,7 +73,7 @@
 pub(crate) struct Shared {
     pub(crate) config: Config,
     pub(crate) clock: Clock,
-    pub(crate) view: ArcSwap<View>,
+    pub(crate) view: ArcSwap<RoutingTable>,
     pub(crate) decisions: Decisions,
     pub(crate) metrics: Metrics,
     pub(crate) in_flight: AtomicUsize,
@@ -158,15 +158,15 @@
     }
 
     /// Asks the leader and waits for its answer, at most [`ASK_TIMEOUT`].
-    pub(crate) async fn ask(&self, ask: Ask) -> Answer {
+    pub(crate) async fn ask(&self, ask: LeaderRequest) -> LeaderResponse {
         let deadline = Instant::now() + ASK_TIMEOUT;
         loop {
             let (reply, answer) = oneshot::channel();
             if self.leader.try_send(ToLeader { ask: ask.clone(), reply }).is_err() {
-                return Answer::Problem(
+                return LeaderResponse::Problem(
                     Problem::new(
-                        Kind::Overloaded,
-                        Ran::NotRun,
+                        ProblemKind::Overloaded,
+                        ExecutionStatus::NotRun,
                         "too many requests wait for the leader",
                     )
                     .retry_after(500),
@@ -177,16 +177,16 @@
                 // The leader lost its office meanwhile: the next one is asked, which
                 // does no harm when this one had decided already.
                 Ok(Err(_)) if Instant::now() + ASK_AGAIN < deadline => sleep(ASK_AGAIN).await,
-                Ok(Err(_)) | Err(_) => return Answer::Problem(no_leader()),
+                Ok(Err(_)) | Err(_) => return LeaderResponse::Problem(no_leader()),
             }
         }
     }
 
-    pub(crate) fn admit(&self, arrival: Arrival<'_>) -> Entrance {
+    pub(crate) fn admit(&self, arrival: RoutingRequest<'_>) -> Entrance {
         let now = self.clock.now();
         let mut routing = self.routing();
         match routing.router.admit(now, arrival) {
-            Admission::Go(grant) => Entrance::Go(grant),
+            Admission::Granted(grant) => Entrance::Go(grant),
             Admission::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 routing.waiting.insert(ticket, tx);
@@ -204,11 +204,11 @@
         if !routing.router.abandon(ticket)
             && let Ok(grant) = rx.try_recv()
         {
-            routing.release(now, grant, Ended::Abandoned);
+            routing.release(now, grant, RunnerOutcome::Abandoned);
         }
     }
 
-    pub(crate) fn release(&self, grant: Grant, ended: Ended) {
+    pub(crate) fn release(&self, grant: Grant, ended: RunnerOutcome) {
         let now = self.clock.now();
         self.routing().release(now, grant, ended);
     }
@@ -227,7 +227,7 @@
 pub(crate) fn no_leader() -> Problem {
     let what = "no leader answered in time; the request may or may not have been decided. Send it \
                 again with the same key or version";
-    Problem::new(Kind::NotServing, Ran::Unknown, what).retry_after(1000)
+    Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, what).retry_after(1000)
 }
 
 /// Idle connections that one thread may keep to a runner. Those in use are at
@@ -238,7 +238,7 @@
 }
 
 impl Routing {
-    fn release(&mut self, now: Moment, grant: Grant, ended: Ended) {
+    fn release(&mut self, now: Moment, grant: Grant, ended: RunnerOutcome) {
         let mut turns = std::mem::take(&mut self.turns);
         self.router.release(now, grant, ended, &mut turns);
         self.hand_out(now, turns);
@@ -247,20 +247,20 @@
     /// Changes the router and hands out the turns that come of it.
     pub(crate) fn change<F>(&mut self, now: Moment, change: F)
     where
-        F: FnOnce(&mut Router, &mut Vec<Turn>),
+        F: FnOnce(&mut Router, &mut Vec<DequeuedRequest>),
     {
         let mut turns = std::mem::take(&mut self.turns);
         change(&mut self.router, &mut turns);
         self.hand_out(now, turns);
     }
 
-    fn hand_out(&mut self, now: Moment, mut turns: Vec<Turn>) {
+    fn hand_out(&mut self, now: Moment, mut turns: Vec<DequeuedRequest>) {
         while let Some(turn) = turns.pop() {
             let waiting = self.waiting.remove(&turn.ticket);
             let taken = waiting.is_some_and(|tx| tx.send(turn.grant).is_ok());
             if !taken {
                 // Its caller has just gone: the slot goes to the next one.
-                self.router.release(now, turn.grant, Ended::Abandoned, &mut turns);
+                self.router.release(now, turn.grant, RunnerOutcome::Abandoned, &mut turns);
             }
         }
         self.turns = turns;
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::{millis, unix_ms};
 use crate::metrics;
-use crate::shared::{Entrance, Owner, Shared, View};
-use crate::upstream::{Call, copy_end_to_end, from_ledger, to_ledger};
+use crate::shared::{Entrance, Owner, RoutingTable, Shared};
+use crate::upstream::{CallerRequest, copy_end_to_end, from_ledger, to_ledger};
 use bytes::Bytes;
 use rand::{Rng as _, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -20,21 +20,23 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use xitca_web::body::ResponseBody;
 use xitca_web::http::{WebRequest, WebResponse};
-use yuccalink_coordination::router::{Arrival, Ended, Grant, Refusal, RunnerKey, Ticket};
-use yuccalink_protocol::peer::{Answer as LeaderAnswer, Ask};
-use yuccalink_protocol::problem::{Kind, Problem, RAN, Ran};
-use yuccalink_protocol::request::{self, DEADLINE, HANDED_ON, IDEMPOTENCY_KEY};
+use yuccalink_coordination::router::{
+    Grant, Refusal, RoutingRequest, RunnerKey, RunnerOutcome, Ticket,
+};
+use yuccalink_protocol::peer::{LeaderRequest, LeaderResponse as LeaderAnswer};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind, RAN};
+use yuccalink_protocol::request::{self, DEADLINE, FORWARDED_BY, IDEMPOTENCY_KEY};
 use yuccalink_state::command::{RequestBegin, RequestEnd};
 use yuccalink_state::document::{Document, RequestKind};
 use yuccalink_state::id::Name;
 use yuccalink_state::ledger::{
-    ANSWER_MAX, Answer as KeptAnswer, Ended as Outcome, RequestKey, Verdict,
+    ANSWER_MAX, RequestKey, RequestOutcome as Outcome, StoredResponse as KeptAnswer, Verdict,
 };
-use yuccalink_transport::body::{Piece, passed};
+use yuccalink_transport::body::{BodyChunk, streamed_body};
 use yuccalink_transport::http::{HeaderName, HeaderValue, Method, StatusCode, header};
-use yuccalink_transport::pool::{self, NoAnswer, Pool, PoolSettings};
+use yuccalink_transport::pool::{self, Pool, PoolSettings, UpstreamError};
 use yuccalink_transport::reply;
-use yuccalink_transport::server::{BadBody, Handler, read_body};
+use yuccalink_transport::server::{Handler, RequestBodyError, read_body};
 
 /// Answers up to this size are read whole before they are passed on, which
 /// frees the runner's slot however slowly the caller reads.
@@ -59,7 +61,7 @@
 
 /// A request while it is being served.
 struct Serving {
-    call: Call,
+    call: CallerRequest,
     document: Arc<Document>,
     kind: RequestKind,
     deadline: Instant,
@@ -71,7 +73,7 @@
 struct Slot {
     shared: Arc<Shared>,
     grant: Grant,
-    ended: Ended,
+    ended: RunnerOutcome,
 }
 
 impl Drop for Slot {
@@ -130,11 +132,11 @@
 
     async fn serve(&self, req: WebRequest) -> Result<WebResponse, Problem> {
         if self.shared.is_refusing() {
-            return Err(self.come_back(Kind::NotServing, "this entry is stopping", 1000));
+            return Err(self.come_back(ProblemKind::NotServing, "this entry is stopping", 1000));
         }
         if !self.shared.has_lease() {
             let what = "this entry is out of touch with the others and must not serve";
-            return Err(self.come_back(Kind::NotServing, what, 1000));
+            return Err(self.come_back(ProblemKind::NotServing, what, 1000));
         }
         let serving = self.read(req).await?;
         self.dispatch(serving).await
@@ -164,8 +166,9 @@
         let (_, body) = body.replace_body(());
         let body = read_body(body, config.body_max, config.body_timeout).await;
         let body = body.map_err(|bad| bad_body(&bad))?;
-        let handed_on = head.headers.contains_key(HANDED_ON);
-        let call = Call { method: head.method, uri: head.uri, headers: head.headers, body };
+        let handed_on = head.headers.contains_key(FORWARDED_BY);
+        let call =
+            CallerRequest { method: head.method, uri: head.uri, headers: head.headers, body };
         Ok(Serving { call, document, kind, deadline, handed_on, key })
     }
 
@@ -201,9 +204,12 @@
                 Err(Turned::Late) => {
                     self.decide(serving, "gave up waiting; its deadline passed in the queue");
                     let what = "the deadline passed while the request waited for a runner";
-                    return Err(
-                        Problem::new(Kind::DeadlinePassed, Ran::NotRun, what).retry_after(1000)
-                    );
+                    return Err(Problem::new(
+                        ProblemKind::DeadlinePassed,
+                        ExecutionStatus::NotRun,
+                        what,
+                    )
+                    .retry_after(1000));
                 }
             };
             let runner = slot.grant.runner;
@@ -221,13 +227,14 @@
 
     async fn slot(&self, serving: &Serving, avoid: Option<RunnerKey>) -> Result<Slot, Turned> {
         let left = serving.deadline.saturating_duration_since(Instant::now());
-        let arrival = Arrival {
+        let arrival = RoutingRequest {
             service: &serving.document.service,
             deadline: self.shared.clock.now() + left,
             worth: serving.kind.worth,
             avoid,
         };
-        let slot = |grant| Slot { shared: self.shared.clone(), grant, ended: Ended::Abandoned };
+        let slot =
+            |grant| Slot { shared: self.shared.clone(), grant, ended: RunnerOutcome::Abandoned };
         match self.shared.admit(arrival) {
             Entrance::Go(grant) => Ok(slot(grant)),
             Entrance::Refuse(why, retry) => Err(Turned::Away(why, retry)),
@@ -258,11 +265,13 @@
 
     fn missed(&self, miss: Miss) -> Problem {
         match miss {
-            Miss::NotRun(what) => self.come_back(Kind::RunnerFailed, &what, 1000),
-            Miss::Unknown(what) => Problem::new(Kind::RunnerFailed, Ran::Unknown, what),
+            Miss::NotRun(what) => self.come_back(ProblemKind::RunnerFailed, &what, 1000),
+            Miss::Unknown(what) => {
+                Problem::new(ProblemKind::RunnerFailed, ExecutionStatus::Unknown, what)
+            }
             Miss::Late => {
                 let what = "the runner did not answer before the deadline";
-                Problem::new(Kind::DeadlinePassed, Ran::Unknown, what)
+                Problem::new(ProblemKind::DeadlinePassed, ExecutionStatus::Unknown, what)
             }
         }
     }
@@ -270,8 +279,8 @@
     fn refusal(&self, serving: &Serving, why: Refusal, retry: Duration) -> Problem {
         self.decide(serving, &format!("refused: {why}"));
         let kind = match why {
-            Refusal::NoRunner | Refusal::NoneHealthy => Kind::NoRunner,
-            Refusal::QueueFull | Refusal::TooLate => Kind::Overloaded,
+            Refusal::NoRunner | Refusal::NoneHealthy => ProblemKind::NoRunner,
+            Refusal::QueueFull | Refusal::TooLate => ProblemKind::Overloaded,
         };
         let ms = millis(retry).max(50);
         let what = format!("{}: {why}; nothing was sent", serving.document.service);
@@ -304,10 +313,10 @@
 
     /// A refusal that names a moment to come back, spread so that refused
     /// callers do not all come back at once.
-    fn come_back(&self, kind: Kind, what: &str, ms: u64) -> Problem {
+    fn come_back(&self, kind: ProblemKind, what: &str, ms: u64) -> Problem {
         let jittered =
             self.rng.borrow_mut().random_range(ms..=ms.saturating_mul(2).max(ms.saturating_add(1)));
-        Problem::new(kind, Ran::NotRun, what).retry_after(jittered)
+        Problem::new(kind, ExecutionStatus::NotRun, what).retry_after(jittered)
     }
 }
 
@@ -334,7 +343,9 @@
             body: body.as_ref().into(),
         };
         let end = RequestEnd { key, attempt: self.attempt, ended: Outcome::Answered(answer) };
-        if let LeaderAnswer::Problem(problem) = self.shared.ask(Ask::RequestEnd(end)).await {
+        if let LeaderAnswer::Problem(problem) =
+            self.shared.ask(LeaderRequest::RequestEnd(end)).await
+        {
             log::warn!("an answer could not be kept for resends: {}", problem.detail);
         }
     }
@@ -354,7 +365,7 @@
 
 impl Held for Slot {
     fn finished(&mut self, whole: bool) {
-        self.ended = if whole { Ended::Answered } else { Ended::Failed };
+        self.ended = if whole { RunnerOutcome::Answered } else { RunnerOutcome::Failed };
     }
 }
 
@@ -363,28 +374,28 @@
 }
 
 impl Pump {
-    /// Ends without [`Piece::End`] when the source breaks off, the deadline
+    /// Ends without [`BodyChunk::End`] when the source breaks off, the deadline
     /// passes or the caller stalls; the caller's connection is then cut.
     async fn run<H>(
         self,
-        mut answer: pool::Answer,
+        mut answer: pool::UpstreamResponse,
         mut held: H,
-        tx: mpsc::Sender<Piece>,
+        tx: mpsc::Sender<BodyChunk>,
         start: Bytes,
     ) where
         H: Held,
     {
         let _in_flight = self.in_flight;
-        if !start.is_empty() && tx.send(Piece::Data(start)).await.is_err() {
+        if !start.is_empty() && tx.send(BodyChunk::Data(start)).await.is_err() {
             return;
         }
         loop {
             let piece = match timeout_at(self.deadline, answer.next()).await {
-                Ok(Ok(Some(bytes))) => Piece::Data(bytes),
-                Ok(Ok(None)) => Piece::End,
+                Ok(Ok(Some(bytes))) => BodyChunk::Data(bytes),
+                Ok(Ok(None)) => BodyChunk::End,
                 Ok(Err(_)) | Err(_) => return held.finished(false),
             };
-            let last = matches!(piece, Piece::End);
+            let last = matches!(piece, BodyChunk::End);
             if last {
                 held.finished(true);
                 drop(held);
@@ -411,9 +422,9 @@
         let outcome = match &result {
             Ok(_) => metrics::Result::Answered,
             Err(problem) => match problem.ran {
-                Ran::NotRun => metrics::Result::NotRun,
-                Ran::Unknown => metrics::Result::Unknown,
-                Ran::Ran => metrics::Result::Failed,
+                ExecutionStatus::NotRun => metrics::Result::NotRun,
+                ExecutionStatus::Unknown => metrics::Result::Unknown,
+                ExecutionStatus::Ran => metrics::Result::Failed,
             },
         };
         self.shared.metrics.request(&service, outcome, started.elapsed());
@@ -428,7 +439,7 @@
 }
 
 /// Status and end-to-end headers of an answer, without its body.
-fn head_of(answer: &pool::Answer) -> WebResponse {
+fn head_of(answer: &pool::UpstreamResponse) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::none());
     *response.status_mut() = answer.head.status;
     copy_end_to_end(&answer.head.headers, response.headers_mut());
@@ -436,7 +447,7 @@
 }
 
 async fn read_start(
-    answer: &mut pool::Answer,
+    answer: &mut pool::UpstreamResponse,
     limit: usize,
     deadline: Instant,
 ) -> Result<(Bytes, bool), Miss> {
@@ -467,17 +478,17 @@
 }
 
 /// Whether another entry says that the request did not run there.
-fn refused_before_start(answer: &pool::Answer) -> bool {
+fn refused_before_start(answer: &pool::UpstreamResponse) -> bool {
     let ran = answer.head.headers.get(RAN);
-    ran.is_some_and(|value| value.as_bytes() == Ran::NotRun.token().as_bytes())
+    ran.is_some_and(|value| value.as_bytes() == ExecutionStatus::NotRun.token().as_bytes())
         && answer.head.status == StatusCode::SERVICE_UNAVAILABLE
 }
 
-fn miss(name: &impl std::fmt::Display, error: &NoAnswer) -> Miss {
+fn miss(name: &impl std::fmt::Display, error: &UpstreamError) -> Miss {
     let what = format!("{name} did not answer: {error}").into();
     match error {
-        NoAnswer::Timeout => Miss::Late,
-        other if other.surely_not_sent() => Miss::NotRun(what),
+        UpstreamError::Timeout => Miss::Late,
+        other if other.is_unsent() => Miss::NotRun(what),
         _ => Miss::Unknown(what),
     }
 }
@@ -488,7 +499,7 @@
     let asked = header.to_str().ok().and_then(|text| text.parse::<u64>().ok());
     let Some(asked) = asked else {
         let what = format!("{DEADLINE} must be a whole number of milliseconds");
-        return Err(Problem::new(Kind::BadRequest, Ran::NotRun, what));
+        return Err(Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what));
     };
     Ok(Duration::from_millis(asked.min(most)))
 }
@@ -501,24 +512,25 @@
     header: Option<&HeaderValue>,
 ) -> Result<Option<RequestKey>, Problem> {
     let Some(header) = header else { return Ok(None) };
-    let key = request::check_key(header.as_bytes())
-        .map_err(|bad| Problem::new(Kind::BadRequest, Ran::NotRun, bad.to_string()))?;
+    let key = request::check_key(header.as_bytes()).map_err(|bad| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    })?;
     if kind.idempotent {
         return Ok(None);
     }
     Ok(Some(RequestKey { service: document.service.clone(), key: key.into() }))
 }
 
-fn bad_body(bad: &BadBody) -> Problem {
+fn bad_body(bad: &RequestBodyError) -> Problem {
     let kind = match bad {
-        BadBody::TooLarge(_) => Kind::TooLarge,
-        BadBody::TooSlow | BadBody::Broken => Kind::BadRequest,
+        RequestBodyError::TooLarge(_) => ProblemKind::TooLarge,
+        RequestBodyError::TooSlow | RequestBodyError::Broken => ProblemKind::BadRequest,
     };
-    Problem::new(kind, Ran::NotRun, bad.to_string())
+    Problem::new(kind, ExecutionStatus::NotRun, bad.to_string())
 }
 
 fn not_found(what: String) -> Problem {
-    Problem::new(Kind::NotFound, Ran::NotRun, what)
+    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what)
 }
 
 fn again(kept: &KeptAnswer) -> WebResponse {
--- a/crates/daemon/src/traffic/exchange.rs
+++ b/crates/daemon/src/traffic/exchange.rs
@@ -23,7 +23,7 @@
         let answer = match self.pool.send(to, req, serving.deadline).await {
             Ok(answer) => answer,
             Err(error) => {
-                slot.ended = Ended::Failed;
+                slot.ended = RunnerOutcome::Failed;
                 return Err(miss(&name, &error));
             }
         };
@@ -41,14 +41,14 @@
     pub(super) async fn pass_on(
         &self,
         serving: &Arc<Serving>,
-        mut answer: pool::Answer,
+        mut answer: pool::UpstreamResponse,
         mut slot: Slot,
         noted: Option<&mut Noted>,
         failed: bool,
     ) -> Result<WebResponse, Miss> {
-        let ended = if failed { Ended::Failed } else { Ended::Answered };
+        let ended = if failed { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
         let no_body = serving.call.method == Method::HEAD;
-        let size = answer.announced();
+        let size = answer.content_length();
         let mut response = head_of(&answer);
         let keep = noted.is_some();
         let small = size.is_some_and(|size| size <= WHOLE_MAX);
@@ -56,7 +56,7 @@
         if no_body || small || keepable {
             let limit = if keep { ANSWER_MAX } else { WHOLE_MAX as usize };
             let start = read_start(&mut answer, limit, serving.deadline).await;
-            let (start, whole) = start.inspect_err(|_| slot.ended = Ended::Failed)?;
+            let (start, whole) = start.inspect_err(|_| slot.ended = RunnerOutcome::Failed)?;
             if whole {
                 slot.ended = ended;
                 drop(slot);
@@ -77,7 +77,7 @@
     pub(super) async fn stream(
         &self,
         serving: &Arc<Serving>,
-        answer: pool::Answer,
+        answer: pool::UpstreamResponse,
         slot: Slot,
         noted: Option<&mut Noted>,
         mut response: WebResponse,
@@ -88,7 +88,7 @@
         {
             self.end(&key, noted.attempt, Outcome::AnsweredTooLarge).await;
         }
-        let (tx, body) = passed(size);
+        let (tx, body) = streamed_body(size);
         *response.body_mut() = body;
         tokio::task::spawn_local(self.pump(serving).run(answer, slot, tx, start));
         response
--- a/crates/daemon/src/traffic/hand_on.rs
+++ b/crates/daemon/src/traffic/hand_on.rs
@@ -25,10 +25,10 @@
                     return Ok(self.pass_back(serving, answer));
                 }
                 Ok(_) => {}
-                Err(error) if error.surely_not_sent() && last => {
+                Err(error) if error.is_unsent() && last => {
                     return Err(self.refusal(serving, why, retry));
                 }
-                Err(error) if error.surely_not_sent() => {}
+                Err(error) if error.is_unsent() => {}
                 Err(error) => {
                     let miss = miss(&owner.name, &error);
                     if last || !self.may_try_again(serving, &miss, None) {
@@ -44,10 +44,10 @@
         &self,
         serving: &Serving,
         owner: &Owner,
-    ) -> Result<pool::Answer, NoAnswer> {
+    ) -> Result<pool::UpstreamResponse, UpstreamError> {
         let mut call = serving.call.clone();
         if let Ok(value) = HeaderValue::from_str(self.shared.config.name.as_str()) {
-            call.headers.insert(HeaderName::from_static(HANDED_ON), value);
+            call.headers.insert(HeaderName::from_static(FORWARDED_BY), value);
         }
         let left = serving.deadline.saturating_duration_since(Instant::now());
         let req = call.request(owner.callers, left);
@@ -55,13 +55,17 @@
     }
 
     /// Gives another entry's answer to the caller as it comes.
-    pub(super) fn pass_back(&self, serving: &Serving, answer: pool::Answer) -> WebResponse {
-        let size = answer.announced();
+    pub(super) fn pass_back(
+        &self,
+        serving: &Serving,
+        answer: pool::UpstreamResponse,
+    ) -> WebResponse {
+        let size = answer.content_length();
         let mut response = head_of(&answer);
         if serving.call.method == Method::HEAD {
             return response;
         }
-        let (tx, body) = passed(size);
+        let (tx, body) = streamed_body(size);
         *response.body_mut() = body;
         tokio::task::spawn_local(self.pump(serving).run(answer, (), tx, Bytes::new()));
         response
@@ -70,7 +74,7 @@
     /// One of the other owners, drawn by their slots.
     pub(super) fn other_owner(
         &self,
-        view: &View,
+        view: &RoutingTable,
         document: &Document,
         tried: &[Name],
     ) -> Option<Owner> {
--- a/crates/daemon/src/traffic/once.rs
+++ b/crates/daemon/src/traffic/once.rs
@@ -27,26 +27,41 @@
                 }
                 Verdict::Running => {
                     let what = "the same request is still under way; ask again with the same key";
-                    return Err(
-                        Problem::new(Kind::InProgress, Ran::Unknown, what).retry_after(1000)
-                    );
+                    return Err(Problem::new(
+                        ProblemKind::InProgress,
+                        ExecutionStatus::Unknown,
+                        what,
+                    )
+                    .retry_after(1000));
                 }
                 Verdict::AnsweredTooLarge => {
                     let what = "it ran once and was answered; the answer was too large to keep";
-                    return Err(Problem::new(Kind::AnswerNotKept, Ran::Ran, what));
+                    return Err(Problem::new(
+                        ProblemKind::AnswerNotKept,
+                        ExecutionStatus::Ran,
+                        what,
+                    ));
                 }
                 Verdict::Unknown => {
                     let what = "it was sent once and its outcome was lost; ask the service whether \
                                 it took effect, and use a new key to send it again";
-                    return Err(Problem::new(Kind::OutcomeUnknown, Ran::Unknown, what));
+                    return Err(Problem::new(
+                        ProblemKind::OutcomeUnknown,
+                        ExecutionStatus::Unknown,
+                        what,
+                    ));
                 }
                 Verdict::KeyReused => {
                     let what = "this Idempotency-Key was used for another request; use a new key";
-                    return Err(Problem::new(Kind::KeyReused, Ran::NotRun, what));
+                    return Err(Problem::new(
+                        ProblemKind::KeyReused,
+                        ExecutionStatus::NotRun,
+                        what,
+                    ));
                 }
                 Verdict::Full => {
                     let what = "too many requests with keys are remembered; send it again later";
-                    return Err(self.come_back(Kind::Overloaded, what, 5000));
+                    return Err(self.come_back(ProblemKind::Overloaded, what, 5000));
                 }
             }
         }
@@ -61,7 +76,7 @@
         let call = &serving.call;
         let at_ms = unix_ms();
         let left = millis(serving.deadline.saturating_duration_since(Instant::now()));
-        let ask = Ask::RequestBegin(RequestBegin {
+        let ask = LeaderRequest::RequestBegin(RequestBegin {
             key: key.clone(),
             digest: request::digest(call.method.as_str(), call.path(), &call.body),
             attempt,
@@ -72,11 +87,11 @@
             LeaderAnswer::Request(verdict) => Ok(verdict),
             LeaderAnswer::Problem(mut problem) => {
                 // Nothing has been sent to a runner, whatever the leader noted.
-                problem.ran = Ran::NotRun;
+                problem.ran = ExecutionStatus::NotRun;
                 self.end(key, attempt, Outcome::NotRun).await;
                 Err(problem)
             }
-            _ => Err(self.come_back(Kind::NotServing, "the leader gave no verdict", 1000)),
+            _ => Err(self.come_back(ProblemKind::NotServing, "the leader gave no verdict", 1000)),
         }
     }
 
@@ -90,8 +105,8 @@
         let result = self.route(serving, Some(&mut noted)).await;
         let (Err(problem), Some(key)) = (&result, noted.key.take()) else { return result };
         let outcome = match problem.ran {
-            Ran::NotRun => Outcome::NotRun,
-            Ran::Ran | Ran::Unknown => Outcome::Unknown,
+            ExecutionStatus::NotRun => Outcome::NotRun,
+            ExecutionStatus::Ran | ExecutionStatus::Unknown => Outcome::Unknown,
         };
         let not_run = outcome == Outcome::NotRun;
         self.end(&key, attempt, outcome).await;
@@ -110,6 +125,6 @@
 
     pub(super) async fn end(&self, key: &RequestKey, attempt: u64, ended: Outcome) {
         let end = RequestEnd { key: key.clone(), attempt, ended };
-        let _ = self.shared.ask(Ask::RequestEnd(end)).await;
+        let _ = self.shared.ask(LeaderRequest::RequestEnd(end)).await;
     }
 }
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -12,14 +12,14 @@
 
 /// A caller's request, read whole, so that it can be sent more than once.
 #[derive(Clone, Debug)]
-pub(crate) struct Call {
+pub(crate) struct CallerRequest {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Call {
+impl CallerRequest {
     pub(crate) fn path(&self) -> &str {
         self.uri.path()
     }
@@ -76,7 +76,7 @@
 }
 
 /// Headers as the ledger kept them.
-pub(crate) fn from_ledger(answer: &ledger::Answer) -> HeaderMap {
+pub(crate) fn from_ledger(answer: &ledger::StoredResponse) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for header in &answer.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
--- a/crates/daemon/src/views.rs
+++ b/crates/daemon/src/views.rs
@@ -1,9 +1,9 @@
 //! The leader's state as operators see it.
 
 use yuccalink_protocol::api::{ServiceView, TaskView};
-use yuccalink_state::Machine;
+use yuccalink_state::StateMachine;
 use yuccalink_state::document::Accepted;
-use yuccalink_state::task::{Ending, Task, TaskPhase};
+use yuccalink_state::task::{Task, TaskOutcome, TaskPhase};
 
 pub(crate) fn service(accepted: &Accepted, with_text: bool) -> ServiceView {
     ServiceView {
@@ -22,15 +22,15 @@
         TaskPhase::Placed(_) => "placed",
         TaskPhase::Running(_) => "running",
         TaskPhase::Stopping(..) => "stopping",
-        TaskPhase::Ended(Ending::Finished) => "finished",
-        TaskPhase::Ended(Ending::Failed(_)) => "failed",
-        TaskPhase::Ended(Ending::Cancelled) => "cancelled",
+        TaskPhase::Ended(TaskOutcome::Finished) => "finished",
+        TaskPhase::Ended(TaskOutcome::Failed(_)) => "failed",
+        TaskPhase::Ended(TaskOutcome::Cancelled) => "cancelled",
     }
 }
 
-pub(crate) fn task(machine: &Machine, task: &Task) -> TaskView {
+pub(crate) fn task(machine: &StateMachine, task: &Task) -> TaskView {
     let reason = match &task.phase {
-        TaskPhase::Ended(Ending::Failed(reason)) => Some(reason.clone()),
+        TaskPhase::Ended(TaskOutcome::Failed(reason)) => Some(reason.clone()),
         _ => None,
     };
     let worker = task.worker().map(|key| machine.worker_at(key).spec.name.clone());
--- a/crates/daemon/src/voters.rs
+++ b/crates/daemon/src/voters.rs
@@ -1,7 +1,7 @@
 //! Talking to the other voters: messages of the consensus, founding a new
 //! system, and joining one with an empty disk.
 
-use crate::link::{CALL_TIMEOUT, CallError, Greeting, Link, greet};
+use crate::link::{CALL_TIMEOUT, CallError, Greeting, LeaderClient, greet};
 use crate::replica::Replica;
 use crate::shared::Shared;
 use std::cell::RefCell;
@@ -30,7 +30,7 @@
     shared: Arc<Shared>,
     incarnation: Incarnation,
     replica: Rc<RefCell<Replica>>,
-    links: RefCell<BTreeMap<SocketAddr, Rc<rpc::Link>>>,
+    links: RefCell<BTreeMap<SocketAddr, Rc<rpc::RpcConnection>>>,
     busy: RefCell<BTreeMap<ReplicaId, usize>>,
     connecting: RefCell<BTreeSet<SocketAddr>>,
 }
@@ -125,12 +125,12 @@
 
     /// Brings an empty disk into the system: a new one, when every voter says
     /// that it has nothing, or the one that is there.
-    pub(crate) async fn settle(self: Rc<Self>, link: Rc<Link>) {
+    pub(crate) async fn settle(self: Rc<Self>, link: Rc<LeaderClient>) {
         let config = &self.shared.config;
         if config.voters.len() <= 1 {
             if self.replica.borrow().is_empty() {
                 let own = self.own();
-                self.replica.borrow_mut().found(vec![own]);
+                self.replica.borrow_mut().bootstrap(vec![own]);
             }
             return;
         }
@@ -140,7 +140,7 @@
             match others {
                 Others::AllEmpty(others) if config.voters[0].name == config.name => {
                     let members = std::iter::once(self.own()).chain(others).collect();
-                    self.replica.borrow_mut().found(members);
+                    self.replica.borrow_mut().bootstrap(members);
                 }
                 // The first of the list founds; this one waits for its word.
                 Others::AllEmpty(_) | Others::Unknown => sleep(AGAIN).await,
@@ -175,7 +175,7 @@
         greet(&self.shared, self.incarnation, &link).await
     }
 
-    async fn join(&self, link: &Link) -> Result<(), CallError> {
+    async fn join(&self, link: &LeaderClient) -> Result<(), CallError> {
         let Member { id, name, address } = self.own();
         link.join(&name, &address, id).await
     }
@@ -205,7 +205,11 @@
     parts
 }
 
-async fn call(link: &rpc::Link, own: &Name, messages: &[Envelope]) -> Result<(), CallError> {
+async fn call(
+    link: &rpc::RpcConnection,
+    own: &Name,
+    messages: &[Envelope],
+) -> Result<(), CallError> {
     let mut call = link.peer.raft_request();
     let mut params = call.get();
     params.set_from(own.as_str());
@@ -216,7 +220,7 @@
 
 /// Asks a leader over `link` to take a replica in.
 pub(crate) async fn ask_to_join(
-    link: &rpc::Link,
+    link: &rpc::RpcConnection,
     name: &Name,
     address: &str,
     id: ReplicaId,
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tempfile::TempDir;
-use yuccalink_coordination::invariants::{RequestWatch, TaskWatch};
+use yuccalink_coordination::invariants::{RequestChecker, TaskChecker};
 use yuccalink_daemon::{Config, ConfigBuilder, Daemon, Peer};
 use yuccalink_fakes::runner::RunnerSettings;
 pub use yuccalink_fakes::wait::name;
 use yuccalink_fakes::worker::WorkerSettings;
-use yuccalink_fakes::{Caller, FakeRunner, FakeWorker, Reply};
+use yuccalink_fakes::{Caller, CallerResponse, FakeRunner, FakeWorker};
 use yuccalink_protocol::api::{Status, TargetView};
 use yuccalink_state::Resources;
 
@@ -26,9 +26,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Waits as [`yuccalink_fakes::wait::until`] does.
+/// Waits as [`yuccalink_fakes::wait::wait_until`] does.
 pub fn until<T>(what: &str, found: impl FnMut() -> Option<T>) -> T {
-    yuccalink_fakes::wait::until(Duration::from_secs(60), what, found)
+    yuccalink_fakes::wait::wait_until(Duration::from_secs(60), what, found)
 }
 
 pub struct System {
@@ -38,8 +38,8 @@
     pub controls: Vec<SocketAddr>,
     pub runners: Vec<FakeRunner>,
     pub workers: Vec<FakeWorker>,
-    pub requests: Arc<Mutex<RequestWatch>>,
-    pub tasks: Arc<Mutex<TaskWatch>>,
+    pub requests: Arc<Mutex<RequestChecker>>,
+    pub tasks: Arc<Mutex<TaskChecker>>,
 }
 
 pub fn base(entry: &str) -> ConfigBuilder {
@@ -92,7 +92,7 @@
         Caller::new(self.callers[at])
     }
 
-    pub fn apply(&self, at: usize, text: &str) -> Reply {
+    pub fn apply(&self, at: usize, text: &str) -> CallerResponse {
         self.control(at).put("/v1/services/q", text.as_bytes()).expect("an answer")
     }
 
@@ -121,7 +121,7 @@
     pub fn with_runners(mut self, count: usize, slots: u32) -> Self {
         for at in 0..count {
             let runner = FakeRunner::start(self.runner_settings(at, slots)).expect("a runner");
-            runner.watch(self.requests.clone());
+            runner.set_checker(self.requests.clone());
             self.runners.push(runner);
         }
         until("an owner of each runner", || {
@@ -147,7 +147,7 @@
             entries: self.controls.clone(),
         })
         .expect("a worker");
-        worker.watch(self.tasks.clone());
+        worker.set_checker(self.tasks.clone());
         self.workers.push(worker);
     }
 
@@ -174,10 +174,10 @@
     }
 
     pub fn no_breach(&self) {
-        let requests = self.requests.lock().expect("a lock").breaches();
+        let requests = self.requests.lock().expect("a lock").violations();
         assert!(requests.is_empty(), "{requests:?}");
         let tasks = self.tasks.lock().expect("a lock");
-        assert!(tasks.breaches().is_empty(), "{:?}", tasks.breaches());
+        assert!(tasks.violations().is_empty(), "{:?}", tasks.violations());
     }
 }
 
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -106,7 +106,7 @@
     until("all ended", || {
         (count(&system, "finished") == 60 && count(&system, "failed") == 2).then_some(())
     });
-    assert_eq!(system.workers.iter().map(|worker| worker.over()).sum::<u64>(), 0);
+    assert_eq!(system.workers.iter().map(|worker| worker.overcommit_count()).sum::<u64>(), 0);
     system.no_breach();
     let reason: Vec<TaskView> = system.get(0, "/v1/tasks?phase=failed");
     assert_eq!(reason[0].reason.as_deref(), Some("the payload asked for it"));
@@ -144,7 +144,7 @@
     until("all run", || (count(&system, "running") == 8).then_some(()));
     let lost = system.workers.iter().position(|worker| worker.running() > 0).expect("a holder");
     let held = system.workers[lost].running() as u64;
-    system.workers[lost].silence(true);
+    system.workers[lost].set_partitioned(true);
     until("the other runs all", || (system.workers[1 - lost].running() == 8).then_some(()));
     assert_eq!(system.workers[lost].dropped(), held);
     system.no_breach();
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use yuccalink_coordination::invariants::Told;
-use yuccalink_fakes::Reply;
-use yuccalink_protocol::problem::Ran;
+use yuccalink_coordination::invariants::CallerOutcome;
+use yuccalink_fakes::CallerResponse;
+use yuccalink_protocol::problem::ExecutionStatus;
 
-fn ran(reply: &Reply) -> Ran {
+fn ran(reply: &CallerResponse) -> ExecutionStatus {
     reply.problem().unwrap_or_else(|| panic!("no problem: {}", reply.text())).ran
 }
 
@@ -34,20 +34,20 @@
                     let entry = entry.header("fake-name", &name).header("fake-delay-ms", "2");
                     let reply = entry.post("/q/work", b"x").expect("an answer");
                     let told = match reply.status {
-                        200 => Told::Answer(reply.text().parse().expect("a tag")),
+                        200 => CallerOutcome::Answer(reply.text().parse().expect("a tag")),
                         _ => match ran(&reply) {
-                            Ran::NotRun => Told::NotRun,
-                            _ => Told::Unknown,
+                            ExecutionStatus::NotRun => CallerOutcome::NotRun,
+                            _ => CallerOutcome::Unknown,
                         },
                     };
-                    system.requests.lock().expect("a lock").told(&name, told);
+                    system.requests.lock().expect("a lock").record_outcome(&name, told);
                 }
             })
         })
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
     system.no_breach();
-    assert!(system.runners.iter().all(|runner| runner.most() <= 2));
+    assert!(system.runners.iter().all(|runner| runner.peak_requests() <= 2));
     assert!(system.runners.iter().map(|runner| runner.served()).sum::<u64>() > 100);
 }
 
@@ -75,7 +75,7 @@
     assert_eq!(after - before, 1, "it ran more than once");
     let other = system.caller(1).header("idempotency-key", "invoice-7");
     let reply = other.post("/q/once", b"two nets").expect("an answer");
-    assert_eq!((reply.status, ran(&reply)), (422, Ran::NotRun));
+    assert_eq!((reply.status, ran(&reply)), (422, ExecutionStatus::NotRun));
 }
 
 /// The runner's answer to an invoice is cut. Nobody knows whether it took effect:
@@ -85,12 +85,12 @@
     let system = System::start(1).with_document().with_runners(1, 8);
     let cut = system.caller(0).header("idempotency-key", "k").header("fake-size", "1000");
     let reply = cut.header("fake-cut", "1").post("/q/once", b"").expect("an answer");
-    assert_eq!((reply.status, ran(&reply)), (502, Ran::Unknown));
+    assert_eq!((reply.status, ran(&reply)), (502, ExecutionStatus::Unknown));
     let served = system.runners[0].served();
     for entry in 0..2 {
         let again = system.caller(entry).header("idempotency-key", "k");
         let reply = again.post("/q/once", b"").expect("an answer");
-        assert_eq!((reply.status, ran(&reply)), (504, Ran::Unknown));
+        assert_eq!((reply.status, ran(&reply)), (504, ExecutionStatus::Unknown));
     }
     assert_eq!(system.runners[0].served(), served);
 }
@@ -102,7 +102,7 @@
     let system = System::start(0).with_document().with_runners(1, 8);
     let refused = system.caller(0).header("idempotency-key", "k").header("fake-refuse", "1");
     let reply = refused.post("/q/once", b"").expect("an answer");
-    assert_eq!((reply.status, ran(&reply)), (502, Ran::NotRun));
+    assert_eq!((reply.status, ran(&reply)), (502, ExecutionStatus::NotRun));
     assert!(reply.headers.contains_key("retry-after"));
     let again = system.caller(0).header("idempotency-key", "k");
     assert_eq!(again.post("/q/once", b"").expect("an answer").status, 200);
@@ -124,7 +124,11 @@
             match caller.header("fake-cut", "1").get("/q/large") {
                 Err(_) => {}
                 Ok(reply) => {
-                    assert_eq!(ran(&reply), Ran::Unknown, "entry {entry}, {size} bytes, {chunked}");
+                    assert_eq!(
+                        ran(&reply),
+                        ExecutionStatus::Unknown,
+                        "entry {entry}, {size} bytes, {chunked}"
+                    );
                 }
             }
         }
@@ -159,7 +163,7 @@
     for (reply, status, what) in cases {
         let reply = reply.expect("an answer");
         let problem = reply.problem().unwrap_or_else(|| panic!("no problem: {}", reply.text()));
-        assert_eq!((reply.status, problem.ran), (status, Ran::NotRun), "{what}");
+        assert_eq!((reply.status, problem.ran), (status, ExecutionStatus::NotRun), "{what}");
         assert!(problem.detail.contains(what), "{what}: {}", problem.detail);
         assert_eq!(reply.headers["content-type"], "application/problem+json");
     }
@@ -267,7 +271,7 @@
 #[test]
 fn a_dead_runner_costs_no_idempotent_request() {
     let mut system = System::start(0).with_document().with_runners(2, 8);
-    system.runners[0].silence();
+    system.runners[0].stop_heartbeats();
     let mut dead = system.runners.remove(0);
     dead.stop();
     for _ in 0..30 {
--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -13,7 +13,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct CallerResponse {
     /// HTTP status.
     pub status: u16,
     /// Its headers.
@@ -22,7 +22,7 @@
     pub body: Vec<u8>,
 }
 
-impl Reply {
+impl CallerResponse {
     /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// Why there was no whole answer, in words.
-    pub fn send(&self, method: &str, path: &str, body: &[u8]) -> Result<Reply, String> {
+    pub fn send(&self, method: &str, path: &str, body: &[u8]) -> Result<CallerResponse, String> {
         let mut result = Err("it was not sent".to_string());
         run_local(async {
             let pool = Pool::new(PoolSettings::default());
@@ -78,7 +78,7 @@
         method: &str,
         path: &str,
         body: &[u8],
-    ) -> Result<Reply, String> {
+    ) -> Result<CallerResponse, String> {
         let method: Method = method.parse().map_err(|_| "not a method".to_string())?;
         let mut req =
             Request::builder().method(method).uri(path).header(header::HOST, self.to.to_string());
@@ -88,20 +88,20 @@
         let req = req.body(body.to_vec().into()).map_err(|e| e.to_string())?;
         let deadline = Instant::now() + self.timeout;
         let mut answer = pool.send(self.to, req, deadline).await.map_err(|e| e.to_string())?;
-        let whole = tokio::time::timeout_at(deadline, answer.whole(ANSWER_MAX)).await;
+        let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
         let body = whole
             .map_err(|_| "the answer came too slowly".to_string())?
             .map_err(|e| format!("the answer broke off: {e}"))?
             .ok_or("the answer is too large")?;
         let status = answer.head.status.as_u16();
-        Ok(Reply { status, headers: answer.head.headers, body: body.to_vec() })
+        Ok(CallerResponse { status, headers: answer.head.headers, body: body.to_vec() })
     }
 
     /// `GET path`.
     ///
     /// # Errors
     /// As [`Caller::send`].
-    pub fn get(&self, path: &str) -> Result<Reply, String> {
+    pub fn get(&self, path: &str) -> Result<CallerResponse, String> {
         self.send("GET", path, b"")
     }
 
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// As [`Caller::send`].
-    pub fn post(&self, path: &str, body: &[u8]) -> Result<Reply, String> {
+    pub fn post(&self, path: &str, body: &[u8]) -> Result<CallerResponse, String> {
         self.send("POST", path, body)
     }
 
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// As [`Caller::send`].
-    pub fn put(&self, path: &str, body: &[u8]) -> Result<Reply, String> {
+    pub fn put(&self, path: &str, body: &[u8]) -> Result<CallerResponse, String> {
         self.send("PUT", path, body)
     }
 }
--- a/crates/fakes/src/emulator.rs
+++ b/crates/fakes/src/emulator.rs
@@ -5,9 +5,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::{Finished, Orders, Report, RunnerState, Running};
+use yuccalink_coordination::jobs::{
+    FinishedRun, ReportedRun, RunnerOrders, RunnerReport, RunnerState,
+};
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::{How, TaskKey};
+use yuccalink_state::jobs::{RunOutcome, TaskKey};
 
 /// Ends listed in one report.
 const LISTED_MAX: usize = 500;
@@ -47,22 +49,22 @@
 
 /// What is true of one task, whatever was declared.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Truth {
+pub struct TaskBehavior {
     /// Work on a sound runner.
-    pub work: Duration,
+    pub run_time: Duration,
     /// It fails at the end of its work.
     pub fails: bool,
     /// It runs until it is stopped.
-    pub lasts: bool,
+    pub long_running: bool,
     /// What it takes of a runner.
-    pub need: Resources,
+    pub actual_usage: Resources,
     /// It crashes its runner.
     pub crash: Option<Crash>,
 }
 
 /// What happened on a runner, for whoever checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Happened {
+pub enum RunnerEvent {
     /// A run began.
     Started {
         /// Whose.
@@ -79,20 +81,20 @@
         /// Which.
         run: u32,
         /// How.
-        how: How,
+        outcome: RunOutcome,
         /// When.
         at: Moment,
     },
     /// The cell has noted ends up to this number.
-    Noted(u64),
+    EndsAcknowledged(u64),
     /// The lease ran out.
-    Lapsed(Moment),
+    LeaseExpired(Moment),
 }
 
 #[derive(Clone, Debug)]
 struct Run {
     run: u32,
-    truth: Truth,
+    truth: TaskBehavior,
     done: Duration,
     began: Moment,
     stop_at: Option<Moment>,
@@ -101,14 +103,14 @@
 
 /// How an emulated runner misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fault {
+pub enum RunnerFault {
     /// It does not.
     #[default]
     None,
     /// It fails all that it runs, at once.
     FailsAll,
     /// Its tasks stand still.
-    Stands,
+    TasksStall,
     /// It takes five times as long.
     Slow,
 }
@@ -121,13 +123,13 @@
     /// Where it listens.
     pub address: Box<str>,
     /// When its life began.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// How it misbehaves.
-    pub fault: Fault,
+    pub fault: RunnerFault,
     /// Whether it takes new tasks.
     pub state: RunnerState,
     /// When it leaves, where it says so.
-    pub leaves_at: Option<Moment>,
+    pub terminates_at: Option<Moment>,
     /// All that it has.
     pub capacity: Resources,
     /// Its clock runs this much slow, in parts per million.
@@ -138,11 +140,11 @@
     lease_end: Moment,
     leased: bool,
     runs: BTreeMap<TaskKey, Run>,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedRun>,
     numbers: u64,
     highest: BTreeMap<TaskKey, u32>,
     at: Moment,
-    happened: Vec<Happened>,
+    happened: Vec<RunnerEvent>,
     /// Rooms that it had before it shrank, and until when they count.
     former: Vec<(Moment, Resources)>,
     crashed_by: Option<TaskKey>,
@@ -158,14 +160,14 @@
     /// let mut runner = EmulatedRunner::new("w1", "r1", 7, Resources::ZERO, Moment::ZERO);
     /// assert_eq!(runner.report(Moment::ZERO).sequence, 1);
     /// ```
-    pub fn new(id: &str, rack: &str, born_ms: u64, capacity: Resources, now: Moment) -> Self {
+    pub fn new(id: &str, rack: &str, started_ms: u64, capacity: Resources, now: Moment) -> Self {
         Self {
             id: id.into(),
             address: id.into(),
-            born_ms,
-            fault: Fault::None,
+            started_ms,
+            fault: RunnerFault::None,
             state: RunnerState::Ready,
-            leaves_at: None,
+            terminates_at: None,
             capacity,
             slow_ppm: 0,
             rack: rack.into(),
@@ -190,12 +192,12 @@
     }
 
     /// What happened since the last call.
-    pub fn take_happened(&mut self) -> Vec<Happened> {
+    pub fn take_events(&mut self) -> Vec<RunnerEvent> {
         std::mem::take(&mut self.happened)
     }
 
     /// Whether a task runs here.
-    pub fn runs(&self, task: TaskKey) -> bool {
+    pub fn is_running(&self, task: TaskKey) -> bool {
         self.runs.contains_key(&task)
     }
 
@@ -205,8 +207,8 @@
     }
 
     /// What all that runs takes.
-    pub fn taken(&self) -> Resources {
-        let all = self.runs.values().map(|run| run.truth.need);
+    pub fn resources_in_use(&self) -> Resources {
+        let all = self.runs.values().map(|run| run.truth.actual_usage);
         all.fold(Resources::ZERO, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
@@ -218,21 +220,21 @@
     /// use yuccalink_state::Resources;
     /// let mut runner = EmulatedRunner::new("w1", "r1", 7, Resources::ZERO, Moment::ZERO);
     /// runner.resize(Resources { millicores: 1_000, ..Resources::ZERO }, Moment::ZERO);
-    /// assert!(runner.has_room_for_all(Moment::ZERO));
+    /// assert!(runner.is_within_capacity(Moment::ZERO));
     /// ```
     pub fn resize(&mut self, capacity: Resources, now: Moment) {
         let former = std::mem::replace(&mut self.capacity, capacity);
-        if !capacity.holds(former) {
+        if !capacity.covers(former) {
             self.former.push((now + SHRINKS_WITHIN, former));
         }
     }
 
     /// Whether all that runs fits its room, or one that it had until lately.
-    pub fn has_room_for_all(&mut self, now: Moment) -> bool {
+    pub fn is_within_capacity(&mut self, now: Moment) -> bool {
         self.former.retain(|(until, _)| now < *until);
         let mut rooms = self.former.iter().map(|(_, room)| *room).chain([self.capacity]);
-        let taken = self.taken();
-        rooms.any(|room| room.holds(taken))
+        let taken = self.resources_in_use();
+        rooms.any(|room| room.covers(taken))
     }
 
     /// Lets time pass: tasks work and end, leases run out.
@@ -242,11 +244,11 @@
         if now >= self.lease_end {
             if self.leased {
                 self.leased = false;
-                self.happened.push(Happened::Lapsed(now));
+                self.happened.push(RunnerEvent::LeaseExpired(now));
             }
             let all: Vec<TaskKey> = self.runs.keys().copied().collect();
             for task in all {
-                self.end(task, How::Lapsed);
+                self.end(task, RunOutcome::Lapsed);
             }
         }
         let mut ends = Vec::new();
@@ -257,17 +259,20 @@
                 self.crashed_by.get_or_insert(*task);
             }
             if run.stop_at.is_some_and(|at| now >= at) {
-                ends.push((*task, How::Stopped));
+                ends.push((*task, RunOutcome::Stopped));
                 continue;
             }
             match self.fault {
-                Fault::FailsAll => ends.push((*task, How::Failed)),
-                Fault::Stands => {}
-                Fault::None | Fault::Slow => {
-                    let slowdown = if self.fault == Fault::Slow { SLOW_FACTOR } else { 1 };
+                RunnerFault::FailsAll => ends.push((*task, RunOutcome::Failed)),
+                RunnerFault::TasksStall => {}
+                RunnerFault::None | RunnerFault::Slow => {
+                    let slowdown = if self.fault == RunnerFault::Slow { SLOW_FACTOR } else { 1 };
                     run.done += passed * u32::from(run.rate) / 100 / slowdown;
-                    if run.done >= run.truth.work && !run.truth.lasts {
-                        ends.push((*task, if run.truth.fails { How::Failed } else { How::Done }));
+                    if run.done >= run.truth.run_time && !run.truth.long_running {
+                        ends.push((
+                            *task,
+                            if run.truth.fails { RunOutcome::Failed } else { RunOutcome::Done },
+                        ));
                     }
                 }
             }
@@ -277,37 +282,43 @@
         }
     }
 
-    fn end(&mut self, task: TaskKey, how: How) {
+    fn end(&mut self, task: TaskKey, how: RunOutcome) {
         let Some(run) = self.runs.remove(&task) else { return };
         self.numbers += 1;
         let highest = self.highest.entry(task).or_default();
         *highest = (*highest).max(run.run);
-        let saved = saved(task, run.run);
+        let saved = checkpoint_text(task, run.run);
         let number = self.numbers;
-        self.finished.push(Finished { number, task: Some(task), run: run.run, how, saved });
-        self.happened.push(Happened::Ended { task, run: run.run, how, at: self.at });
+        self.finished.push(FinishedRun {
+            number,
+            task: Some(task),
+            run: run.run,
+            outcome: how,
+            checkpoint: saved,
+        });
+        self.happened.push(RunnerEvent::Ended { task, run: run.run, outcome: how, at: self.at });
     }
 
     /// The next report.
-    pub fn report(&mut self, now: Moment) -> Report {
+    pub fn report(&mut self, now: Moment) -> RunnerReport {
         self.advance(now);
         self.sequence += 1;
-        let running = self.runs.iter().map(|(task, run)| Running {
+        let running = self.runs.iter().map(|(task, run)| ReportedRun {
             task: *task,
             run: run.run,
-            saved: saved(*task, run.run),
+            checkpoint: checkpoint_text(*task, run.run),
             percent: percent(run),
-            gauge: None,
+            usage_or_tail: None,
         });
-        Report {
+        RunnerReport {
             runner: self.id.clone(),
-            born_ms: self.born_ms,
+            started_ms: self.started_ms,
             sequence: self.sequence,
             pool: "pool".into(),
             address: self.address.clone(),
             zone: "zone".into(),
             state: self.state,
-            remaining_ms: self.leaves_at.map(|at| remaining_ms(at, now)),
+            remaining_ms: self.terminates_at.map(|at| remaining_ms(at, now)),
             capacity: self.capacity,
             labels: vec!["a".into(), self.rack.clone()],
             rack: self.rack.clone(),
@@ -317,17 +328,17 @@
     }
 
     /// Obeys the answer to a report that was sent at `sent`.
-    pub fn obey<F>(&mut self, now: Moment, sent: Moment, orders: &Orders, truth: F)
+    pub fn apply_orders<F>(&mut self, now: Moment, sent: Moment, orders: &RunnerOrders, truth: F)
     where
-        F: Fn(TaskKey) -> Option<Truth>,
+        F: Fn(TaskKey) -> Option<TaskBehavior>,
     {
         self.advance(now);
         if orders.token < self.token || now.since(sent) > DROP_AFTER {
             return;
         }
         self.token = orders.token;
-        self.finished.retain(|end| end.number > orders.noted);
-        self.happened.push(Happened::Noted(orders.noted));
+        self.finished.retain(|end| end.number > orders.acked_through);
+        self.happened.push(RunnerEvent::EndsAcknowledged(orders.acked_through));
         for (task, run) in &orders.stop {
             self.stop(*task, *run);
         }
@@ -354,20 +365,27 @@
         }
     }
 
-    fn start(&mut self, task: TaskKey, run: u32, truth: Truth) {
+    fn start(&mut self, task: TaskKey, run: u32, truth: TaskBehavior) {
         let ended = self.highest.get(&task).copied().unwrap_or(0);
         if self.runs.get(&task).is_some_and(|there| there.run == run) {
             return;
         }
         if run <= ended || self.runs.contains_key(&task) {
             self.numbers += 1;
-            let (number, task, how, saved) = (self.numbers, Some(task), How::Refused, "".into());
-            return self.finished.push(Finished { number, task, run, how, saved });
+            let (number, task, how, saved) =
+                (self.numbers, Some(task), RunOutcome::Refused, "".into());
+            return self.finished.push(FinishedRun {
+                number,
+                task,
+                run,
+                outcome: how,
+                checkpoint: saved,
+            });
         }
         let done = Duration::ZERO;
         let began = self.at;
         self.runs.insert(task, Run { run, truth, done, began, stop_at: None, rate: 100 });
-        self.happened.push(Happened::Started { task, run, at: self.at });
+        self.happened.push(RunnerEvent::Started { task, run, at: self.at });
     }
 
     fn stop(&mut self, task: TaskKey, run: u32) {
@@ -385,15 +403,15 @@
 }
 
 /// The checkpoint of a run names its task, so that a mix-up shows.
-pub fn saved(task: TaskKey, run: u32) -> Box<str> {
+pub fn checkpoint_text(task: TaskKey, run: u32) -> Box<str> {
     format!("{task}/{run}").into()
 }
 
 fn percent(run: &Run) -> u8 {
-    if run.truth.lasts {
+    if run.truth.long_running {
         return 100;
     }
-    let work = run.truth.work.as_micros().max(1);
+    let work = run.truth.run_time.as_micros().max(1);
     u8::try_from((run.done.as_micros() * 100 / work).min(99)).unwrap_or(99)
 }
 
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod wait;
 pub mod worker;
 
-pub use caller::{Caller, Reply};
+pub use caller::{Caller, CallerResponse};
 pub use runner::FakeRunner;
 pub use worker::FakeWorker;
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -5,7 +5,7 @@
 //! `fake-refuse` refuses before starting. The answer repeats the request's
 //! `fake-tag` header, or else its body.
 
-use crate::target::{Announcer, Told, incarnation};
+use crate::target::{AnnounceOutcome, Announcer, incarnation};
 use bytes::Bytes;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -16,14 +16,14 @@
 use tokio::time::sleep;
 use xitca_web::body::ResponseBody;
 use xitca_web::http::{WebRequest, WebResponse};
-use yuccalink_coordination::invariants::RequestWatch;
+use yuccalink_coordination::invariants::RequestChecker;
 use yuccalink_protocol::api::{Announce, Heartbeat, Leave};
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::RunnerSpec;
-use yuccalink_transport::body::{Piece, passed};
+use yuccalink_transport::body::{BodyChunk, streamed_body};
 use yuccalink_transport::http::{HeaderMap, StatusCode};
 use yuccalink_transport::reply;
-use yuccalink_transport::server::{Handler, Limits, Server, read_body};
+use yuccalink_transport::server::{Handler, Server, ServerLimits, read_body};
 
 const BODY_MAX: usize = 64 * 1024 * 1024;
 const CHUNK: usize = 64 * 1024;
@@ -59,7 +59,7 @@
     leaving: AtomicBool,
     stop: AtomicBool,
     frozen: AtomicBool,
-    watch: Mutex<Option<Arc<Mutex<RequestWatch>>>>,
+    watch: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
 }
 
 /// A running runner.
@@ -81,7 +81,7 @@
         let state = Arc::new(State::default());
         let answers = state.clone();
         let (name, slots) = (settings.name.clone(), settings.slots);
-        let limits = Limits { threads: settings.threads, ..Limits::default() };
+        let limits = ServerLimits { threads: settings.threads, ..ServerLimits::default() };
         let server = Server::start(listener, limits, move || Answers {
             state: answers.clone(),
             name: name.clone(),
@@ -100,7 +100,7 @@
     }
 
     /// Most requests it ever held at once.
-    pub fn most(&self) -> u32 {
+    pub fn peak_requests(&self) -> u32 {
         self.state.most.load(Ordering::SeqCst)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Reports what it does to `watch`; requests are named by `fake-name`.
-    pub fn watch(&self, watch: Arc<Mutex<RequestWatch>>) {
+    pub fn set_checker(&self, watch: Arc<Mutex<RequestChecker>>) {
         *self.state.watch.lock().unwrap_or_else(PoisonError::into_inner) = Some(watch);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Stops its heartbeats, as a cut-off runner's would be; goes on answering.
-    pub fn silence(&self) {
+    pub fn stop_heartbeats(&self) {
         self.state.frozen.store(true, Ordering::SeqCst);
     }
 
@@ -176,15 +176,15 @@
             entries.tell(&format!("{path}/heartbeat"), &beat).await
         };
         let pause = match told {
-            Told::Welcome(welcome) => {
+            AnnounceOutcome::Welcome(welcome) => {
                 known = true;
                 Duration::from_millis(welcome.heartbeat_ms)
             }
-            Told::Announce => {
+            AnnounceOutcome::Announce => {
                 known = false;
                 Duration::ZERO
             }
-            Told::Failed(why) => {
+            AnnounceOutcome::Failed(why) => {
                 log::debug!("runner {}: {why}", settings.name);
                 AGAIN
             }
@@ -281,7 +281,7 @@
     let cut = headers.contains_key("fake-cut");
     let announced = (!headers.contains_key("fake-chunked")).then_some(size);
     let delay = number(headers, "fake-chunk-delay-ms");
-    let (tx, body) = passed(announced);
+    let (tx, body) = streamed_body(announced);
     tokio::task::spawn_local(async move {
         let until = if cut { size / 2 } else { size };
         let mut sent = 0;
@@ -289,7 +289,7 @@
         while sent < until {
             let count = (until - sent).min(CHUNK as u64);
             let piece = chunk.slice(..usize::try_from(count).unwrap_or(CHUNK));
-            if tx.send(Piece::Data(piece)).await.is_err() {
+            if tx.send(BodyChunk::Data(piece)).await.is_err() {
                 return;
             }
             sent += count;
@@ -298,7 +298,7 @@
             }
         }
         if !cut {
-            let _ = tx.send(Piece::End).await;
+            let _ = tx.send(BodyChunk::End).await;
         }
     });
     WebResponse::new(body)
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
-use yuccalink_protocol::api::Welcome;
+use yuccalink_protocol::api::HeartbeatReply;
 use yuccalink_transport::http::{Request, header};
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
@@ -20,9 +20,9 @@
 }
 
 /// What a message to an entry came to.
-pub(crate) enum Told {
+pub(crate) enum AnnounceOutcome {
     /// It was taken.
-    Welcome(Welcome),
+    Welcome(HeartbeatReply),
     /// The target is not known: it must announce itself.
     Announce,
     /// Something else; try again.
@@ -34,26 +34,29 @@
         Self { entries, next: 0, pool: Pool::new(PoolSettings::default()) }
     }
 
-    pub(crate) async fn tell<T>(&mut self, path: &str, message: &T) -> Told
+    pub(crate) async fn tell<T>(&mut self, path: &str, message: &T) -> AnnounceOutcome
     where
         T: Serialize,
     {
         let Some(entry) = self.entries.get(self.next % self.entries.len().max(1)).copied() else {
-            return Told::Failed("no entry is set".into());
+            return AnnounceOutcome::Failed("no entry is set".into());
         };
         self.next += 1;
         match self.post(entry, path, message).await {
             Ok((200, body)) => match serde_json::from_slice(&body) {
-                Ok(welcome) => Told::Welcome(welcome),
-                Err(_) => {
-                    Told::Welcome(Welcome { heartbeat_ms: 1000, lease_ms: None, send_held: false })
-                }
+                Ok(welcome) => AnnounceOutcome::Welcome(welcome),
+                Err(_) => AnnounceOutcome::Welcome(HeartbeatReply {
+                    heartbeat_ms: 1000,
+                    lease_ms: None,
+                    send_held: false,
+                }),
             },
-            Ok((404, _)) => Told::Announce,
-            Ok((status, body)) => {
-                Told::Failed(format!("status {status}: {}", String::from_utf8_lossy(&body)))
-            }
-            Err(why) => Told::Failed(why),
+            Ok((404, _)) => AnnounceOutcome::Announce,
+            Ok((status, body)) => AnnounceOutcome::Failed(format!(
+                "status {status}: {}",
+                String::from_utf8_lossy(&body)
+            )),
+            Err(why) => AnnounceOutcome::Failed(why),
         }
     }
 
@@ -74,7 +77,7 @@
             .map_err(|e| e.to_string())?;
         let deadline = Instant::now() + TIMEOUT;
         let mut answer = self.pool.send(entry, req, deadline).await.map_err(|e| e.to_string())?;
-        let whole = tokio::time::timeout_at(deadline, answer.whole(ANSWER_MAX)).await;
+        let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
         let body = whole.map_err(|e| e.to_string())?.map_err(|e| e.to_string())?;
         Ok((answer.head.status.as_u16(), body.unwrap_or_default().to_vec()))
     }
--- a/crates/fakes/src/wait.rs
+++ b/crates/fakes/src/wait.rs
@@ -12,7 +12,7 @@
 ///
 /// # Panics
 /// When nothing came within `limit`.
-pub fn until<T, F>(limit: Duration, what: &str, mut found: F) -> T
+pub fn wait_until<T, F>(limit: Duration, what: &str, mut found: F) -> T
 where
     F: FnMut() -> Option<T>,
 {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -5,7 +5,7 @@
 //! one, a task runs for its declared time. Tasks save their state when ordered to.
 
 use crate::runner::run_local;
-use crate::target::{Announcer, Told, incarnation};
+use crate::target::{AnnounceOutcome, Announcer, incarnation};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,9 +14,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 use xitca_web::http::{WebRequest, WebResponse};
-use yuccalink_coordination::invariants::TaskWatch;
+use yuccalink_coordination::invariants::TaskChecker;
 use yuccalink_protocol::api::{
-    Announce, Heartbeat, Held, Leave, OrderTask, Orders, OrdersTaken, Start, held_digest,
+    Announce, Heartbeat, Leave, OrderTask, Orders, OrdersTaken, ReportedTask, TaskStart,
+    held_digest,
 };
 use yuccalink_protocol::units;
 use yuccalink_state::Resources;
@@ -25,7 +26,7 @@
 use yuccalink_state::worker::WorkerSpec;
 use yuccalink_transport::http::StatusCode;
 use yuccalink_transport::reply;
-use yuccalink_transport::server::{Handler, Limits, Server, read_body};
+use yuccalink_transport::server::{Handler, Server, ServerLimits, read_body};
 
 const BODY_MAX: usize = 64 * 1024 * 1024;
 /// How often running tasks are looked at.
@@ -80,7 +81,7 @@
     running: BTreeMap<TaskId, Running>,
     seen: HashMap<TaskId, Epoch>,
     reports: Vec<TaskReport>,
-    watch: Option<Arc<Mutex<TaskWatch>>>,
+    watch: Option<Arc<Mutex<TaskChecker>>>,
 }
 
 struct State {
@@ -127,7 +128,7 @@
             over: AtomicU64::new(0),
         });
         let orders = state.clone();
-        let limits = Limits { threads: 1, ..Limits::default() };
+        let limits = ServerLimits { threads: 1, ..ServerLimits::default() };
         let server = Server::start(listener, limits, move || TakesOrders(orders.clone()))?;
         let announces = state.clone();
         let thread = thread::Builder::new().name("worker-announce".into()).spawn(move || {
@@ -145,7 +146,7 @@
     }
 
     /// Reports what it does to `watch`.
-    pub fn watch(&self, watch: Arc<Mutex<TaskWatch>>) {
+    pub fn set_checker(&self, watch: Arc<Mutex<TaskChecker>>) {
         lock(&self.state.tasks).watch = Some(watch);
     }
 
@@ -167,12 +168,12 @@
     }
 
     /// How often it was ordered to run more than it holds.
-    pub fn over(&self) -> u64 {
+    pub fn overcommit_count(&self) -> u64 {
         self.state.over.load(Ordering::SeqCst)
     }
 
     /// Cuts it off from the entries; it goes on running until its lease ends.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_partitioned(&self, silent: bool) {
         self.state.frozen.store(silent, Ordering::SeqCst);
     }
 
@@ -210,7 +211,7 @@
             if state.leaving.load(Ordering::SeqCst) && !told_leaving {
                 let left =
                     entries.tell(&format!("{path}/leave"), &Leave { incarnation: run }).await;
-                told_leaving = matches!(left, Told::Welcome(_));
+                told_leaving = matches!(left, AnnounceOutcome::Welcome(_));
             }
             let (beat, reported) = heartbeat(&state, send_held);
             (entries.tell(&format!("{path}/heartbeat"), &beat).await, reported)
@@ -226,7 +227,7 @@
             (entries.tell("/v1/targets", &Announce::Worker { spec }).await, 0)
         };
         let pause = match told {
-            Told::Welcome(welcome) => {
+            AnnounceOutcome::Welcome(welcome) => {
                 known = true;
                 send_held = welcome.send_held;
                 lock(&state.tasks).reports.drain(..reported);
@@ -236,13 +237,13 @@
                 *lock(&state.lease_until) = Some(sent + lease);
                 Duration::from_millis(welcome.heartbeat_ms)
             }
-            Told::Announce => {
+            AnnounceOutcome::Announce => {
                 // A new leader learns its workers anew. Had it given this run up, the
                 // lease would have ended before, and with it every task here.
                 known = false;
                 Duration::ZERO
             }
-            Told::Failed(why) => {
+            AnnounceOutcome::Failed(why) => {
                 log::debug!("worker {}: {why}", settings.name);
                 AGAIN
             }
@@ -264,11 +265,12 @@
 
 fn heartbeat(state: &State, send_held: bool) -> (Heartbeat, usize) {
     let tasks = lock(&state.tasks);
-    let running = tasks.running.iter().map(|(task, run)| Held { task: *task, epoch: run.epoch });
-    let reported = tasks.reports.iter().map(|r| Held { task: r.task, epoch: r.epoch });
+    let running =
+        tasks.running.iter().map(|(task, run)| ReportedTask { task: *task, epoch: run.epoch });
+    let reported = tasks.reports.iter().map(|r| ReportedTask { task: r.task, epoch: r.epoch });
     let millicores = tasks.running.values().map(Running::use_now).sum();
     let memory_mib = tasks.running.values().map(|run| run.need.memory_mib).sum();
-    let held: Vec<Held> = running.chain(reported).collect();
+    let held: Vec<ReportedTask> = running.chain(reported).collect();
     let beat = Heartbeat {
         incarnation: state.incarnation,
         busy: u32::try_from(tasks.running.len()).unwrap_or(u32::MAX),
@@ -313,7 +315,7 @@
 
 fn note<F>(tasks: &Tasks, tell: F)
 where
-    F: FnOnce(&mut TaskWatch),
+    F: FnOnce(&mut TaskChecker),
 {
     if let Some(watch) = &tasks.watch {
         tell(&mut lock(watch));
@@ -370,8 +372,8 @@
         }
     }
 
-    fn start(&self, start: &Start) -> Option<TaskReport> {
-        let Start { task, epoch, .. } = *start;
+    fn start(&self, start: &TaskStart) -> Option<TaskReport> {
+        let TaskStart { task, epoch, .. } = *start;
         let report = |event| Some(TaskReport { task, epoch, event });
         let alive = lock(&self.0.lease_until).is_some_and(|until| Instant::now() < until);
         if !alive {
@@ -390,7 +392,7 @@
             return None;
         }
         let used = tasks.running.values().try_fold(start.need, |sum, run| sum.plus(run.need));
-        if used.is_none_or(|used| !self.0.capacity.holds(used)) {
+        if used.is_none_or(|used| !self.0.capacity.covers(used)) {
             self.0.over.fetch_add(1, Ordering::SeqCst);
             return report(TaskEvent::Refused { reason: "there is no room".into() });
         }
@@ -400,8 +402,8 @@
         report(TaskEvent::Started)
     }
 
-    fn stop(&self, held: Held, save: bool) -> Option<TaskReport> {
-        let Held { task, epoch } = held;
+    fn stop(&self, held: ReportedTask, save: bool) -> Option<TaskReport> {
+        let ReportedTask { task, epoch } = held;
         let mut tasks = lock(&self.0.tasks);
         let seen = tasks.seen.entry(task).or_insert(epoch);
         *seen = (*seen).max(epoch);
@@ -426,7 +428,7 @@
     }
 }
 
-fn running(start: &Start) -> Running {
+fn running(start: &TaskStart) -> Running {
     let words: Vec<&str> = start.payload.split_whitespace().collect();
     let asked = words.iter().find_map(|word| word.strip_prefix("run="));
     let ends = asked.and_then(|time| units::millis(time).ok()).unwrap_or(start.duration_ms);
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -14,7 +14,7 @@
 use yuccalink_protocol::request::IDEMPOTENCY_KEY;
 use yuccalink_state::id::TaskId;
 use yuccalink_transport::http::{Method, Request, Uri, header};
-use yuccalink_transport::pool::{Answer, Pool, PoolSettings};
+use yuccalink_transport::pool::{Pool, PoolSettings, UpstreamResponse};
 
 /// Largest answer, in bytes.
 const ANSWER_MAX: usize = 64 * 1024 * 1024;
@@ -347,13 +347,16 @@
 }
 
 /// The address that a redirect names.
-fn redirected(answer: &Answer) -> Option<SocketAddr> {
+fn redirected(answer: &UpstreamResponse) -> Option<SocketAddr> {
     let location = answer.head.headers.get(header::LOCATION)?.to_str().ok()?;
     location.parse::<Uri>().ok()?.authority()?.as_str().parse().ok()
 }
 
-async fn read_whole(mut answer: Answer, deadline: Instant) -> std::result::Result<Vec<u8>, String> {
-    let whole = tokio::time::timeout_at(deadline, answer.whole(ANSWER_MAX)).await;
+async fn read_whole(
+    mut answer: UpstreamResponse,
+    deadline: Instant,
+) -> std::result::Result<Vec<u8>, String> {
+    let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
     let body = whole
         .map_err(|_| "the answer came too slowly".to_string())?
         .map_err(|e| e.to_string())?
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of commands, each with the exit code of the program.
 
-use yuccalink_protocol::fields::Faults;
-use yuccalink_protocol::problem::{Problem, Ran};
+use yuccalink_protocol::fields::ValidationErrors;
+use yuccalink_protocol::problem::{ExecutionStatus, Problem};
 
 /// Result of a command.
 pub type Result<T> = std::result::Result<T, Error>;
@@ -21,7 +21,7 @@
         /// The file.
         path: Box<str>,
         /// All of them.
-        faults: Faults,
+        faults: ValidationErrors,
     },
     /// no daemon answers at {server}: {why}; name another with --server
     Unreachable {
@@ -70,7 +70,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Problem { title, detail, faults, ran, .. } = &self.0;
         write!(f, "{title}: {detail}")?;
-        if *ran == Ran::Unknown {
+        if *ran == ExecutionStatus::Unknown {
             f.write_str(" (it may have been done)")?;
         }
         for fault in faults {
--- a/crates/operator/src/losses.rs
+++ b/crates/operator/src/losses.rs
@@ -67,7 +67,7 @@
 
 /// All sums.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Losses {
+pub struct LossReport {
     /// Of all jobs.
     pub all: Sum,
     /// By queue.
@@ -125,12 +125,12 @@
 /// assert_eq!(losses.all.missing["room"], 0.75);
 /// assert_eq!(losses.all.missing["own-length"], 0.25);
 /// ```
-pub fn add_up(text: &str) -> Losses {
+pub fn add_up(text: &str) -> LossReport {
     let jobs = read(text);
     let means = means(&jobs);
     let last_s = jobs.values().map(|job| job.came_s).fold(0.0, f64::max);
     let first_s = jobs.values().map(|job| job.came_s).fold(f64::INFINITY, f64::min);
-    let mut losses = Losses::default();
+    let mut losses = LossReport::default();
     for job in jobs.values().filter(|job| !job.lasts) {
         let mean = means.get(&job.queue).copied().unwrap_or(job.work).max(1e-9);
         let worth = (WORTH_FIXED + WORTH_PER_WORK * job.work / mean).min(WORTH_MAX);
@@ -272,7 +272,7 @@
     Some(seconds)
 }
 
-fn shown(losses: &Losses) -> String {
+fn shown(losses: &LossReport) -> String {
     let mut queues: Vec<(&str, &Sum)> =
         losses.queues.iter().map(|(name, sum)| (&**name, sum)).collect();
     queues.push(("all", &losses.all));
--- a/crates/operator/src/plot.rs
+++ b/crates/operator/src/plot.rs
@@ -1,7 +1,7 @@
 //! Pictures of what was added up, as SVG.
 
 use crate::error::{Error, Result};
-use crate::losses::{Losses, WINDOW_S};
+use crate::losses::{LossReport, WINDOW_S};
 use plotters::prelude::*;
 
 const SIZE: (u32, u32) = (1_000, 420);
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// [`Error::Cell`] naming the file when it cannot be drawn there.
-pub(crate) fn losses(losses: &Losses, path: &str) -> Result<()> {
+pub(crate) fn losses(losses: &LossReport, path: &str) -> Result<()> {
     let bad = |why: String| {
         let what = format!("cannot draw {path}: {why}; name a file that may be written");
         Error::Cell(what.into())
@@ -20,7 +20,7 @@
     draw(losses, path).map_err(|error| bad(error.to_string()))
 }
 
-fn draw(losses: &Losses, path: &str) -> std::result::Result<(), Box<dyn std::error::Error>> {
+fn draw(losses: &LossReport, path: &str) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let end = losses.windows.keys().max().map_or(0, |last| last + WINDOW_S);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/operator/src/render.rs
+++ b/crates/operator/src/render.rs
@@ -8,7 +8,7 @@
 use yuccalink_state::Resources;
 use yuccalink_state::command::CancelOutcome;
 use yuccalink_state::target::TargetSpec;
-use yuccalink_state::task::Ending;
+use yuccalink_state::task::TaskOutcome;
 
 /// Lays out rows under a heading, each column as wide as its widest cell.
 ///
@@ -72,9 +72,9 @@
         let words = match outcome {
             CancelOutcome::NotRun => "cancelled; it had not run".into(),
             CancelOutcome::Stopping => "is being stopped".into(),
-            CancelOutcome::Ended(Ending::Finished) => "had finished before".into(),
-            CancelOutcome::Ended(Ending::Cancelled) => "cancelled".into(),
-            CancelOutcome::Ended(Ending::Failed(why)) => format!("had failed before: {why}"),
+            CancelOutcome::Ended(TaskOutcome::Finished) => "had finished before".into(),
+            CancelOutcome::Ended(TaskOutcome::Cancelled) => "cancelled".into(),
+            CancelOutcome::Ended(TaskOutcome::Failed(why)) => format!("had failed before: {why}"),
             CancelOutcome::Unknown => "is not known".into(),
         };
         let _ = writeln!(out, "{task} {words}");
@@ -126,7 +126,7 @@
         vec![
             entry.entry.to_string(),
             entry.zone.to_string(),
-            entry.callers.to_string(),
+            entry.caller_address.to_string(),
             state.into(),
             entry.revision.to_string(),
             Span(entry.silent_ms).to_string(),
