--- a/crates/operator/src/saved.rs
+++ b/crates/operator/src/saved.rs
@@ -35,7 +35,7 @@
 /// Makes the data folder of one voter, which then founds the system anew; the
 /// other voters start with empty disks and join it.
 pub(crate) fn restore(file: &str, data: &str, name: &Name, address: SocketAddr) -> Result<Output> {
-    let Snapshot { meta, mut machine } = read(file)?;
+    let Snapshot { meta, state: mut machine } = read(file)?;
     let replica = drawn();
     let address = address.to_string().into();
     let voters = vec![Member { id: ReplicaId(replica), name: name.clone(), address }];
@@ -60,7 +60,7 @@
 }
 
 fn described(file: &str, found: &Snapshot) -> Output {
-    let Snapshot { meta, machine } = found;
+    let Snapshot { meta, state: machine } = found;
     let services = machine.services().count();
     let tasks = machine.tasks().count();
     let requests = machine.ledger().len();
--- a/crates/operator/tests/losses.rs
+++ b/crates/operator/tests/losses.rs
@@ -1,6 +1,6 @@
 //! What jobs lost, added up from log lines, some of them recorded from a cell's leader.
 
-use yuccalink_operator::losses::{Losses, Sum, add_up};
+use yuccalink_operator::losses::{LossReport, Sum, add_up};
 
 /// Lines of a leader on a day on which its pool was nearly full and its process was killed.
 const RECORDED: &str = include_str!("logs/nearly-full-pool.log");
@@ -38,7 +38,7 @@
         + &accepted(1, "0b", "q", 1)
         + &ended(2, "0a", "1.5s", "former:0,room:250")
         + &ended(4, "0b", "3s", "former:0,room:1000,margin:1000");
-    let Losses { all, .. } = add_up(&text);
+    let LossReport { all, .. } = add_up(&text);
     assert_eq!(all.jobs, 2);
     assert_near(all.worth, 2.0);
     assert_near(missing(&all, "room"), 0.5);
@@ -49,7 +49,7 @@
 #[test]
 fn lateness_that_nothing_explains_is_the_jobs_own_length() {
     let text = accepted(1, "0a", "q", 1) + &ended(9, "0a", "6s", "former:0,pace:1000");
-    let Losses { all, .. } = add_up(&text);
+    let LossReport { all, .. } = add_up(&text);
     assert_near(missing(&all, "pace"), 0.25);
     assert_near(missing(&all, "own-length"), 0.75);
 }
@@ -76,7 +76,7 @@
         + &lasting
         + &line(3, "job=0a cancelled")
         + &line(4, "job=0b ended state=Failed after=1s objective=2s held-up=former:0 failures=2");
-    let Losses { all, open, .. } = add_up(&text);
+    let LossReport { all, open, .. } = add_up(&text);
     assert_eq!((all.jobs, open), (1, 0));
     assert_near(missing(&all, "failed"), 1.0);
 }
@@ -91,7 +91,7 @@
         + &line(8, overdue)
         + &accepted(2, "0b", "q", 1)
         + &accepted(40, "0c", "q", 1);
-    let Losses { all, open, .. } = add_up(&text);
+    let LossReport { all, open, .. } = add_up(&text);
     assert_eq!((all.jobs, open), (2, 1));
     assert_near(missing(&all, "trust"), 1.0);
     assert_near(missing(&all, "untold"), 1.0);
@@ -124,7 +124,7 @@
         + &line(9, &format!("job=0a ended state=Failed after=8s {failed} why=crashes"))
         + &accepted(1, "0b", "q", 1)
         + &line(9, &format!("job=0b ended state=Failed after=8s {failed}"));
-    let Losses { all, .. } = add_up(&text);
+    let LossReport { all, .. } = add_up(&text);
     assert_near(missing(&all, "crashes"), 1.0);
     assert_near(missing(&all, "failed"), 1.0);
 }
@@ -132,5 +132,5 @@
 #[test]
 fn lines_that_are_cut_or_strange_are_passed_over() {
     let text = "job= accepted\n[2030 job=zz ended state=\njob=0a accepted queue=q steps=[x]\n";
-    assert_eq!(add_up(text), Losses::default());
+    assert_eq!(add_up(text), LossReport::default());
 }
--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -48,7 +48,7 @@
 /// Answer to an announcement or heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Welcome {
+pub struct HeartbeatReply {
     /// When to send the next heartbeat, in milliseconds.
     pub heartbeat_ms: u64,
     /// For workers: tasks may run this long after the sending of the message
@@ -78,7 +78,7 @@
     /// For workers: every task held, and every one with a report not yet answered.
     /// May be left out where `held-digest` is given and the list was not asked for.
     #[serde(default)]
-    pub held: Option<Vec<Held>>,
+    pub held: Option<Vec<ReportedTask>>,
     /// For workers: [`held_digest`] of the same tasks.
     #[serde(default)]
     pub held_digest: u32,
@@ -90,7 +90,7 @@
 /// A task that a worker holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Held {
+pub struct ReportedTask {
     /// The task.
     pub task: TaskId,
     /// The placement that it holds.
@@ -101,16 +101,16 @@
 /// 32 bits, of a mix of each task and epoch; the order does not matter.
 ///
 /// ```
-/// # use yuccalink_protocol::api::{Held, held_digest};
+/// # use yuccalink_protocol::api::{ReportedTask, held_digest};
 /// # use yuccalink_state::id::{Epoch, TaskId};
-/// let held = |task, epoch| Held { task: TaskId(task), epoch: Epoch(epoch) };
+/// let held = |task, epoch| ReportedTask { task: TaskId(task), epoch: Epoch(epoch) };
 /// assert_eq!(held_digest([]), 0);
 /// assert_eq!(held_digest([held(7, 2), held(9, 1)]), held_digest([held(9, 1), held(7, 2)]));
 /// assert_ne!(held_digest([held(7, 2)]), held_digest([held(7, 3)]));
 /// ```
-pub fn held_digest(held: impl IntoIterator<Item = Held>) -> u32 {
+pub fn held_digest(held: impl IntoIterator<Item = ReportedTask>) -> u32 {
     const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
-    held.into_iter().fold(0, |sum, Held { task, epoch }| {
+    held.into_iter().fold(0, |sum, ReportedTask { task, epoch }| {
         let mixed = task.0.wrapping_mul(31).wrapping_add(epoch.0).wrapping_mul(MIX);
         sum.wrapping_add((mixed >> 32) as u32)
     })
@@ -140,11 +140,11 @@
 pub enum OrderTask {
     /// Run it. A worker that has seen this task with this or a later epoch must
     /// not start it again.
-    Start(Start),
+    Start(TaskStart),
     /// Save its state, report that, and stop it.
-    Checkpoint(Held),
+    Checkpoint(ReportedTask),
     /// Stop it.
-    Stop(Held),
+    Stop(ReportedTask),
     /// Run it with this share of its processors, in thousandths, for a while.
     Throttle {
         /// The task.
@@ -162,7 +162,7 @@
 /// A task to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Start {
+pub struct TaskStart {
     /// The task.
     pub task: TaskId,
     /// Its placement, carried on every message about it.
@@ -379,7 +379,8 @@
     /// Its availability zone.
     pub zone: Name,
     /// Where it takes callers' requests.
-    pub callers: Box<str>,
+    #[serde(rename = "callers")]
+    pub caller_address: Box<str>,
     /// The revision it has in force.
     pub revision: u64,
     /// Whether it may be serving.
--- a/crates/protocol/src/document.rs
+++ b/crates/protocol/src/document.rs
@@ -1,13 +1,13 @@
 //! Reads the TOML text of a service document and checks it whole: every fault
 //! is reported at once, with its place and its remedy.
 
-use crate::fields::{Collector, Faults, Section, flag, text, thousandths, unit, whole};
+use crate::fields::{Collector, Section, ValidationErrors, flag, text, thousandths, unit, whole};
 use crate::units::{mebibytes, millis, minute_of_day};
 use sha2::{Digest as _, Sha256};
 use toml::de::{DeTable, DeValue};
 use yuccalink_state::Resources;
 use yuccalink_state::document::{
-    Digest, Document, GivesUp, Peak, RequestKind, Spread, TaskClass, TaskKind,
+    Digest, DisruptionTolerance, Document, Peak, RequestKind, Spread, TaskClass, TaskKind,
 };
 use yuccalink_state::id::Name;
 
@@ -27,7 +27,7 @@
 /// Reads and checks a document.
 ///
 /// # Errors
-/// [`Faults`], all of them.
+/// [`ValidationErrors`], all of them.
 ///
 /// ```
 /// use yuccalink_protocol::document::read;
@@ -35,9 +35,9 @@
 /// assert_eq!(read(text)?.version, 1);
 /// let faults = read("service = 'Quotes'\nversoin = 1\n").unwrap_err();
 /// assert_eq!(faults.0.len(), 4);
-/// # Ok::<(), yuccalink_protocol::fields::Faults>(())
+/// # Ok::<(), yuccalink_protocol::fields::ValidationErrors>(())
 /// ```
-pub fn read(source: &str) -> Result<Document, Faults> {
+pub fn read(source: &str) -> Result<Document, ValidationErrors> {
     let mut out = Collector::new(source);
     if source.len() > TEXT_MAX {
         let what =
@@ -76,9 +76,10 @@
     let team = root.required(out, "team", "\"sales\"", name);
     let version = root.required(out, "version", "1", |v| whole(v, 1, u64::MAX >> 1));
     let peak = root.section(out, "peak").map(|section| peak(section, out));
-    let gives_up = root
-        .section(out, "gives-up")
-        .map_or_else(|| Some(GivesUp::default()), |section| gives_up(section, out));
+    let disruption_tolerance = root.section(out, "gives-up").map_or_else(
+        || Some(DisruptionTolerance::default()),
+        |section| disruption_tolerance(section, out),
+    );
     let requests = requests(root.sections(out, "request", KINDS_MAX), out);
     let tasks = tasks(root.sections(out, "task", KINDS_MAX), out);
     root.close(out);
@@ -92,7 +93,7 @@
         },
         requests: requests.into(),
         tasks: tasks.into(),
-        gives_up: gives_up?,
+        disruption_tolerance: disruption_tolerance?,
     })
 }
 
@@ -122,7 +123,10 @@
     }
 }
 
-fn gives_up(mut section: Section<'_, '_>, out: &mut Collector<'_>) -> Option<GivesUp> {
+fn disruption_tolerance(
+    mut section: Section<'_, '_>,
+    out: &mut Collector<'_>,
+) -> Option<DisruptionTolerance> {
     let throttle = section.optional(out, "throttle", flag).unwrap_or(false);
     let checkpoint = section.optional(out, "checkpoint", flag).unwrap_or(false);
     let stop = section.optional(out, "stop", flag).unwrap_or(false);
@@ -138,7 +142,7 @@
     }
     section.close(out);
     let evictions = u32::try_from(evictions).ok()?;
-    Some(GivesUp { throttle, checkpoint, stop, evictions, batch_wait_ms: wait })
+    Some(DisruptionTolerance { throttle, checkpoint, stop, evictions, batch_wait_ms: wait })
 }
 
 fn requests(sections: Vec<Section<'_, '_>>, out: &mut Collector<'_>) -> Vec<RequestKind> {
--- a/crates/protocol/src/fields.rs
+++ b/crates/protocol/src/fields.rs
@@ -10,7 +10,7 @@
 
 /// One thing that is wrong with a text, where, and what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     /// Counted from 1.
     pub line: usize,
     /// Counted from 1, in characters.
@@ -21,7 +21,7 @@
     pub what: Box<str>,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}, column {}: ", self.line, self.column)?;
         if !self.field.is_empty() {
@@ -33,9 +33,9 @@
 
 /// Every fault found in one text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (at, fault) in self.0.iter().enumerate() {
             if at > 0 {
@@ -47,13 +47,13 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ValidationErrors {}
 
 /// Collects faults while a text is read.
 #[derive(Debug)]
 pub(crate) struct Collector<'a> {
     text: &'a str,
-    faults: Vec<Fault>,
+    faults: Vec<ValidationError>,
 }
 
 impl<'a> Collector<'a> {
@@ -65,16 +65,16 @@
         let before = self.text.get(..at).unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        self.faults.push(Fault { line, column, field: field.into(), what: what.into() });
+        self.faults.push(ValidationError { line, column, field: field.into(), what: what.into() });
     }
 
     pub(crate) fn is_clean(&self) -> bool {
         self.faults.is_empty()
     }
 
-    pub(crate) fn finish(mut self) -> Faults {
+    pub(crate) fn finish(mut self) -> ValidationErrors {
         self.faults.sort_by_key(|fault| (fault.line, fault.column));
-        Faults(self.faults)
+        ValidationErrors(self.faults)
     }
 }
 
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -2,8 +2,8 @@
 //! to the Cap'n Proto schema.
 
 use crate::api::{
-    Applied, Cancelled, DecisionView, Heartbeat, ServiceView, Status, SubmitTasks, Submitted,
-    TargetView, TaskView, Welcome,
+    Applied, Cancelled, DecisionView, Heartbeat, HeartbeatReply, ServiceView, Status, SubmitTasks,
+    Submitted, TargetView, TaskView,
 };
 use crate::problem::Problem;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -20,7 +20,7 @@
 
 /// What an entry asks the leader to decide.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaderRequest {
     /// Put a document in force; the text was checked by the entry and is
     /// checked again by the leader.
     Apply {
@@ -101,39 +101,39 @@
 
 /// What the leader answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// To [`Ask::Apply`].
+pub enum LeaderResponse {
+    /// To [`LeaderRequest::Apply`].
     Applied(Applied),
-    /// To [`Ask::InForce`].
+    /// To [`LeaderRequest::InForce`].
     InForce {
         /// Whether it is.
         everywhere: bool,
         /// Entries that may still serve an older one.
         waiting_for: Vec<Name>,
     },
-    /// To [`Ask::Services`].
+    /// To [`LeaderRequest::Services`].
     Services(Vec<ServiceView>),
-    /// To [`Ask::Service`].
+    /// To [`LeaderRequest::Service`].
     Service(ServiceView),
-    /// To [`Ask::Submit`].
+    /// To [`LeaderRequest::Submit`].
     Submitted(Submitted),
-    /// To [`Ask::Cancel`].
+    /// To [`LeaderRequest::Cancel`].
     Cancelled(Vec<Cancelled>),
-    /// To [`Ask::Task`].
+    /// To [`LeaderRequest::Task`].
     Task(TaskView),
-    /// To [`Ask::Tasks`].
+    /// To [`LeaderRequest::Tasks`].
     Tasks(Vec<TaskView>),
-    /// To [`Ask::Announce`] and [`Ask::Heartbeat`].
-    Welcome(Welcome),
-    /// To [`Ask::RequestBegin`].
+    /// To [`LeaderRequest::Announce`] and [`LeaderRequest::Heartbeat`].
+    Welcome(HeartbeatReply),
+    /// To [`LeaderRequest::RequestBegin`].
     Request(Verdict),
-    /// To [`Ask::Status`].
+    /// To [`LeaderRequest::Status`].
     Status(Box<Status>),
-    /// To [`Ask::Targets`].
+    /// To [`LeaderRequest::Targets`].
     Targets(Vec<TargetView>),
-    /// To [`Ask::Decisions`].
+    /// To [`LeaderRequest::Decisions`].
     Decisions(Vec<DecisionView>),
-    /// To [`Ask::Snapshot`].
+    /// To [`LeaderRequest::Snapshot`].
     Snapshot(Box<[u8]>),
     /// Done, with nothing to say.
     Done,
@@ -156,32 +156,32 @@
 
 /// An entry, for others to hand requests on to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Neighbour {
+pub struct PeerEntry {
     /// Its name.
     pub name: Name,
     /// Where it takes callers' requests.
-    pub callers: Box<str>,
+    pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
     /// Whether it is about to stop.
     pub draining: bool,
 }
 
-impl Neighbour {
+impl PeerEntry {
     /// The entries to hand requests on to: those that a leader tells of, and until its table is
     /// `complete` also the `former` ones that it has not heard yet. Right after its election a
     /// leader knows itself only, and no runner would have an owner that can be reached.
     ///
     /// ```
-    /// use yuccalink_protocol::peer::Neighbour;
+    /// use yuccalink_protocol::peer::PeerEntry;
     /// use yuccalink_state::id::{BadName, Name};
-    /// fn entry(at: &str) -> Result<Neighbour, BadName> {
+    /// fn entry(at: &str) -> Result<PeerEntry, BadName> {
     ///     let (name, zone) = (Name::new(at)?, Name::new("z")?);
-    ///     Ok(Neighbour { name, callers: at.into(), zone, draining: false })
+    ///     Ok(PeerEntry { name, caller_address: at.into(), zone, draining: false })
     /// }
     /// let former = [entry("e1")?, entry("e2")?];
-    /// assert_eq!(Neighbour::known(vec![entry("e2")?], &former, false).len(), 2);
-    /// assert_eq!(Neighbour::known(vec![entry("e2")?], &former, true).len(), 1);
+    /// assert_eq!(PeerEntry::known(vec![entry("e2")?], &former, false).len(), 2);
+    /// assert_eq!(PeerEntry::known(vec![entry("e2")?], &former, true).len(), 1);
     /// # Ok::<(), BadName>(())
     /// ```
     pub fn known(told: Vec<Self>, former: &[Self], complete: bool) -> Vec<Self> {
@@ -202,11 +202,11 @@
     /// This run of its daemon.
     pub incarnation: Incarnation,
     /// Where it takes callers' requests.
-    pub callers: Box<str>,
+    pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
     /// The revision it has in force.
-    pub acked: u64,
+    pub acked_revision: u64,
     /// Whether it is about to stop.
     pub draining: bool,
     /// The term that `table_version` belongs to.
@@ -214,18 +214,18 @@
     /// What it knows of the table of runners.
     pub table_version: u64,
     /// Runners that it no longer routes to.
-    pub let_go: Vec<Name>,
+    pub released_runners: Vec<Name>,
     /// Runners that it routes to, told once to each new leader.
     pub owned: Vec<RunnerSpec>,
     /// It knows that this leader's table is complete.
-    pub settled: bool,
+    pub runner_table_complete: bool,
     /// It has stopped serving.
     pub leaving: bool,
 }
 
 /// What is new for an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct EntryUpdate {
     /// The leader's term.
     pub term: u64,
     /// Revision of the last accepted document.
@@ -237,9 +237,9 @@
     /// Runners that changed since the entry's version.
     pub runners: Vec<RunnerChange>,
     /// All entries that may serve.
-    pub entries: Vec<Neighbour>,
+    pub entries: Vec<PeerEntry>,
     /// Whether the table is complete; a new leader's is not at first.
-    pub settled: bool,
+    pub runner_table_complete: bool,
 }
 
 /// What is wrong with a message between daemons.
@@ -284,8 +284,8 @@
 ///
 /// ```
 /// # use yuccalink_protocol::peer::*;
-/// let bytes = encode(&Ask::Status)?;
-/// assert_eq!(decode::<Ask>(&bytes)?, Ask::Status);
+/// let bytes = encode(&LeaderRequest::Status)?;
+/// assert_eq!(decode::<LeaderRequest>(&bytes)?, LeaderRequest::Status);
 /// # Ok::<(), BadMessage>(())
 /// ```
 pub fn encode<T>(value: &T) -> Result<Vec<u8>, BadMessage>
@@ -361,16 +361,16 @@
     ) -> Result<(), BadMessage> {
         to.set_entry(self.entry.as_str());
         to.set_incarnation(self.incarnation.0);
-        to.set_callers(&*self.callers);
+        to.set_callers(&*self.caller_address);
         to.set_zone(self.zone.as_str());
-        to.set_acked(self.acked);
+        to.set_acked(self.acked_revision);
         to.set_draining(self.draining);
         to.set_term(self.term);
         to.set_table_version(self.table_version);
         to.set_leaving(self.leaving);
-        to.set_settled(self.settled);
-        let mut let_go = to.reborrow().init_let_go(count(&self.let_go));
-        for (at, name) in (0..).zip(&self.let_go) {
+        to.set_settled(self.runner_table_complete);
+        let mut let_go = to.reborrow().init_let_go(count(&self.released_runners));
+        for (at, name) in (0..).zip(&self.released_runners) {
             let_go.set(at, name.as_str());
         }
         fill_parts(to.init_owned(count(&self.owned)), &self.owned)
@@ -385,21 +385,21 @@
         Ok(Self {
             entry: name(from.get_entry()?)?,
             incarnation: Incarnation(from.get_incarnation()),
-            callers: from.get_callers()?.to_str()?.into(),
+            caller_address: from.get_callers()?.to_str()?.into(),
             zone: name(from.get_zone()?)?,
-            acked: from.get_acked(),
+            acked_revision: from.get_acked(),
             draining: from.get_draining(),
             term: from.get_term(),
             table_version: from.get_table_version(),
-            let_go,
+            released_runners: let_go,
             owned: read_parts(from.get_owned()?)?,
             leaving: from.get_leaving(),
-            settled: from.get_settled(),
+            runner_table_complete: from.get_settled(),
         })
     }
 }
 
-impl News {
+impl EntryUpdate {
     /// Writes the news into a message.
     ///
     /// # Errors
@@ -408,14 +408,14 @@
         to.set_term(self.term);
         to.set_revision(self.revision);
         to.set_table_version(self.table_version);
-        to.set_settled(self.settled);
+        to.set_settled(self.runner_table_complete);
         fill_parts(to.reborrow().init_documents(count(&self.documents)), &self.documents)?;
         fill_parts(to.reborrow().init_runners(count(&self.runners)), &self.runners)?;
         let mut entries = to.init_entries(count(&self.entries));
         for (at, entry) in (0..).zip(&self.entries) {
             let mut to = entries.reborrow().get(at);
             to.set_name(entry.name.as_str());
-            to.set_callers(&*entry.callers);
+            to.set_callers(&*entry.caller_address);
             to.set_zone(entry.zone.as_str());
             to.set_draining(entry.draining);
         }
@@ -429,9 +429,9 @@
     pub fn read(from: crate::peer_capnp::news::Reader<'_>) -> Result<Self, BadMessage> {
         let mut entries = Vec::new();
         for entry in from.get_entries()?.iter() {
-            entries.push(Neighbour {
+            entries.push(PeerEntry {
                 name: name(entry.get_name()?)?,
-                callers: entry.get_callers()?.to_str()?.into(),
+                caller_address: entry.get_callers()?.to_str()?.into(),
                 zone: name(entry.get_zone()?)?,
                 draining: entry.get_draining(),
             });
@@ -443,7 +443,7 @@
             table_version: from.get_table_version(),
             runners: read_parts(from.get_runners()?)?,
             entries,
-            settled: from.get_settled(),
+            runner_table_complete: from.get_settled(),
         })
     }
 }
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -8,7 +8,7 @@
 
 /// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It truly did not run; it is safe to send it again.
     #[serde(rename = "not run")]
     NotRun,
@@ -24,7 +24,7 @@
 /// decide before they read the body.
 pub const RAN: &str = "yuccalink-ran";
 
-impl Ran {
+impl ExecutionStatus {
     /// Value of the header [`RAN`].
     pub fn token(self) -> &'static str {
         match self {
@@ -37,7 +37,7 @@
 
 /// Kinds of problem; each has a fixed `type` and title.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum ProblemKind {
     /// The request is malformed.
     BadRequest,
     /// No such service, kind, task or path.
@@ -70,7 +70,7 @@
     OutcomeUnknown,
 }
 
-impl Kind {
+impl ProblemKind {
     /// HTTP status.
     pub fn status(self) -> u16 {
         match self {
@@ -143,7 +143,7 @@
     /// What happened here, and the remedy.
     pub detail: Box<str>,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// When to come back, in milliseconds; also sent as `Retry-After`.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
@@ -157,12 +157,12 @@
     ///
     /// ```
     /// # use yuccalink_protocol::problem::*;
-    /// let problem = Problem::new(Kind::NoRunner, Ran::NotRun, "no runner of `quotes` is known");
+    /// let problem = Problem::new(ProblemKind::NoRunner, ExecutionStatus::NotRun, "no runner of `quotes` is known");
     /// assert_eq!(problem.status, 503);
     /// assert!(serde_json::to_string(&problem)?.contains("\"ran\":\"not run\""));
     /// # Ok::<(), serde_json::Error>(())
     /// ```
-    pub fn new(kind: Kind, ran: Ran, detail: impl Into<Box<str>>) -> Self {
+    pub fn new(kind: ProblemKind, ran: ExecutionStatus, detail: impl Into<Box<str>>) -> Self {
         Self {
             kind: format!("urn:yuccalink:problem:{}", kind.slug()).into(),
             title: kind.title().into(),
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -6,7 +6,7 @@
 /// Longest accepted `Idempotency-Key`, in bytes.
 pub const KEY_MAX: usize = 255;
 /// Marks a request that one entry handed to another, which must not hand it on.
-pub const HANDED_ON: &str = "yuccalink-handed-on";
+pub const FORWARDED_BY: &str = "yuccalink-handed-on";
 /// Milliseconds that are left of a request's deadline.
 pub const DEADLINE: &str = "yuccalink-deadline-ms";
 /// The caller's key of a request that must run at most once.
@@ -38,7 +38,7 @@
 ///     path='/drafts/*'\nidempotent=true\ndeadline='2s'\n")?;
 /// assert!(kind(&doc, "POST", "/drafts/7").is_some());
 /// assert!(kind(&doc, "POST", "/drafts/7/8").is_none());
-/// # Ok::<(), yuccalink_protocol::fields::Faults>(())
+/// # Ok::<(), yuccalink_protocol::fields::ValidationErrors>(())
 /// ```
 pub fn kind<'a>(document: &'a Document, method: &str, path: &str) -> Option<&'a RequestKind> {
     document.requests.iter().find(|kind| {
--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -106,8 +106,8 @@
 
     #[test]
     fn any_bytes_are_a_message_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = peer::decode::<peer::Ask>(&bytes);
-        let _ = peer::decode::<peer::Answer>(&bytes);
+        let _ = peer::decode::<peer::LeaderRequest>(&bytes);
+        let _ = peer::decode::<peer::LeaderResponse>(&bytes);
         let _ = request::check_key(&bytes);
     }
 
--- a/crates/protocol/tests/neighbours.rs
+++ b/crates/protocol/tests/neighbours.rs
@@ -1,17 +1,22 @@
 //! Whom an entry hands requests on to while the leader changes.
 
-use yuccalink_protocol::peer::Neighbour;
+use yuccalink_protocol::peer::PeerEntry;
 use yuccalink_state::id::Name;
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
 }
 
-fn entry(text: &str, draining: bool) -> Neighbour {
-    Neighbour { name: name(text), callers: format!("{text}:80").into(), zone: name("z"), draining }
+fn entry(text: &str, draining: bool) -> PeerEntry {
+    PeerEntry {
+        name: name(text),
+        caller_address: format!("{text}:80").into(),
+        zone: name("z"),
+        draining,
+    }
 }
 
-fn names(known: &[Neighbour]) -> Vec<&str> {
+fn names(known: &[PeerEntry]) -> Vec<&str> {
     known.iter().map(|entry| entry.name.as_str()).collect()
 }
 
@@ -19,11 +24,11 @@
 #[test]
 fn entries_that_a_new_leader_has_not_heard_yet_are_still_handed_requests() {
     let former = [entry("e1", false), entry("e2", false), entry("e3", true)];
-    let at_once = Neighbour::known(vec![entry("e2", false)], &former, false);
+    let at_once = PeerEntry::known(vec![entry("e2", false)], &former, false);
     assert_eq!(names(&at_once), ["e2", "e1", "e3"]);
     assert!(at_once[2].draining, "one that is about to stop stays known as such");
-    let heard = Neighbour::known(vec![entry("e2", false), entry("e1", true)], &at_once, false);
+    let heard = PeerEntry::known(vec![entry("e2", false), entry("e1", true)], &at_once, false);
     assert!(heard[1].draining, "a newer word counts");
-    let settled = Neighbour::known(vec![entry("e2", false)], &heard, true);
+    let settled = PeerEntry::known(vec![entry("e2", false)], &heard, true);
     assert_eq!(names(&settled), ["e2"], "one that is gone is forgotten");
 }
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -5,7 +5,7 @@
 use lexopt::{Arg, Parser, ValueExt};
 use std::process::ExitCode;
 use std::time::Duration;
-use yuccalink_soak::{Settings, run};
+use yuccalink_soak::{SoakSettings, run};
 
 fn main() -> ExitCode {
     match soak() {
@@ -40,7 +40,7 @@
     let mut red = 0;
     for seed in from..from + seeds {
         let folder = tempfile::tempdir()?;
-        let settings = Settings {
+        let settings = SoakSettings {
             program: program.clone(),
             folder: folder.path().into(),
             seed,
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -51,7 +51,7 @@
                 to = location.parse::<Uri>().ok()?.authority()?.as_str().parse().ok()?;
                 continue;
             }
-            let whole = tokio::time::timeout_at(deadline, answer.whole(BODY_MAX)).await;
+            let whole = tokio::time::timeout_at(deadline, answer.collect_body(BODY_MAX)).await;
             return Some((status, whole.ok()?.ok()??.to_vec()));
         }
         None
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -18,6 +18,6 @@
 mod system;
 mod watch;
 
-pub use plan::{Closing, Fault, Plan};
-pub use run::{Settings, run};
-pub use watch::Report;
+pub use plan::{Closing, InjectedFault, Plan};
+pub use run::{SoakSettings, run};
+pub use watch::SoakReport;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -11,7 +11,7 @@
 
 /// One fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum InjectedFault {
     /// Killed, and started again after a while.
     Kill(Duration),
     /// Stands still for a while.
@@ -40,7 +40,7 @@
     /// Which process.
     pub node: usize,
     /// What.
-    pub fault: Fault,
+    pub fault: InjectedFault,
 }
 
 /// What happens at the end, right after a change was acknowledged.
@@ -101,25 +101,27 @@
             let mut node = rng.random_range(0..nodes);
             let short = Duration::from_millis(rng.random_range(300..4_000));
             let fault = match rng.random_range(0..20) {
-                0..=3 => Fault::Kill(short),
-                4..=6 => Fault::Pause(short),
-                7..=9 => Fault::Restart,
-                10..=11 => Fault::Delay(Duration::from_millis(rng.random_range(20..300)), short),
-                12..=13 => Fault::Silence(short),
-                14..=15 => Fault::OneWay(short),
-                16..=17 => Fault::Reset,
+                0..=3 => InjectedFault::Kill(short),
+                4..=6 => InjectedFault::Pause(short),
+                7..=9 => InjectedFault::Restart,
+                10..=11 => {
+                    InjectedFault::Delay(Duration::from_millis(rng.random_range(20..300)), short)
+                }
+                12..=13 => InjectedFault::Silence(short),
+                14..=15 => InjectedFault::OneWay(short),
+                16..=17 => InjectedFault::Reset,
                 18 if wiped.is_none_or(|last: Duration| at - last > WIPE_GAP) => {
                     node = rng.random_range(0..disks);
                     wiped = Some(at);
-                    Fault::Wipe(short)
+                    InjectedFault::Wipe(short)
                 }
-                18 => Fault::Reset,
-                _ => Fault::KillDisks(short),
+                18 => InjectedFault::Reset,
+                _ => InjectedFault::KillDisks(short),
             };
             // A disk that is lost must not take with it what only one other holds, so
             // no other disk is touched while its successor catches up.
             let near_wipe = wiped.is_some_and(|last| at > last && at - last < WIPE_GAP / 2);
-            let touches_disk = node < disks || matches!(fault, Fault::KillDisks(_));
+            let touches_disk = node < disks || matches!(fault, InjectedFault::KillDisks(_));
             if !near_wipe || !touches_disk {
                 steps.push(Step { at, node, fault });
             }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -2,10 +2,10 @@
 
 use crate::callers::{self, Asker};
 use crate::closing;
-use crate::plan::{Closing, Fault, Plan, Step};
+use crate::plan::{Closing, InjectedFault, Plan, Step};
 use crate::runners;
 use crate::system::System;
-use crate::watch::{Report, Watch};
+use crate::watch::{SoakReport, Watch};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 
 /// How a soak is run.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct SoakSettings {
     /// The program `yuccalinkd`.
     pub program: PathBuf,
     /// Where state and logs go; kept by the caller where something was broken.
@@ -54,13 +54,13 @@
 ///
 /// # Errors
 /// When processes cannot be started or files cannot be made.
-pub fn run(settings: &Settings) -> io::Result<Report> {
+pub fn run(settings: &SoakSettings) -> io::Result<SoakReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, soak(settings))
 }
 
-async fn soak(settings: &Settings) -> io::Result<Report> {
-    let Settings { program, folder, seed, nodes, disks, .. } = settings;
+async fn soak(settings: &SoakSettings) -> io::Result<SoakReport> {
+    let SoakSettings { program, folder, seed, nodes, disks, .. } = settings;
     let system = System::start(program, folder, *nodes, *disks).await?;
     let watch = Rc::new(RefCell::new(Watch::default()));
     let began = Instant::now();
@@ -124,45 +124,45 @@
     let Step { node, fault, .. } = step;
     let mood = system.borrow().moods[node].clone();
     let result = match fault {
-        Fault::Kill(down) => {
+        InjectedFault::Kill(down) => {
             system.borrow_mut().kill(node);
             tokio::time::sleep(down).await;
             system.borrow_mut().launch(node, false)
         }
-        Fault::Pause(span) => {
+        InjectedFault::Pause(span) => {
             let paused = system.borrow().signal(node, "-STOP");
             tokio::time::sleep(span).await;
             paused.and(system.borrow().signal(node, "-CONT"))
         }
-        Fault::Restart => restart(node, &system, &watch).await,
-        Fault::Wipe(down) => {
+        InjectedFault::Restart => restart(node, &system, &watch).await,
+        InjectedFault::Wipe(down) => {
             let wiped = system.borrow_mut().wipe(node);
             tokio::time::sleep(down).await;
             wiped.and_then(|()| system.borrow_mut().launch(node, false))
         }
-        Fault::Delay(by, span) => {
+        InjectedFault::Delay(by, span) => {
             mood.delay.set(by);
             tokio::time::sleep(span).await;
             mood.delay.set(Duration::ZERO);
             Ok(())
         }
-        Fault::Silence(span) => {
+        InjectedFault::Silence(span) => {
             mood.silent.set(true);
             tokio::time::sleep(span).await;
             mood.silent.set(false);
             Ok(())
         }
-        Fault::OneWay(span) => {
+        InjectedFault::OneWay(span) => {
             mood.one_way.set(true);
             tokio::time::sleep(span).await;
             mood.one_way.set(false);
             Ok(())
         }
-        Fault::Reset => {
+        InjectedFault::Reset => {
             mood.resets.set(mood.resets.get() + 1);
             Ok(())
         }
-        Fault::KillDisks(down) => kill_disks(down, &system).await,
+        InjectedFault::KillDisks(down) => kill_disks(down, &system).await,
     };
     if let Err(error) = result {
         watch.borrow_mut().report.broken.push(format!("the soak itself failed: {error}"));
--- a/crates/soak/src/runners.rs
+++ b/crates/soak/src/runners.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::Orders;
-use yuccalink_fakes::emulator::{Crash, EmulatedRunner, Truth};
+use yuccalink_coordination::jobs::RunnerOrders;
+use yuccalink_fakes::emulator::{Crash, EmulatedRunner, TaskBehavior};
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::TaskKey;
 use yuccalink_transport::http::{Method, Request, header};
@@ -36,13 +36,18 @@
 /// Shortest and longest time that a room stays as it is.
 const ROOM_STAYS_MS: std::ops::Range<u64> = 500..6_000;
 /// What is true of every task: its work is drawn from its key.
-fn truth(task: TaskKey, crashes: bool) -> Truth {
+fn truth(task: TaskKey, crashes: bool) -> TaskBehavior {
     let work = Duration::from_millis(100 + (task.job.0 ^ u64::from(task.index)) % 900);
     let need = Resources { millicores: 1_000, memory_mib: 100, accelerators: 0 };
     let strikes = crashes && task.index == 0 && task.job.0.is_multiple_of(CRASHING_ONE_IN);
     let after = CRASH_AFTER_MS[(task.job.0 / CRASHING_ONE_IN % 3) as usize];
     let crash = strikes.then(|| Crash::each(Duration::from_millis(after)));
-    Truth { work: if strikes { work + WORK_MORE } else { work }, need, crash, ..Truth::default() }
+    TaskBehavior {
+        run_time: if strikes { work + WORK_MORE } else { work },
+        actual_usage: need,
+        crash,
+        ..TaskBehavior::default()
+    }
 }
 
 /// How a runner's room shrinks and grows.
@@ -77,15 +82,15 @@
 ) {
     let now = || Moment(1_000_000) + began.elapsed();
     let mut room = Room::new(at, now());
-    let mut born_ms = 1_000 + at as u64;
+    let mut started_ms = 1_000 + at as u64;
     loop {
-        let runner = EmulatedRunner::new(&format!("w{at}"), "r1", born_ms, CAPACITY, now());
+        let runner = EmulatedRunner::new(&format!("w{at}"), "r1", started_ms, CAPACITY, now());
         let shrinks = crashes.then_some(&mut room);
         let Some(by) = live(at, runner, &nodes, &watch, &now, shrinks).await else { return };
         watch.borrow_mut().crashed(at, by);
         let away = Duration::from_millis(room.rng.random_range(AWAY_MS));
         tokio::time::sleep(away).await;
-        born_ms += u64::try_from(away.as_millis()).unwrap_or(u64::MAX);
+        started_ms += u64::try_from(away.as_millis()).unwrap_or(u64::MAX);
     }
 }
 
@@ -115,7 +120,7 @@
         }
         let sent = now();
         let report = runner.report(sent);
-        watch.borrow_mut().happened(at, runner.take_happened());
+        watch.borrow_mut().happened(at, runner.take_events());
         let body = serde_json::to_vec(&report).ok()?;
         let to = told.unwrap_or(nodes[node % nodes.len()]);
         let path = format!("/v1/runners/{id}/heartbeat");
@@ -123,10 +128,10 @@
         let pause = match orders {
             Some(orders) => {
                 told = orders.report_to;
-                let before = runner.taken();
-                runner.obey(now(), sent, &orders, |task| Some(truth(task, crashes)));
-                let filled = runner.taken().millicores > before.millicores;
-                if filled && !runner.has_room_for_all(now()) {
+                let before = runner.resources_in_use();
+                runner.apply_orders(now(), sent, &orders, |task| Some(truth(task, crashes)));
+                let filled = runner.resources_in_use().millicores > before.millicores;
+                if filled && !runner.is_within_capacity(now()) {
                     watch.borrow_mut().overfull(at);
                 }
                 Duration::from_millis(orders.retry_after_ms.max(50))
@@ -137,7 +142,7 @@
                 AGAIN
             }
         };
-        watch.borrow_mut().happened(at, runner.take_happened());
+        watch.borrow_mut().happened(at, runner.take_events());
         sleep(&mut runner, at, watch, pause.min(PAUSE_MAX), now).await;
     }
 }
@@ -157,7 +162,7 @@
     while Instant::now() < until {
         tokio::time::sleep(LOOK).await;
         runner.advance(now());
-        let events = runner.take_happened();
+        let events = runner.take_events();
         let ended = !events.is_empty();
         watch.borrow_mut().happened(at, events);
         if ended || runner.crashed_by().is_some() {
@@ -166,7 +171,7 @@
     }
 }
 
-async fn post(pool: &Pool, to: SocketAddr, path: &str, body: Vec<u8>) -> Option<Orders> {
+async fn post(pool: &Pool, to: SocketAddr, path: &str, body: Vec<u8>) -> Option<RunnerOrders> {
     let req = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -178,6 +183,6 @@
     if !answer.head.status.is_success() {
         return None;
     }
-    let whole = tokio::time::timeout_at(deadline, answer.whole(BODY_MAX)).await;
+    let whole = tokio::time::timeout_at(deadline, answer.collect_body(BODY_MAX)).await;
     serde_json::from_slice(&whole.ok()?.ok()??).ok()
 }
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use yuccalink_coordination::jobs::JobState;
-use yuccalink_fakes::emulator::Happened;
-use yuccalink_state::jobs::{How, JobId, TaskKey};
+use yuccalink_fakes::emulator::RunnerEvent;
+use yuccalink_state::jobs::{JobId, RunOutcome, TaskKey};
 
 /// Time after an acknowledgement from which everybody must know of it.
 const VISIBLE_AFTER: Duration = Duration::from_secs(3);
 
 /// What a soak came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct SoakReport {
     /// Promises that were broken, in the order in which it showed.
     pub broken: Vec<String>,
     /// Jobs that were acknowledged.
@@ -54,11 +54,11 @@
 const STARTS_AFTER: usize = 3;
 
 /// One runner's listed ends that are not noted yet.
-type Listed = BTreeMap<u64, (TaskKey, How)>;
+type Listed = BTreeMap<u64, (TaskKey, RunOutcome)>;
 
 #[derive(Default)]
 pub(crate) struct Watch {
-    pub(crate) report: Report,
+    pub(crate) report: SoakReport,
     tasks: BTreeMap<TaskKey, Task>,
     listed: BTreeMap<usize, Listed>,
     counts: BTreeMap<usize, u64>,
@@ -146,13 +146,13 @@
     }
 
     /// What happened on a runner.
-    pub(crate) fn happened(&mut self, runner: usize, events: Vec<Happened>) {
+    pub(crate) fn happened(&mut self, runner: usize, events: Vec<RunnerEvent>) {
         for event in events {
             match event {
-                Happened::Started { task, run, .. } => self.started(runner, task, run),
-                Happened::Ended { task, how, .. } => self.ended(runner, task, how),
-                Happened::Noted(upto) => self.noted(runner, upto),
-                Happened::Lapsed(_) => {
+                RunnerEvent::Started { task, run, .. } => self.started(runner, task, run),
+                RunnerEvent::Ended { task, outcome: how, .. } => self.ended(runner, task, how),
+                RunnerEvent::EndsAcknowledged(upto) => self.noted(runner, upto),
+                RunnerEvent::LeaseExpired(_) => {
                     self.listed.remove(&runner);
                 }
             }
@@ -182,10 +182,10 @@
         }
     }
 
-    fn ended(&mut self, runner: usize, key: TaskKey, how: How) {
+    fn ended(&mut self, runner: usize, key: TaskKey, how: RunOutcome) {
         let task = self.tasks.entry(key).or_default();
         task.running.remove(&runner);
-        task.done |= how == How::Done;
+        task.done |= how == RunOutcome::Done;
         let count = self.counts.entry(runner).or_default();
         *count += 1;
         self.listed.entry(runner).or_default().insert(*count, (key, how));
@@ -195,7 +195,7 @@
         let Some(listed) = self.listed.get_mut(&runner) else { return };
         let rest = listed.split_off(&(upto + 1));
         for (key, how) in std::mem::replace(listed, rest).into_values() {
-            if how == How::Done {
+            if how == RunOutcome::Done {
                 self.tasks.entry(key).or_default().noted = true;
             }
         }
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use std::time::Duration;
-use yuccalink_soak::{Report, Settings, run};
+use yuccalink_soak::{SoakReport, SoakSettings, run};
 
 /// The program is built by the workspace's tests; where only this package is tested
 /// it must be built before: `cargo build --bins`.
@@ -15,13 +15,13 @@
     path
 }
 
-fn soak(seed: u64, seconds: u64, nodes: usize, runners: usize) -> Report {
+fn soak(seed: u64, seconds: u64, nodes: usize, runners: usize) -> SoakReport {
     soak_with(seed, seconds, nodes, runners, false)
 }
 
-fn soak_with(seed: u64, seconds: u64, nodes: usize, runners: usize, crashes: bool) -> Report {
+fn soak_with(seed: u64, seconds: u64, nodes: usize, runners: usize, crashes: bool) -> SoakReport {
     let folder = tempfile::tempdir().expect("a folder");
-    let settings = Settings {
+    let settings = SoakSettings {
         program: program(),
         folder: folder.path().into(),
         seed,
--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -3,8 +3,8 @@
 
 use crate::document::{Digest, Document};
 use crate::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
-use crate::ledger::{Ended, RequestKey, Verdict};
-use crate::task::Ending;
+use crate::ledger::{RequestKey, RequestOutcome, Verdict};
+use crate::task::TaskOutcome;
 use crate::worker::WorkerSpec;
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
     /// Put a service document in force.
     Apply(Box<Apply>),
     /// Add tasks.
-    Submit(Submit),
+    Submit(TaskSubmission),
     /// Cancel tasks.
     Cancel(Box<[TaskId]>),
     /// Commit tasks to workers.
@@ -50,7 +50,7 @@
 
 /// See [`Command::Submit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Submit {
+pub struct TaskSubmission {
     /// Chosen by the sender; the same key again gets the same answer.
     pub key: Box<str>,
     /// The service whose document describes the kind.
@@ -138,7 +138,7 @@
     /// The attempt that ended; another one's fate is not touched.
     pub attempt: u64,
     /// How it ended.
-    pub ended: Ended,
+    pub ended: RequestOutcome,
 }
 
 /// What a command came to.
@@ -209,7 +209,7 @@
     /// It is being stopped.
     Stopping,
     /// It had ended before.
-    Ended(Ending),
+    Ended(TaskOutcome),
     /// No such task, or forgotten since it ended.
     Unknown,
 }
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -22,7 +22,8 @@
     /// The kinds of task.
     pub tasks: Box<[TaskKind]>,
     /// What the service may give up under pressure.
-    pub gives_up: GivesUp,
+    #[serde(rename = "gives-up")]
+    pub disruption_tolerance: DisruptionTolerance,
 }
 
 /// The daily peak by the wall clock of the people who cause it.
@@ -98,7 +99,7 @@
 /// What a service may give up, mildest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct GivesUp {
+pub struct DisruptionTolerance {
     /// Its tasks may be slowed.
     pub throttle: bool,
     /// Its tasks may be saved and resumed elsewhere.
@@ -115,11 +116,11 @@
     /// The kind of task called `name`.
     ///
     /// ```
-    /// # use yuccalink_state::document::{Document, GivesUp};
+    /// # use yuccalink_state::document::{Document, DisruptionTolerance};
     /// # use yuccalink_state::id::Name;
     /// # let name = Name::new("quotes")?;
     /// # let doc = Document { service: name.clone(), team: name.clone(), version: 1, peak: None,
-    /// #   requests: [].into(), tasks: [].into(), gives_up: GivesUp::default() };
+    /// #   requests: [].into(), tasks: [].into(), disruption_tolerance: DisruptionTolerance::default() };
     /// assert!(doc.task_kind(&name).is_none());
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
--- a/crates/state/src/jobs/command.rs
+++ b/crates/state/src/jobs/command.rs
@@ -1,9 +1,9 @@
 //! What may change the state of jobs, and what each change came to.
 
 use super::change::ChangeSet;
-use super::loss::Seen;
+use super::loss::LossEvidence;
 use super::spec::JobSpec;
-use super::task::{JobId, LifeKey, TaskKey};
+use super::task::{IncarnationKey, JobId, TaskKey};
 use serde::{Deserialize, Serialize};
 
 /// One change, agreed on by the voters before it is applied.
@@ -12,7 +12,7 @@
     /// Put this in force if its version is the highest so far.
     Change(Box<ChangeSet>),
     /// Add a job.
-    Submit(Box<Submit>),
+    Submit(Box<JobSubmission>),
     /// Cancel a job.
     Cancel {
         /// Which.
@@ -21,16 +21,16 @@
         at_ms: u64,
     },
     /// A runner's life is heard of for the first time.
-    Meet(Life),
+    Meet(RunnerIncarnation),
     /// Runs that have ended, or surely run no more.
     End {
         /// Each of them.
-        ends: Vec<End>,
+        ends: Vec<RunEnd>,
         /// When, in Unix milliseconds.
         at_ms: u64,
     },
     /// Runs that runners are about to be told to start.
-    Start(Vec<Start>),
+    Start(Vec<RunStart>),
     /// Jobs that ended long ago.
     Forget(Vec<JobId>),
     /// What was learnt of pairs of images, for a later leader to begin with.
@@ -54,7 +54,7 @@
         machine: Box<str>,
     },
     /// A runner whose runs were given up reports again: it was only cut off.
-    Alive(LifeKey),
+    Alive(IncarnationKey),
 }
 
 /// A wave of upkeep, as its operator ordered it.
@@ -86,7 +86,7 @@
 
 /// A job to add.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Submit {
+pub struct JobSubmission {
     /// Its number: the same number is the same job.
     pub id: JobId,
     /// Name of its queue.
@@ -103,18 +103,19 @@
 
 /// One life of a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct RunnerIncarnation {
     /// The runner's name, which its next life may carry too.
     pub id: Box<str>,
     /// When this life began, in Unix milliseconds by the runner's own clock.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
     /// Where it listens; two lives never listen there at once.
     pub address: Box<str>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum RunOutcome {
     /// It did its work.
     Done,
     /// Through its own fault or its runner's.
@@ -132,35 +133,39 @@
     /// It was never started, or its runner left as it had said.
     Gone,
     /// Its runner's life is over, though it did not say that it leaves.
-    Crashed(Seen),
+    Crashed(LossEvidence),
     /// Its lease has surely ended, and nothing was heard of its runner.
-    Silent(Seen),
+    Silent(LossEvidence),
 }
 
 /// The end of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct RunEnd {
     /// Whose run.
     pub task: TaskKey,
     /// Which run.
     pub run: u32,
     /// Where.
-    pub life: LifeKey,
+    #[serde(rename = "life")]
+    pub incarnation: IncarnationKey,
     /// How.
-    pub how: How,
+    #[serde(rename = "how")]
+    pub outcome: RunOutcome,
     /// The newest checkpoint, empty for none.
-    pub saved: Box<str>,
+    #[serde(rename = "saved")]
+    pub checkpoint: Box<str>,
 }
 
 /// A run to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct RunStart {
     /// Whose run.
     pub task: TaskKey,
     /// Which run.
     pub run: u32,
     /// Where.
-    pub life: LifeKey,
+    #[serde(rename = "life")]
+    pub incarnation: IncarnationKey,
 }
 
 /// What a command came to.
@@ -176,9 +181,9 @@
     /// Whether a job of that number was there.
     Cancelled(bool),
     /// The key of the life.
-    Met(LifeKey),
+    Met(IncarnationKey),
     /// The starts that hold, of those asked for.
-    Started(Vec<Start>),
+    Started(Vec<RunStart>),
     /// Whether the change is in force now; otherwise a higher version is.
     Changed(bool),
 }
--- a/crates/state/src/jobs/loss.rs
+++ b/crates/state/src/jobs/loss.rs
@@ -4,7 +4,7 @@
 //! cause, or none. A task is given up once it has lost so many runners that chance does not
 //! explain it; until then it is a suspect.
 
-use super::task::{JobId, LifeKey, TaskKey};
+use super::task::{IncarnationKey, JobId, TaskKey};
 use derive_more::Display;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
 
 /// What was seen of a run before its runner was lost.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Seen {
+pub enum LossEvidence {
     /// Nothing: its runner has never reported to the leader at work.
     #[display("nothing")]
     Nothing,
@@ -40,7 +40,7 @@
 
 /// What became of a runner that was lost.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum RunnerFate {
     /// Nothing was heard of it since: it may be cut off.
     #[display("unknown")]
     Unknown,
@@ -55,11 +55,13 @@
     /// Which run.
     pub run: u32,
     /// Where.
-    pub life: LifeKey,
+    #[serde(rename = "life")]
+    pub incarnation: IncarnationKey,
     /// What was seen of it.
-    pub seen: Seen,
+    #[serde(rename = "seen")]
+    pub evidence: LossEvidence,
     /// What became of the runner.
-    pub fate: Fate,
+    pub fate: RunnerFate,
     /// When it was given up, in Unix milliseconds.
     pub at_ms: u64,
 }
@@ -130,8 +132,9 @@
     /// assert_eq!(Losses::default().crashes(task).all, 0);
     /// ```
     pub fn crashes(&self, task: TaskKey) -> Crashes {
-        let crashed = self.of(task).iter().filter(|loss| loss.fate == Fate::Crashed);
-        let at_start = crashed.clone().filter(|loss| loss.seen == Seen::Ordered).count();
+        let crashed = self.of(task).iter().filter(|loss| loss.fate == RunnerFate::Crashed);
+        let at_start =
+            crashed.clone().filter(|loss| loss.evidence == LossEvidence::Ordered).count();
         Crashes { all: crashed.count(), at_start }
     }
 
@@ -139,48 +142,52 @@
     /// started again.
     pub(crate) fn are_too_many(&self, task: TaskKey, last_run: u32) -> bool {
         let losses = self.of(task);
-        let third = losses.iter().filter(|loss| loss.fate == Fate::Crashed).nth(CRASHES_BORNE - 1);
+        let third =
+            losses.iter().filter(|loss| loss.fate == RunnerFate::Crashed).nth(CRASHES_BORNE - 1);
         self.crashes(task).reach_bound_with(0)
             || losses.len() >= LOSSES_MAX
             || third.is_some_and(|third| last_run >= third.run + RUNS_AFTER_MAX)
     }
 
     /// Whether it is not known of a life with losses whether it crashed.
-    pub fn has_unknown(&self, life: LifeKey) -> bool {
+    pub fn has_unknown(&self, incarnation: IncarnationKey) -> bool {
         let mut losses = self.by_task.values().flatten();
-        losses.any(|loss| loss.life == life && loss.fate == Fate::Unknown)
+        losses.any(|loss| loss.incarnation == incarnation && loss.fate == RunnerFate::Unknown)
     }
 
     /// Lives of which it is not known whether they crashed.
-    pub fn unknown(&self) -> BTreeSet<LifeKey> {
+    pub fn unknown(&self) -> BTreeSet<IncarnationKey> {
         let losses = self.by_task.values().flatten();
-        losses.filter(|loss| loss.fate == Fate::Unknown).map(|loss| loss.life).collect()
+        losses
+            .filter(|loss| loss.fate == RunnerFate::Unknown)
+            .map(|loss| loss.incarnation)
+            .collect()
     }
 
     /// Jobs with a runner of which it is not known whether it crashed.
     pub fn open_jobs(&self) -> BTreeSet<JobId> {
-        let open = |losses: &[Loss]| losses.iter().any(|loss| loss.fate == Fate::Unknown);
+        let open = |losses: &[Loss]| losses.iter().any(|loss| loss.fate == RunnerFate::Unknown);
         self.tasks().filter(|(_, losses)| open(losses)).map(|(task, _)| task.job).collect()
     }
 
     /// A run ended with its runner.
     pub(crate) fn add(&mut self, task: TaskKey, loss: Loss) {
-        match loss.seen {
+        match loss.evidence {
             // It has worked for long enough to clear what was suspected before.
-            Seen::Proven => self.remove(task),
-            Seen::Nothing | Seen::Ordered | Seen::Working => {
+            LossEvidence::Proven => self.remove(task),
+            LossEvidence::Nothing | LossEvidence::Ordered | LossEvidence::Working => {
                 self.by_task.entry(task).or_default().push(loss);
             }
         }
     }
 
     /// These lives are over. Names the tasks that lost them.
-    pub(crate) fn crashed(&mut self, lives: &BTreeSet<LifeKey>) -> Vec<TaskKey> {
+    pub(crate) fn crashed(&mut self, incarnations: &BTreeSet<IncarnationKey>) -> Vec<TaskKey> {
         let mut tasks = Vec::new();
         for (task, losses) in &mut self.by_task {
             for loss in losses {
-                if loss.fate == Fate::Unknown && lives.contains(&loss.life) {
-                    loss.fate = Fate::Crashed;
+                if loss.fate == RunnerFate::Unknown && incarnations.contains(&loss.incarnation) {
+                    loss.fate = RunnerFate::Crashed;
                     tasks.push(*task);
                 }
             }
@@ -189,9 +196,10 @@
     }
 
     /// A life was only cut off.
-    pub(crate) fn alive(&mut self, life: LifeKey) {
+    pub(crate) fn alive(&mut self, incarnation: IncarnationKey) {
         for losses in self.by_task.values_mut() {
-            losses.retain(|loss| loss.life != life || loss.fate != Fate::Unknown);
+            losses
+                .retain(|loss| loss.incarnation != incarnation || loss.fate != RunnerFate::Unknown);
         }
         self.by_task.retain(|_, losses| !losses.is_empty());
     }
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -46,7 +46,8 @@
     /// The team's guess of one task's time, in milliseconds; often far off.
     pub estimate_ms: u64,
     /// Steps whose tasks must all be done first.
-    pub after: Vec<u16>,
+    #[serde(rename = "after")]
+    pub depends_on: Vec<u16>,
     /// Resumes from checkpoints.
     pub checkpointing: bool,
     /// All tasks run together or not at all.
@@ -66,7 +67,8 @@
     /// What the tasks run; tasks of one image behave alike.
     pub image: Option<Box<str>>,
     /// Bound on the tail of the task's own response times in milliseconds; 0 for none.
-    pub target_ms: u64,
+    #[serde(rename = "target-ms")]
+    pub tail_bound_ms: u64,
     /// Uses the processors that others leave; its processors are not committed.
     pub opportunistic: bool,
     /// Tasks that the system itself may take away at once; none where unset.
@@ -117,7 +119,7 @@
             if step.count == 0 || step.count > TASKS_MAX {
                 return Err(BadJob::Tasks(at, step.count));
             }
-            if let Some(wrong) = step.after.iter().find(|after| usize::from(**after) >= at) {
+            if let Some(wrong) = step.depends_on.iter().find(|after| usize::from(**after) >= at) {
                 return Err(BadJob::Order(at, *wrong));
             }
         }
--- a/crates/state/src/jobs/table.rs
+++ b/crates/state/src/jobs/table.rs
@@ -1,10 +1,13 @@
 //! The table of jobs and runners' lives.
 
 use super::change::ChangeSet;
-use super::command::{End, How, JobCommand, JobOutcome, Life, PairWeight, Start, Submit};
-use super::loss::{self, Fate, Loss, Losses, Seen};
+use super::command::{
+    JobCommand, JobOutcome, JobSubmission, PairWeight, RunEnd, RunOutcome, RunStart,
+    RunnerIncarnation,
+};
+use super::loss::{self, Loss, LossEvidence, Losses, RunnerFate};
 use super::spec::{JobSpec, StepSpec};
-use super::task::{Hold, JobId, LifeKey, Task, TaskKey};
+use super::task::{IncarnationKey, JobId, RunAssignment, Task, TaskKey};
 use super::wave::WaveState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,32 +72,34 @@
 
 /// All jobs, the change set in force, and the lives of runners.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Jobs {
-    change: Option<Box<ChangeSet>>,
+pub struct CellState {
+    #[serde(rename = "change")]
+    change_set: Option<Box<ChangeSet>>,
     jobs: BTreeMap<JobId, Job>,
-    lives: Vec<Life>,
+    #[serde(rename = "lives")]
+    incarnations: Vec<RunnerIncarnation>,
     learnt: Vec<PairWeight>,
     waves: BTreeMap<u64, WaveState>,
     #[serde(skip)]
-    held: Vec<BTreeMap<TaskKey, u32>>,
+    assigned_runs: Vec<BTreeMap<TaskKey, u32>>,
     /// Written last, so that states of earlier releases can be read.
     #[serde(deserialize_with = "loss::or_none")]
     losses: Losses,
 }
 
-impl Jobs {
+impl CellState {
     /// An empty table.
     ///
     /// ```
-    /// assert!(yuccalink_state::jobs::Jobs::new().change().is_none());
+    /// assert!(yuccalink_state::jobs::CellState::new().change_set().is_none());
     /// ```
     pub fn new() -> Self {
         Self::default()
     }
 
     /// The change set in force.
-    pub fn change(&self) -> Option<&ChangeSet> {
-        self.change.as_deref()
+    pub fn change_set(&self) -> Option<&ChangeSet> {
+        self.change_set.as_deref()
     }
 
     /// The job with this number.
@@ -124,18 +129,25 @@
     }
 
     /// Lives of runners, oldest first.
-    pub fn lives(&self) -> impl Iterator<Item = (LifeKey, &Life)> {
-        self.lives.iter().enumerate().map(|(at, life)| (life_key(at), life))
+    pub fn incarnations(&self) -> impl Iterator<Item = (IncarnationKey, &RunnerIncarnation)> {
+        self.incarnations
+            .iter()
+            .enumerate()
+            .map(|(at, incarnation)| (incarnation_key(at), incarnation))
     }
 
     /// A life, if there is one with this key.
-    pub fn life(&self, key: LifeKey) -> Option<&Life> {
-        self.lives.get(key.0 as usize)
+    pub fn incarnation(&self, key: IncarnationKey) -> Option<&RunnerIncarnation> {
+        self.incarnations.get(key.0 as usize)
     }
 
     /// Runs that may be running in a life.
-    pub fn held(&self, key: LifeKey) -> impl Iterator<Item = (TaskKey, u32)> {
-        self.held.get(key.0 as usize).into_iter().flatten().map(|(task, run)| (*task, *run))
+    pub fn assigned_runs(&self, key: IncarnationKey) -> impl Iterator<Item = (TaskKey, u32)> {
+        self.assigned_runs
+            .get(key.0 as usize)
+            .into_iter()
+            .flatten()
+            .map(|(task, run)| (*task, *run))
     }
 
     /// Runs that ended with their runners.
@@ -146,32 +158,32 @@
     /// Whether a task has lost runners too often to be started again.
     ///
     /// ```
-    /// use yuccalink_state::jobs::{JobId, Jobs, TaskKey};
+    /// use yuccalink_state::jobs::{JobId, CellState, TaskKey};
     /// let task = TaskKey { job: JobId(1), occurrence: 0, step: 0, index: 0 };
-    /// assert!(!Jobs::new().lost_too_often(task));
+    /// assert!(!CellState::new().exceeds_loss_limit(task));
     /// ```
-    pub fn lost_too_often(&self, key: TaskKey) -> bool {
+    pub fn exceeds_loss_limit(&self, key: TaskKey) -> bool {
         let last_run = self.task(key).map_or(0, |task| task.last_run);
         self.losses.are_too_many(key, last_run)
     }
 
     /// Whether a run may be running in a life.
-    pub fn holds(&self, key: LifeKey, task: TaskKey, run: u32) -> bool {
-        self.held.get(key.0 as usize).is_some_and(|held| held.get(&task) == Some(&run))
+    pub fn is_assigned(&self, key: IncarnationKey, task: TaskKey, run: u32) -> bool {
+        self.assigned_runs.get(key.0 as usize).is_some_and(|held| held.get(&task) == Some(&run))
     }
 
     /// Makes the change that `command` describes and says what it came to.
     ///
     /// ```
-    /// use yuccalink_state::jobs::{JobCommand, JobOutcome, Jobs};
-    /// assert_eq!(Jobs::new().apply(JobCommand::Forget(vec![])), JobOutcome::Done);
+    /// use yuccalink_state::jobs::{JobCommand, JobOutcome, CellState};
+    /// assert_eq!(CellState::new().apply(JobCommand::Forget(vec![])), JobOutcome::Done);
     /// ```
     pub fn apply(&mut self, command: JobCommand) -> JobOutcome {
         match command {
             JobCommand::Change(change) => JobOutcome::Changed(self.put(change)),
             JobCommand::Submit(submit) => JobOutcome::Accepted { new: self.submit(*submit) },
             JobCommand::Cancel { id, at_ms } => JobOutcome::Cancelled(self.cancel(id, at_ms)),
-            JobCommand::Meet(life) => JobOutcome::Met(self.meet(life)),
+            JobCommand::Meet(incarnation) => JobOutcome::Met(self.meet(incarnation)),
             JobCommand::End { ends, at_ms } => {
                 for end in ends {
                     self.end(&end, at_ms);
@@ -207,8 +219,8 @@
                 }
                 JobOutcome::Done
             }
-            JobCommand::Alive(life) => {
-                self.losses.alive(life);
+            JobCommand::Alive(incarnation) => {
+                self.losses.alive(incarnation);
                 JobOutcome::Done
             }
         }
@@ -231,28 +243,28 @@
 
     /// Rebuilds what is derived and so not written to snapshots.
     pub(crate) fn reindex(&mut self) {
-        self.held = vec![BTreeMap::new(); self.lives.len()];
+        self.assigned_runs = vec![BTreeMap::new(); self.incarnations.len()];
         let mut found = Vec::new();
         for (id, job) in &self.jobs {
-            collect_holds(*id, job, &mut found);
+            collect_assignments(*id, job, &mut found);
         }
-        for (task, hold) in found {
-            self.held[hold.life.0 as usize].insert(task, hold.run);
+        for (task, assignment) in found {
+            self.assigned_runs[assignment.incarnation.0 as usize].insert(task, assignment.run);
         }
     }
 
     fn put(&mut self, change: Box<ChangeSet>) -> bool {
         // An equal version is a resend, or another text that came too late: the
         // first one committed stays, whoever asks.
-        if self.change.as_ref().is_some_and(|current| current.version >= change.version) {
+        if self.change_set.as_ref().is_some_and(|current| current.version >= change.version) {
             return false;
         }
-        self.change = Some(change);
+        self.change_set = Some(change);
         true
     }
 
-    fn submit(&mut self, submit: Submit) -> bool {
-        let Submit { id, queue, pool, attempts, at_ms, spec } = submit;
+    fn submit(&mut self, submit: JobSubmission) -> bool {
+        let JobSubmission { id, queue, pool, attempts, at_ms, spec } = submit;
         if self.jobs.contains_key(&id) {
             return false;
         }
@@ -284,34 +296,37 @@
         true
     }
 
-    fn meet(&mut self, life: Life) -> LifeKey {
-        let same = |known: &Life| known.id == life.id && known.born_ms == life.born_ms;
-        if let Some(at) = self.lives.iter().position(same) {
-            return life_key(at);
+    fn meet(&mut self, incarnation: RunnerIncarnation) -> IncarnationKey {
+        let same = |known: &RunnerIncarnation| {
+            known.id == incarnation.id && known.started_ms == incarnation.started_ms
+        };
+        if let Some(at) = self.incarnations.iter().position(same) {
+            return incarnation_key(at);
         }
-        let over = self.ended_by(&life);
+        let over = self.ended_by(&incarnation);
         for task in self.losses.crashed(&over) {
             self.give_up(task);
         }
-        self.lives.push(life);
-        self.held.push(BTreeMap::new());
-        life_key(self.lives.len() - 1)
+        self.incarnations.push(incarnation);
+        self.assigned_runs.push(BTreeMap::new());
+        incarnation_key(self.incarnations.len() - 1)
     }
 
     /// Lives with runs that were given up and that are surely over now: an older one of the
     /// same name, or at the same address.
-    fn ended_by(&self, newer: &Life) -> BTreeSet<LifeKey> {
-        let over = |life: &Life| {
-            life.born_ms < newer.born_ms && (life.id == newer.id || life.address == newer.address)
+    fn ended_by(&self, newer: &RunnerIncarnation) -> BTreeSet<IncarnationKey> {
+        let over = |incarnation: &RunnerIncarnation| {
+            incarnation.started_ms < newer.started_ms
+                && (incarnation.id == newer.id || incarnation.address == newer.address)
         };
-        let mut lives = self.losses.unknown();
-        lives.retain(|key| self.life(*key).is_some_and(over));
-        lives
+        let mut incarnations = self.losses.unknown();
+        incarnations.retain(|key| self.incarnation(*key).is_some_and(over));
+        incarnations
     }
 
     /// Fails the job of a task that has lost too many runners.
     fn give_up(&mut self, task: TaskKey) {
-        if !self.lost_too_often(task) {
+        if !self.exceeds_loss_limit(task) {
             return;
         }
         let at_ms = self.losses.of(task).last().map_or(0, |loss| loss.at_ms);
@@ -321,9 +336,9 @@
         }
     }
 
-    fn start(&mut self, start: Start) -> bool {
-        let Start { task: key, run, life } = start;
-        if self.held.len() <= life.0 as usize {
+    fn start(&mut self, start: RunStart) -> bool {
+        let RunStart { task: key, run, incarnation } = start;
+        if self.assigned_runs.len() <= incarnation.0 as usize {
             return false;
         }
         let Some(job) = self.jobs.get_mut(&key.job) else { return false };
@@ -341,45 +356,48 @@
             job.share_checkpoint(key);
         }
         let Some(task) = job.task_mut(key) else { return false };
-        let twice_here = task.holds.iter().any(|hold| hold.life == life);
-        if task.done || run <= task.last_run || task.holds.len() >= copies || twice_here {
+        let twice_here =
+            task.assignments.iter().any(|assignment| assignment.incarnation == incarnation);
+        if task.done || run <= task.last_run || task.assignments.len() >= copies || twice_here {
             return false;
         }
         task.last_run = run;
-        task.holds.push(Hold { run, life });
+        task.assignments.push(RunAssignment { run, incarnation });
         job.begun = true;
-        self.held[life.0 as usize].insert(key, run);
+        self.assigned_runs[incarnation.0 as usize].insert(key, run);
         true
     }
 
-    fn end(&mut self, end: &End, at_ms: u64) {
+    fn end(&mut self, end: &RunEnd, at_ms: u64) {
         let Some(job) = self.jobs.get_mut(&end.task.job) else { return };
         let Some(spec) = job.spec.steps.get(usize::from(end.task.step)) else { return };
         let (lasts, gang) = (spec.long_running, spec.gang);
         let attempts = job.attempts;
         let Some(task) = job.task_mut(end.task) else { return };
-        let ended = Hold { run: end.run, life: end.life };
-        let Some(at) = task.holds.iter().position(|hold| *hold == ended) else { return };
-        task.holds.swap_remove(at);
-        if !end.saved.is_empty() {
-            task.saved = end.saved.clone();
+        let ended = RunAssignment { run: end.run, incarnation: end.incarnation };
+        let Some(at) = task.assignments.iter().position(|assignment| *assignment == ended) else {
+            return;
+        };
+        task.assignments.swap_remove(at);
+        if !end.checkpoint.is_empty() {
+            task.checkpoint = end.checkpoint.clone();
         }
         let mut failed = false;
-        if end.how == How::Failed {
+        if end.outcome == RunOutcome::Failed {
             task.failures += 1;
-            if !task.failed_on.contains(&end.life) {
-                task.failed_on.push(end.life);
+            if !task.failed_on.contains(&end.incarnation) {
+                task.failed_on.push(end.incarnation);
             }
             let failures = if gang { job.failures_of_step(end.task) } else { task.failures };
             failed = !lasts && failures >= attempts;
         }
-        if let Some(held) = self.held.get_mut(end.life.0 as usize) {
+        if let Some(held) = self.assigned_runs.get_mut(end.incarnation.0 as usize) {
             held.remove(&end.task);
         }
         if job.phase != JobPhase::Active {
             return;
         }
-        if end.how == How::Done && !lasts {
+        if end.outcome == RunOutcome::Done && !lasts {
             job.mark_done(end.task, gang, at_ms);
             self.losses.remove(end.task);
         } else if failed {
@@ -394,7 +412,7 @@
     fn forget(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let mut found = Vec::new();
-        collect_holds(id, job, &mut found);
+        collect_assignments(id, job, &mut found);
         if job.phase != JobPhase::Active && found.is_empty() {
             self.jobs.remove(&id);
             self.losses.remove_job(id);
@@ -408,10 +426,11 @@
     }
 
     /// Lives that may still run something.
-    pub fn lives_with_holds(&self) -> BTreeSet<LifeKey> {
-        let any =
-            |(at, held): (usize, &BTreeMap<TaskKey, u32>)| (!held.is_empty()).then(|| life_key(at));
-        self.held.iter().enumerate().filter_map(any).collect()
+    pub fn incarnations_with_runs(&self) -> BTreeSet<IncarnationKey> {
+        let any = |(at, held): (usize, &BTreeMap<TaskKey, u32>)| {
+            (!held.is_empty()).then(|| incarnation_key(at))
+        };
+        self.assigned_runs.iter().enumerate().filter_map(any).collect()
     }
 }
 
@@ -437,12 +456,12 @@
     /// ```
     /// use yuccalink_state::jobs::*;
     /// let one = StepSpec { count: 1, ..StepSpec::default() };
-    /// let two = StepSpec { count: 1, after: vec![0], ..StepSpec::default() };
+    /// let two = StepSpec { count: 1, depends_on: vec![0], ..StepSpec::default() };
     /// let spec = JobSpec { steps: vec![one, two], ..JobSpec::default() };
-    /// let submit = Submit {
+    /// let submit = JobSubmission {
     ///     id: JobId(1), queue: "q".into(), pool: "p".into(), attempts: 2, at_ms: 0, spec,
     /// };
-    /// let mut jobs = Jobs::new();
+    /// let mut jobs = CellState::new();
     /// jobs.apply(JobCommand::Submit(Box::new(submit)));
     /// let job = jobs.job(JobId(1)).unwrap();
     /// assert!(job.may_run(0, 0) && !job.may_run(0, 1));
@@ -450,10 +469,10 @@
     pub fn may_run(&self, occurrence: u32, step: u16) -> bool {
         let Some(spec) = self.spec.steps.get(usize::from(step)) else { return false };
         let Some(found) = self.occurrences.get(occurrence as usize) else {
-            return spec.after.is_empty();
+            return spec.depends_on.is_empty();
         };
         let done = |after: &u16| found.steps.get(usize::from(*after)).is_some_and(|s| s.left == 0);
-        spec.after.iter().all(done)
+        spec.depends_on.iter().all(done)
     }
 
     /// A gang fails as one, whichever member did.
@@ -470,10 +489,10 @@
         else {
             return;
         };
-        let saved = step.tasks.iter().find(|task| !task.saved.is_empty());
-        let Some(saved) = saved.map(|task| task.saved.clone()) else { return };
+        let saved = step.tasks.iter().find(|task| !task.checkpoint.is_empty());
+        let Some(saved) = saved.map(|task| task.checkpoint.clone()) else { return };
         for task in &mut step.tasks {
-            task.saved.clone_from(&saved);
+            task.checkpoint.clone_from(&saved);
         }
     }
 
@@ -503,23 +522,23 @@
 }
 
 /// What an end says of its runner.
-fn loss_of(end: &End, at_ms: u64) -> Option<Loss> {
-    let (seen, fate): (Seen, Fate) = match end.how {
-        How::Crashed(seen) => (seen, Fate::Crashed),
-        How::Silent(seen) => (seen, Fate::Unknown),
-        How::Done
-        | How::Failed
-        | How::Stopped
-        | How::Lapsed
-        | How::Broken
-        | How::Alone
-        | How::Refused
-        | How::Gone => return None,
+fn loss_of(end: &RunEnd, at_ms: u64) -> Option<Loss> {
+    let (seen, fate): (LossEvidence, RunnerFate) = match end.outcome {
+        RunOutcome::Crashed(seen) => (seen, RunnerFate::Crashed),
+        RunOutcome::Silent(seen) => (seen, RunnerFate::Unknown),
+        RunOutcome::Done
+        | RunOutcome::Failed
+        | RunOutcome::Stopped
+        | RunOutcome::Lapsed
+        | RunOutcome::Broken
+        | RunOutcome::Alone
+        | RunOutcome::Refused
+        | RunOutcome::Gone => return None,
     };
-    Some(Loss { run: end.run, life: end.life, seen, fate, at_ms })
+    Some(Loss { run: end.run, incarnation: end.incarnation, evidence: seen, fate, at_ms })
 }
 
-fn collect_holds(id: JobId, job: &Job, into: &mut Vec<(TaskKey, Hold)>) {
+fn collect_assignments(id: JobId, job: &Job, into: &mut Vec<(TaskKey, RunAssignment)>) {
     for (k, occurrence) in job.occurrences.iter().enumerate() {
         for (s, step) in occurrence.steps.iter().enumerate() {
             for (i, task) in step.tasks.iter().enumerate() {
@@ -529,12 +548,12 @@
                     step: u16::try_from(s).unwrap_or(u16::MAX),
                     index: u16::try_from(i).unwrap_or(u16::MAX),
                 };
-                into.extend(task.holds.iter().map(|hold| (key, *hold)));
+                into.extend(task.assignments.iter().map(|assignment| (key, *assignment)));
             }
         }
     }
 }
 
-fn life_key(at: usize) -> LifeKey {
-    LifeKey(u32::try_from(at).unwrap_or(u32::MAX))
+fn incarnation_key(at: usize) -> IncarnationKey {
+    IncarnationKey(u32::try_from(at).unwrap_or(u32::MAX))
 }
--- a/crates/state/src/jobs/task.rs
+++ b/crates/state/src/jobs/task.rs
@@ -73,15 +73,16 @@
 )]
 #[display("life {_0}")]
 #[serde(transparent)]
-pub struct LifeKey(pub u32);
+pub struct IncarnationKey(pub u32);
 
 /// A run of a task that may be running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct RunAssignment {
     /// Number of the run.
     pub run: u32,
     /// Where it may be running.
-    pub life: LifeKey,
+    #[serde(rename = "life")]
+    pub incarnation: IncarnationKey,
 }
 
 /// What became of one task.
@@ -94,9 +95,11 @@
     /// Runs that failed.
     pub failures: u32,
     /// The newest checkpoint, empty for none.
-    pub saved: Box<str>,
+    #[serde(rename = "saved")]
+    pub checkpoint: Box<str>,
     /// Runs that may be running: one, or two of a speculative step.
-    pub holds: Vec<Hold>,
+    #[serde(rename = "holds")]
+    pub assignments: Vec<RunAssignment>,
     /// Where it failed before; another try goes elsewhere.
-    pub failed_on: Vec<LifeKey>,
+    pub failed_on: Vec<IncarnationKey>,
 }
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -36,7 +36,7 @@
 
 /// A whole answer, kept to be given again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
@@ -54,7 +54,7 @@
         until_ms: u64,
     },
     /// It ran and this was its answer.
-    Answered(Answer),
+    Answered(StoredResponse),
     /// It ran, but its answer was too large to keep.
     AnsweredTooLarge,
     /// It may have run; its answer is lost.
@@ -69,7 +69,7 @@
     /// The same request is under way.
     Running,
     /// It ran; its answer again.
-    Answered(Answer),
+    Answered(StoredResponse),
     /// It ran; its answer was too large to keep.
     AnsweredTooLarge,
     /// It may have run.
@@ -82,9 +82,9 @@
 
 /// How a request that was let go ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// With a whole answer.
-    Answered(Answer),
+    Answered(StoredResponse),
     /// With an answer over [`ANSWER_MAX`].
     AnsweredTooLarge,
     /// It surely did not run; its key is free again.
@@ -181,7 +181,7 @@
     }
 
     /// Records how a request ended; only the first ending counts.
-    pub(crate) fn finish(&mut self, key: &RequestKey, attempt: u64, ended: Ended) {
+    pub(crate) fn finish(&mut self, key: &RequestKey, attempt: u64, ended: RequestOutcome) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         // A resend through another entry that came to nothing says "not run" of its
         // own attempt only: freeing the key of the one under way would let it run twice.
@@ -190,16 +190,18 @@
         }
         let before = size(key, &entry.fate);
         match ended {
-            Ended::NotRun => {
+            RequestOutcome::NotRun => {
                 self.entries.remove(key);
                 self.bytes -= before;
                 return;
             }
-            Ended::Answered(answer) if answer.body.len() <= ANSWER_MAX => {
+            RequestOutcome::Answered(answer) if answer.body.len() <= ANSWER_MAX => {
                 entry.fate = Fate::Answered(answer);
             }
-            Ended::Answered(_) | Ended::AnsweredTooLarge => entry.fate = Fate::AnsweredTooLarge,
-            Ended::Unknown => entry.fate = Fate::Unknown,
+            RequestOutcome::Answered(_) | RequestOutcome::AnsweredTooLarge => {
+                entry.fate = Fate::AnsweredTooLarge
+            }
+            RequestOutcome::Unknown => entry.fate = Fate::Unknown,
         }
         self.bytes = self.bytes - before + size(key, &entry.fate);
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -22,6 +22,6 @@
 pub use command::{Command, Outcome};
 pub use document::Document;
 pub use error::{Error, Result};
-pub use machine::Machine;
+pub use machine::StateMachine;
 pub use resources::Resources;
 pub use store::Store;
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -44,7 +44,7 @@
 
 /// What a replica must remember of elections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Hard {
+pub struct TermAndVote {
     /// The newest term seen.
     pub term: u64,
     /// Whom it voted for in that term, 0 for nobody.
@@ -53,9 +53,9 @@
 
 /// One write, made durable by one sync.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Frame {
+pub struct LogFrame {
     /// Replaces the one before.
-    pub hard: Hard,
+    pub hard: TermAndVote,
     /// Index of the first record; from it on the log is replaced.
     pub first: u64,
     /// Terms and contents, possibly none.
@@ -64,7 +64,7 @@
 
 /// Counts since the log was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct LogCounters {
     /// Group commits, each with one sync of the file.
     pub syncs: u64,
     /// Records appended.
@@ -81,7 +81,7 @@
     path: PathBuf,
     next_segment: u64,
     last: u64,
-    counts: Counts,
+    counts: LogCounters,
 }
 
 /// What was found in the files of a log.
@@ -92,7 +92,7 @@
     /// All records that follow the one asked for, in order.
     pub records: Vec<Record>,
     /// The newest hard state.
-    pub hard: Hard,
+    pub hard: TermAndVote,
 }
 
 /// A file and the index that was next when it was made.
@@ -111,11 +111,11 @@
     /// damaged before intact ones; nothing is changed then.
     ///
     /// ```
-    /// # use yuccalink_state::log::{Frame, Hard, Log};
+    /// # use yuccalink_state::log::{LogFrame, TermAndVote, Log};
     /// let folder = tempfile::tempdir()?;
     /// let mut log = Log::open(folder.path(), 0, 0)?.log;
-    /// let hard = Hard { term: 1, vote: 7 };
-    /// log.append(&Frame { hard, first: 1, records: vec![(1, (*b"first").into())] })?;
+    /// let hard = TermAndVote { term: 1, vote: 7 };
+    /// log.append(&LogFrame { hard, first: 1, records: vec![(1, (*b"first").into())] })?;
     /// drop(log);
     /// let opened = Log::open(folder.path(), 0, 0)?;
     /// assert_eq!((&*opened.records[0].bytes, opened.hard), (b"first".as_slice(), hard));
@@ -135,7 +135,7 @@
             Some(segment) => open_tail(segment, cut)?,
             None => create_segment(folder, next_segment, last + 1)?,
         };
-        let counts = Counts::default();
+        let counts = LogCounters::default();
         let log = Self { folder: folder.into(), file, path, next_segment, last, counts };
         Ok(Opened { log, records, hard: replay.hard })
     }
@@ -146,7 +146,7 @@
     }
 
     /// Counts since opening.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> LogCounters {
         self.counts
     }
 
@@ -155,7 +155,7 @@
     /// # Errors
     /// [`Error::TooLarge`] changes nothing. After [`Error::Io`] the log must be
     /// opened anew: what reached the disk is not known.
-    pub fn append(&mut self, frame: &Frame) -> Result<()> {
+    pub fn append(&mut self, frame: &LogFrame) -> Result<()> {
         let bytes = encode(frame)?;
         self.file.write_all(&bytes).map_err(|e| Error::io("append to", &self.path, e))?;
         self.file.sync_data().map_err(|e| Error::io("sync", &self.path, e))?;
@@ -205,12 +205,12 @@
     records: VecDeque<Record>,
     next: Option<u64>,
     after: u64,
-    hard: Hard,
+    hard: TermAndVote,
 }
 
 impl Replay {
     fn new(after: u64) -> Self {
-        Self { records: VecDeque::new(), next: None, after, hard: Hard::default() }
+        Self { records: VecDeque::new(), next: None, after, hard: TermAndVote::default() }
     }
 
     /// A segment begins where the one before it ended, unless one is missing.
@@ -223,7 +223,7 @@
         }
     }
 
-    fn take(&mut self, frame: Frame) -> Result<()> {
+    fn take(&mut self, frame: LogFrame) -> Result<()> {
         let next = self.next.unwrap_or(frame.first);
         if frame.first > next {
             // Only a snapshot that was taken over from the leader may lie between.
@@ -264,7 +264,7 @@
     }
 }
 
-fn encode(frame: &Frame) -> Result<Vec<u8>> {
+fn encode(frame: &LogFrame) -> Result<Vec<u8>> {
     let size = frame.records.iter().map(|(_, bytes)| bytes.len() + RECORD_HEAD).sum::<usize>();
     let mut body = Vec::with_capacity(size + FRAME_FIXED);
     body.extend_from_slice(&frame.hard.term.to_le_bytes());
@@ -391,7 +391,7 @@
     (start..end).find(|at| parse_frame(&buf[*at..]).is_some())
 }
 
-fn parse_frame(buf: &[u8]) -> Option<(usize, Frame)> {
+fn parse_frame(buf: &[u8]) -> Option<(usize, LogFrame)> {
     if buf.len() < FRAME_HEAD + FRAME_FIXED || !buf.starts_with(FRAME_MAGIC) {
         return None;
     }
@@ -400,7 +400,7 @@
     if size < FRAME_FIXED || crc32fast::hash(body) != le_u32(buf, 8) {
         return None;
     }
-    let hard = Hard { term: le_u64(body, 0), vote: le_u64(body, 8) };
+    let hard = TermAndVote { term: le_u64(body, 0), vote: le_u64(body, 8) };
     let first = le_u64(body, 16);
     let count = le_u32(body, 24) as usize;
     let mut records = Vec::new();
@@ -413,7 +413,7 @@
         at = start + bytes.len();
     }
     let whole = at == body.len() && first > 0;
-    whole.then_some((FRAME_HEAD + size, Frame { hard, first, records }))
+    whole.then_some((FRAME_HEAD + size, LogFrame { hard, first, records }))
 }
 
 fn le_u32(buf: &[u8], at: usize) -> u32 {
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -1,5 +1,5 @@
 //! The replicated state machine: documents, workers, tasks and the request
-//! ledger. [`Machine::apply`] is deterministic and never fails half way.
+//! ledger. [`StateMachine::apply`] is deterministic and never fails half way.
 
 mod documents;
 mod queries;
@@ -7,14 +7,14 @@
 mod workers;
 
 use crate::command::{
-    Apply, CancelOutcome, Command, Committed, Missing, Outcome, Placement, Submit, TaskEvent,
-    TaskReport,
+    Apply, CancelOutcome, Command, Committed, Missing, Outcome, Placement, TaskEvent, TaskReport,
+    TaskSubmission,
 };
 use crate::document::{Accepted, Document, PastVersion, TaskClass, TaskKind};
 use crate::id::{Epoch, Incarnation, Name, Revision, ServiceKey, TaskId, WorkerKey};
 use crate::ledger::Ledger;
 use crate::resources::Resources;
-use crate::task::{Checkpoint, Ending, StopReason, Task, TaskPhase};
+use crate::task::{Checkpoint, StopReason, Task, TaskOutcome, TaskPhase};
 use crate::worker::{Worker, WorkerPhase, WorkerSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -59,7 +59,7 @@
 
 /// All replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machine {
+pub struct StateMachine {
     revision: Revision,
     services: Vec<Service>,
     service_keys: BTreeMap<Name, ServiceKey>,
@@ -77,12 +77,12 @@
     held: Vec<BTreeSet<TaskId>>,
 }
 
-impl Machine {
-    /// An empty machine.
+impl StateMachine {
+    /// An empty state.
     ///
     /// ```
-    /// use yuccalink_state::Machine;
-    /// assert_eq!(Machine::new().tasks().count(), 0);
+    /// use yuccalink_state::StateMachine;
+    /// assert_eq!(StateMachine::new().tasks().count(), 0);
     /// ```
     pub fn new() -> Self {
         Self::default()
@@ -91,9 +91,9 @@
     /// Makes the change that `command` describes and says what it came to.
     ///
     /// ```
-    /// use yuccalink_state::{Command, Machine, Outcome};
-    /// let mut machine = Machine::new();
-    /// assert_eq!(machine.apply(Command::Place([].into())), Outcome::Placed([].into()));
+    /// use yuccalink_state::{Command, StateMachine, Outcome};
+    /// let mut state = StateMachine::new();
+    /// assert_eq!(state.apply(Command::Place([].into())), Outcome::Placed([].into()));
     /// ```
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
@@ -129,10 +129,10 @@
     /// without the jump they would take what is restored for old news.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::Revision, machine::RESTORE_JUMP};
-    /// let mut machine = Machine::new();
-    /// machine.restore_jump();
-    /// assert_eq!(machine.revision(), Revision(RESTORE_JUMP));
+    /// # use yuccalink_state::{StateMachine, id::Revision, machine::RESTORE_JUMP};
+    /// let mut state = StateMachine::new();
+    /// state.restore_jump();
+    /// assert_eq!(state.revision(), Revision(RESTORE_JUMP));
     /// ```
     pub fn restore_jump(&mut self) {
         self.revision.0 += RESTORE_JUMP;
@@ -183,7 +183,7 @@
         self.set_phase(id, TaskPhase::Waiting);
     }
 
-    fn end(&mut self, id: TaskId, ending: Ending) {
+    fn end(&mut self, id: TaskId, ending: TaskOutcome) {
         self.set_phase(id, TaskPhase::Ended(ending));
         self.ended.push_back(id);
         if self.ended.len() > PAST_TASKS
--- a/crates/state/src/machine/documents.rs
+++ b/crates/state/src/machine/documents.rs
@@ -1,7 +1,7 @@
 //! Commands on documents.
 
 use super::*;
-impl Machine {
+impl StateMachine {
     pub(super) fn apply_document(&mut self, apply: Apply) -> Outcome {
         let name = apply.document.service.clone();
         let Some(key) = self.service_keys.get(&name).copied() else {
--- a/crates/state/src/machine/queries.rs
+++ b/crates/state/src/machine/queries.rs
@@ -1,12 +1,12 @@
 //! What can be read of the state.
 
 use super::*;
-impl Machine {
+impl StateMachine {
     /// The revision of the last accepted document.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::Revision};
-    /// assert_eq!(Machine::new().revision(), Revision(0));
+    /// # use yuccalink_state::{StateMachine, id::Revision};
+    /// assert_eq!(StateMachine::new().revision(), Revision(0));
     /// ```
     pub fn revision(&self) -> Revision {
         self.revision
@@ -15,8 +15,8 @@
     /// All services, in the order of their first document.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert_eq!(Machine::new().services().count(), 0);
+    /// # use yuccalink_state::StateMachine;
+    /// assert_eq!(StateMachine::new().services().count(), 0);
     /// ```
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.iter()
@@ -25,8 +25,8 @@
     /// The service called `name`.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::Name};
-    /// assert!(Machine::new().service(&Name::new("quotes")?).is_none());
+    /// # use yuccalink_state::{StateMachine, id::Name};
+    /// assert!(StateMachine::new().service(&Name::new("quotes")?).is_none());
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
     pub fn service(&self, name: &Name) -> Option<&Service> {
@@ -68,8 +68,8 @@
     /// All worker records, gone ones included.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert_eq!(Machine::new().workers().count(), 0);
+    /// # use yuccalink_state::StateMachine;
+    /// assert_eq!(StateMachine::new().workers().count(), 0);
     /// ```
     pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         self.workers.iter().enumerate().map(|(at, worker)| (worker_key(at), worker))
@@ -86,8 +86,8 @@
     /// The worker called `name`.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::Name};
-    /// assert!(Machine::new().worker(&Name::new("w1")?).is_none());
+    /// # use yuccalink_state::{StateMachine, id::Name};
+    /// assert!(StateMachine::new().worker(&Name::new("w1")?).is_none());
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
     pub fn worker(&self, name: &Name) -> Option<(WorkerKey, &Worker)> {
@@ -98,18 +98,18 @@
     /// The tasks committed to a worker, in order of their numbers.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::WorkerKey};
-    /// assert_eq!(Machine::new().held_by(WorkerKey(0)).count(), 0);
+    /// # use yuccalink_state::{StateMachine, id::WorkerKey};
+    /// assert_eq!(StateMachine::new().tasks_on_worker(WorkerKey(0)).count(), 0);
     /// ```
-    pub fn held_by(&self, key: WorkerKey) -> impl Iterator<Item = &Task> {
+    pub fn tasks_on_worker(&self, key: WorkerKey) -> impl Iterator<Item = &Task> {
         self.held.get(key.0 as usize).into_iter().flatten().filter_map(|id| self.tasks.get(id))
     }
 
     /// All remembered tasks, in order of their numbers.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert!(Machine::new().tasks().next().is_none());
+    /// # use yuccalink_state::StateMachine;
+    /// assert!(StateMachine::new().tasks().next().is_none());
     /// ```
     pub fn tasks(&self) -> impl Iterator<Item = &Task> {
         self.tasks.values()
@@ -118,8 +118,8 @@
     /// Remembered tasks numbered above `after`, in order of their numbers.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::TaskId};
-    /// assert!(Machine::new().tasks_after(TaskId(0)).next().is_none());
+    /// # use yuccalink_state::{StateMachine, id::TaskId};
+    /// assert!(StateMachine::new().tasks_after(TaskId(0)).next().is_none());
     /// ```
     pub fn tasks_after(&self, after: TaskId) -> impl Iterator<Item = &Task> {
         self.tasks.range(TaskId(after.0.saturating_add(1))..).map(|(_, task)| task)
@@ -128,8 +128,8 @@
     /// The task numbered `id`.
     ///
     /// ```
-    /// # use yuccalink_state::{Machine, id::TaskId};
-    /// assert!(Machine::new().task(TaskId(1)).is_none());
+    /// # use yuccalink_state::{StateMachine, id::TaskId};
+    /// assert!(StateMachine::new().task(TaskId(1)).is_none());
     /// ```
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         self.tasks.get(&id)
@@ -138,8 +138,8 @@
     /// Waiting tasks, the first to be placed first.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert!(Machine::new().waiting().next().is_none());
+    /// # use yuccalink_state::StateMachine;
+    /// assert!(StateMachine::new().waiting().next().is_none());
     /// ```
     pub fn waiting(&self) -> impl Iterator<Item = &Task> {
         self.waiting.iter().filter_map(|(_, id)| self.tasks.get(id))
@@ -148,8 +148,8 @@
     /// How many tasks wait.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert_eq!(Machine::new().waiting_len(), 0);
+    /// # use yuccalink_state::StateMachine;
+    /// assert_eq!(StateMachine::new().waiting_len(), 0);
     /// ```
     pub fn waiting_len(&self) -> usize {
         self.waiting.len()
@@ -158,8 +158,8 @@
     /// The request ledger.
     ///
     /// ```
-    /// # use yuccalink_state::Machine;
-    /// assert!(Machine::new().ledger().is_empty());
+    /// # use yuccalink_state::StateMachine;
+    /// assert!(StateMachine::new().ledger().is_empty());
     /// ```
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
--- a/crates/state/src/machine/tasks.rs
+++ b/crates/state/src/machine/tasks.rs
@@ -1,8 +1,8 @@
 //! Commands on tasks: submitted, placed, reported, evicted, cancelled.
 
 use super::*;
-impl Machine {
-    pub(super) fn submit(&mut self, submit: Submit) -> Outcome {
+impl StateMachine {
+    pub(super) fn submit(&mut self, submit: TaskSubmission) -> Outcome {
         if let Some(done) = self.submissions.get(&submit.key) {
             return Outcome::Submitted { first: done.first, count: done.count, resent: true };
         }
@@ -56,8 +56,12 @@
             TaskPhase::Waiting => {
                 // Only a task that never ran may be called "not run".
                 let ran = task.epoch > Epoch(0);
-                self.end(id, Ending::Cancelled);
-                if ran { CancelOutcome::Ended(Ending::Cancelled) } else { CancelOutcome::NotRun }
+                self.end(id, TaskOutcome::Cancelled);
+                if ran {
+                    CancelOutcome::Ended(TaskOutcome::Cancelled)
+                } else {
+                    CancelOutcome::NotRun
+                }
             }
             TaskPhase::Placed(key) | TaskPhase::Running(key) | TaskPhase::Stopping(key, _) => {
                 self.set_phase(id, TaskPhase::Stopping(key, StopReason::Cancel));
@@ -75,7 +79,7 @@
         let committed = worker.committed.plus(task.need)?;
         // The last guard of "never committed beyond what it holds": whatever a
         // leader proposed from older knowledge is checked against exact sums here.
-        if worker.phase != WorkerPhase::Live || !worker.spec.capacity.holds(committed) {
+        if worker.phase != WorkerPhase::Live || !worker.spec.capacity.covers(committed) {
             return None;
         }
         worker.committed = committed;
@@ -126,15 +130,17 @@
                 None
             }
             TaskEvent::Finished => {
-                self.end(id, Ending::Finished);
+                self.end(id, TaskOutcome::Finished);
                 Some(id)
             }
             TaskEvent::Failed { reason } => {
                 task.failures += 1;
                 let give_up = task.failures >= FAILURES_MAX;
                 match phase {
-                    TaskPhase::Stopping(_, StopReason::Cancel) => self.end(id, Ending::Cancelled),
-                    _ if give_up => self.end(id, Ending::Failed(reason.clone())),
+                    TaskPhase::Stopping(_, StopReason::Cancel) => {
+                        self.end(id, TaskOutcome::Cancelled)
+                    }
+                    _ if give_up => self.end(id, TaskOutcome::Failed(reason.clone())),
                     _ => self.requeue(id),
                 }
                 Some(id)
@@ -148,7 +154,7 @@
 
     pub(super) fn leave_worker(&mut self, id: TaskId, phase: &TaskPhase) {
         match phase {
-            TaskPhase::Stopping(_, StopReason::Cancel) => self.end(id, Ending::Cancelled),
+            TaskPhase::Stopping(_, StopReason::Cancel) => self.end(id, TaskOutcome::Cancelled),
             TaskPhase::Stopping(_, StopReason::Evict) => {
                 if let Some(task) = self.tasks.get_mut(&id) {
                     task.evictions += 1;
--- a/crates/state/src/machine/workers.rs
+++ b/crates/state/src/machine/workers.rs
@@ -1,7 +1,7 @@
 //! Commands on workers: up, leaving, gone.
 
 use super::*;
-impl Machine {
+impl StateMachine {
     pub(super) fn worker_up(&mut self, spec: WorkerSpec) -> Outcome {
         if let Some(key) = self.worker_keys.get(&spec.name).copied() {
             let worker = &mut self.workers[key.0 as usize];
@@ -9,7 +9,7 @@
             if worker.tasks > 0 && !same_run {
                 return Outcome::WorkerBusy;
             }
-            if worker.tasks > 0 && !spec.capacity.holds(worker.committed) {
+            if worker.tasks > 0 && !spec.capacity.covers(worker.committed) {
                 return Outcome::WorkerBusy;
             }
             worker.spec = spec;
--- a/crates/state/src/resources.rs
+++ b/crates/state/src/resources.rs
@@ -25,9 +25,9 @@
     /// use yuccalink_state::Resources;
     /// let vm = Resources { millicores: 64_000, memory_mib: 256_000, accelerators: 0 };
     /// let task = Resources { millicores: 500, memory_mib: 512, accelerators: 1 };
-    /// assert!(!vm.holds(task));
+    /// assert!(!vm.covers(task));
     /// ```
-    pub fn holds(self, need: Self) -> bool {
+    pub fn covers(self, need: Self) -> bool {
         self.millicores >= need.millicores
             && self.memory_mib >= need.memory_mib
             && self.accelerators >= need.accelerators
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -2,9 +2,9 @@
 //! in place by a rename, so that a crash leaves either the old or the new.
 
 use crate::error::{Error, Result};
-use crate::jobs::Jobs;
+use crate::jobs::CellState;
 use crate::log::sync_folder;
-use crate::machine::Machine;
+use crate::machine::StateMachine;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
@@ -35,25 +35,25 @@
     fn reindex(&mut self);
 }
 
-impl Replicated for Machine {
+impl Replicated for StateMachine {
     fn reindex(&mut self) {
-        Machine::reindex(self);
+        StateMachine::reindex(self);
     }
 }
 
-impl Replicated for Jobs {
+impl Replicated for CellState {
     fn reindex(&mut self) {
-        Jobs::reindex(self);
+        CellState::reindex(self);
     }
 }
 
 /// A machine and what it stands for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Snapshot<S = Machine> {
+pub struct Snapshot<S = StateMachine> {
     /// The last record applied, and the members.
     pub meta: Meta,
     /// The state after it.
-    pub machine: S,
+    pub state: S,
 }
 
 /// Encodes a snapshot: header, CRC-32 and state.
@@ -62,9 +62,9 @@
 /// [`Error::Decode`] when the codec refuses, which it has no cause to.
 ///
 /// ```
-/// # use yuccalink_state::{snapshot::{self, Meta}, Machine};
+/// # use yuccalink_state::{snapshot::{self, Meta}, StateMachine};
 /// let meta = Meta { index: 7, term: 2, members: [].into() };
-/// let bytes = snapshot::encode(&meta, &Machine::new())?;
+/// let bytes = snapshot::encode(&meta, &StateMachine::new())?;
 /// assert_eq!(snapshot::decode(&bytes, "memory")?.meta, meta);
 /// # Ok::<(), yuccalink_state::Error>(())
 /// ```
@@ -115,7 +115,7 @@
     let (meta, mut machine): (Meta, S) = postcard::from_bytes(body)
         .map_err(|source| Error::Decode { what: "a snapshot", source })?;
     machine.reindex();
-    Ok(Snapshot { meta, machine })
+    Ok(Snapshot { meta, state: machine })
 }
 
 /// Writes `bytes` as the snapshot of record `index`; it is durable on return.
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -2,8 +2,8 @@
 
 use crate::command::Command;
 use crate::error::{Error, Result};
-use crate::log::{Counts, Frame, Hard, Log, Opened, Record, sync_folder};
-use crate::machine::Machine;
+use crate::log::{Log, LogCounters, LogFrame, Opened, Record, TermAndVote, sync_folder};
+use crate::machine::StateMachine;
 use crate::snapshot::{self, Meta, Replicated};
 use std::fs::{self, File, TryLockError};
 use std::io::Write;
@@ -25,17 +25,17 @@
 
 /// What was found in a data folder.
 #[derive(Debug)]
-pub struct Recovered<S = Machine> {
+pub struct Recovered<S = StateMachine> {
     /// This disk's identity, drawn at its first use.
     pub replica: u64,
     /// What the snapshot stands for.
     pub meta: Meta,
     /// The state in the snapshot.
-    pub machine: S,
+    pub state: S,
     /// The records after it, which may or may not be agreed on.
     pub records: Vec<Record>,
     /// The newest hard state.
-    pub hard: Hard,
+    pub hard: TermAndVote,
 }
 
 impl Store {
@@ -48,11 +48,11 @@
     /// [`snapshot::newest`] when files are damaged.
     ///
     /// ```
-    /// # use yuccalink_state::{Store, log::Frame};
+    /// # use yuccalink_state::{Store, log::LogFrame};
     /// let folder = tempfile::tempdir()?;
     /// let (mut store, found) = Store::open(folder.path(), 7)?;
     /// assert_eq!((found.replica, found.records.len()), (7, 0));
-    /// store.append(&Frame { first: 1, records: vec![(1, [1, 2].into())], ..Frame::default() })?;
+    /// store.append(&LogFrame { first: 1, records: vec![(1, [1, 2].into())], ..LogFrame::default() })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
     pub fn open(folder: &Path, draw: u64) -> Result<(Self, Recovered)> {
@@ -71,13 +71,13 @@
         let lock = lock(folder)?;
         let found: Option<snapshot::Snapshot<S>> = snapshot::newest(folder)?;
         let meta = found.as_ref().map(|found| found.meta.clone()).unwrap_or_default();
-        let machine = found.map(|found| found.machine).unwrap_or_default();
+        let machine = found.map(|found| found.state).unwrap_or_default();
         let known = read_identity(folder)?;
         if known.is_some() && !has_log(folder)? {
             return Err(Error::Identity(folder.display().to_string().into()));
         }
         let Opened { log, records, hard } = Log::open(folder, meta.index, meta.term)?;
-        let used = meta.index > 0 || !records.is_empty() || hard != Hard::default();
+        let used = meta.index > 0 || !records.is_empty() || hard != TermAndVote::default();
         let replica = match known {
             Some(replica) => replica,
             // Without its name a used disk could be taken for one that never voted.
@@ -85,7 +85,7 @@
             None => write_identity(folder, draw)?,
         };
         let store = Self { folder: folder.into(), log, _lock: lock };
-        Ok((store, Recovered { replica, meta, machine, records, hard }))
+        Ok((store, Recovered { replica, meta, state: machine, records, hard }))
     }
 
     /// Makes a data folder that begins with this snapshot, for a replica that
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// [`Error::NotEmpty`] when the folder holds anything; then nothing is changed.
-    pub fn restore(folder: &Path, replica: u64, meta: &Meta, machine: &Machine) -> Result<()> {
+    pub fn restore(folder: &Path, replica: u64, meta: &Meta, machine: &StateMachine) -> Result<()> {
         fs::create_dir_all(folder).map_err(|e| Error::io("create", folder, e))?;
         let mut entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
         if entries.next().is_some() {
@@ -102,8 +102,8 @@
         let lock = lock(folder)?;
         snapshot::write(folder, meta.index, &snapshot::encode(meta, machine)?)?;
         let mut log = Log::open(folder, meta.index, meta.term)?.log;
-        let hard = Hard { term: meta.term, vote: 0 };
-        log.append(&Frame { hard, first: meta.index + 1, records: Vec::new() })?;
+        let hard = TermAndVote { term: meta.term, vote: 0 };
+        log.append(&LogFrame { hard, first: meta.index + 1, records: Vec::new() })?;
         // The identity comes last: a folder without it is refused, so a restore
         // that broke off is never taken for a whole one.
         write_identity(folder, replica)?;
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// As [`Log::append`].
-    pub fn append(&mut self, frame: &Frame) -> Result<()> {
+    pub fn append(&mut self, frame: &LogFrame) -> Result<()> {
         self.log.append(frame)
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Counts since opening.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> LogCounters {
         self.log.counts()
     }
 
--- a/crates/state/src/task.rs
+++ b/crates/state/src/task.rs
@@ -7,7 +7,7 @@
 /// Why a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum TaskOutcome {
     /// It ran to its end.
     Finished,
     /// It failed more often than allowed; the last reason.
@@ -39,7 +39,7 @@
     /// Ordered to stop; still counted on the worker until the worker says so.
     Stopping(WorkerKey, StopReason),
     /// Over.
-    Ended(Ending),
+    Ended(TaskOutcome),
 }
 
 /// The last state that a task saved.
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -17,15 +17,15 @@
     TaskKey { job: JobId(1), occurrence: 0, step, index }
 }
 
-fn table(steps: Vec<StepSpec>) -> Jobs {
-    let mut jobs = Jobs::new();
+fn table(steps: Vec<StepSpec>) -> CellState {
+    let mut jobs = CellState::new();
     for id in ["w1", "w2", "w3"] {
-        let life = Life { id: id.into(), born_ms: 1, address: id.into() };
-        jobs.apply(JobCommand::Meet(life));
+        let incarnation = RunnerIncarnation { id: id.into(), started_ms: 1, address: id.into() };
+        jobs.apply(JobCommand::Meet(incarnation));
     }
     let spec = JobSpec { payload: "p".into(), steps, schedule: None };
     let (queue, pool) = ("q".into(), "pool".into());
-    let submit = Submit { id: JobId(1), queue, pool, attempts: ATTEMPTS, at_ms: 5, spec };
+    let submit = JobSubmission { id: JobId(1), queue, pool, attempts: ATTEMPTS, at_ms: 5, spec };
     assert_eq!(
         jobs.apply(JobCommand::Submit(Box::new(submit))),
         JobOutcome::Accepted { new: true }
@@ -33,17 +33,23 @@
     jobs
 }
 
-fn start(jobs: &mut Jobs, task: TaskKey, run: u32, life: u32) -> bool {
-    let start = Start { task, run, life: LifeKey(life) };
+fn start(jobs: &mut CellState, task: TaskKey, run: u32, incarnation: u32) -> bool {
+    let start = RunStart { task, run, incarnation: IncarnationKey(incarnation) };
     jobs.apply(JobCommand::Start(vec![start])) == JobOutcome::Started(vec![start])
 }
 
-fn end(jobs: &mut Jobs, task: TaskKey, run: u32, life: u32, how: How) {
-    let end = End { task, run, life: LifeKey(life), how, saved: "s".into() };
+fn end(jobs: &mut CellState, task: TaskKey, run: u32, incarnation: u32, how: RunOutcome) {
+    let end = RunEnd {
+        task,
+        run,
+        incarnation: IncarnationKey(incarnation),
+        outcome: how,
+        checkpoint: "s".into(),
+    };
     jobs.apply(JobCommand::End { ends: vec![end], at_ms: 9 });
 }
 
-fn phase(jobs: &Jobs) -> JobPhase {
+fn phase(jobs: &CellState) -> JobPhase {
     jobs.job(JobId(1)).expect("it is there").phase
 }
 
@@ -52,31 +58,31 @@
     let mut jobs = table(vec![step(1)]);
     assert!(start(&mut jobs, key(0, 0), 1, 0));
     assert!(!start(&mut jobs, key(0, 0), 2, 1), "it may be running");
-    end(&mut jobs, key(0, 0), 1, 0, How::Stopped);
+    end(&mut jobs, key(0, 0), 1, 0, RunOutcome::Stopped);
     assert!(!start(&mut jobs, key(0, 0), 1, 1), "a run that was there before");
     assert!(start(&mut jobs, key(0, 0), 2, 1));
-    assert_eq!(&*jobs.task(key(0, 0)).expect("a task").saved, "s");
+    assert_eq!(&*jobs.task(key(0, 0)).expect("a task").checkpoint, "s");
 }
 
 #[test]
 fn an_end_of_another_run_changes_nothing() {
     let mut jobs = table(vec![step(1)]);
     assert!(start(&mut jobs, key(0, 0), 3, 0));
-    end(&mut jobs, key(0, 0), 2, 0, How::Done);
-    end(&mut jobs, key(0, 0), 3, 1, How::Done);
+    end(&mut jobs, key(0, 0), 2, 0, RunOutcome::Done);
+    end(&mut jobs, key(0, 0), 3, 1, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Active);
-    end(&mut jobs, key(0, 0), 3, 0, How::Done);
+    end(&mut jobs, key(0, 0), 3, 0, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Completed);
     assert!(!start(&mut jobs, key(0, 0), 4, 0), "it is done");
 }
 
 #[test]
 fn a_step_waits_for_all_tasks_before_it() {
-    let mut jobs = table(vec![step(2), StepSpec { after: vec![0], ..step(1) }]);
+    let mut jobs = table(vec![step(2), StepSpec { depends_on: vec![0], ..step(1) }]);
     assert!(!start(&mut jobs, key(0, 1), 1, 0));
     for index in 0..2 {
         assert!(start(&mut jobs, key(index, 0), 1, 0));
-        end(&mut jobs, key(index, 0), 1, 0, How::Done);
+        end(&mut jobs, key(index, 0), 1, 0, RunOutcome::Done);
     }
     assert!(start(&mut jobs, key(0, 1), 1, 0));
 }
@@ -87,7 +93,7 @@
     for run in 1..=ATTEMPTS {
         assert_eq!(phase(&jobs), JobPhase::Active);
         assert!(start(&mut jobs, key(0, 0), run, run));
-        end(&mut jobs, key(0, 0), run, run, How::Failed);
+        end(&mut jobs, key(0, 0), run, run, RunOutcome::Failed);
     }
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
@@ -95,7 +101,14 @@
 #[test]
 fn only_failures_count_as_attempts() {
     let mut jobs = table(vec![step(1)]);
-    let ends = [How::Stopped, How::Lapsed, How::Broken, How::Alone, How::Refused, How::Gone];
+    let ends = [
+        RunOutcome::Stopped,
+        RunOutcome::Lapsed,
+        RunOutcome::Broken,
+        RunOutcome::Alone,
+        RunOutcome::Refused,
+        RunOutcome::Gone,
+    ];
     for (run, how) in (1..).zip(ends) {
         assert!(start(&mut jobs, key(0, 0), run, 0));
         end(&mut jobs, key(0, 0), run, 0, how);
@@ -103,13 +116,14 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-const SEEN: [Seen; 3] = [Seen::Nothing, Seen::Ordered, Seen::Working];
+const SEEN: [LossEvidence; 3] =
+    [LossEvidence::Nothing, LossEvidence::Ordered, LossEvidence::Working];
 
 /// Another life of the runner that life `of` is one of.
-fn reborn(jobs: &mut Jobs, of: u32) -> LifeKey {
-    let known = jobs.life(LifeKey(of)).expect("a life").clone();
-    let life = Life { born_ms: known.born_ms + 1, ..known };
-    match jobs.apply(JobCommand::Meet(life)) {
+fn reborn(jobs: &mut CellState, of: u32) -> IncarnationKey {
+    let known = jobs.incarnation(IncarnationKey(of)).expect("a life").clone();
+    let incarnation = RunnerIncarnation { started_ms: known.started_ms + 1, ..known };
+    match jobs.apply(JobCommand::Meet(incarnation)) {
         JobOutcome::Met(key) => key,
         other => panic!("{other:?}"),
     }
@@ -118,12 +132,14 @@
 /// Crashes under a task were forgotten with each run.
 #[test]
 fn a_task_under_which_too_many_runners_crashed_fails_its_job() {
-    for (seen, most) in [(Seen::Ordered, 3), (Seen::Working, 4), (Seen::Nothing, 4)] {
+    for (seen, most) in
+        [(LossEvidence::Ordered, 3), (LossEvidence::Working, 4), (LossEvidence::Nothing, 4)]
+    {
         let mut jobs = table(vec![step(1)]);
         for run in 1..=most {
             assert_eq!(phase(&jobs), JobPhase::Active, "{seen} run {run}");
             assert!(start(&mut jobs, key(0, 0), run, run % 3));
-            end(&mut jobs, key(0, 0), run, run % 3, How::Crashed(seen));
+            end(&mut jobs, key(0, 0), run, run % 3, RunOutcome::Crashed(seen));
         }
         assert_eq!(phase(&jobs), JobPhase::Failed, "{seen}");
         assert!(!start(&mut jobs, key(0, 0), most + 1, 0));
@@ -136,11 +152,11 @@
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
     for run in 1..=3 {
         assert!(start(&mut jobs, key(0, 0), run, run - 1));
-        end(&mut jobs, key(0, 0), run, run - 1, How::Crashed(Seen::Working));
+        end(&mut jobs, key(0, 0), run, run - 1, RunOutcome::Crashed(LossEvidence::Working));
     }
     for run in 4..=5 {
         assert!(start(&mut jobs, key(0, 0), run, 0));
-        end(&mut jobs, key(0, 0), run, 0, How::Failed);
+        end(&mut jobs, key(0, 0), run, 0, RunOutcome::Failed);
     }
     assert!(!start(&mut jobs, key(0, 0), 6, 0));
     assert_eq!(phase(&jobs), JobPhase::Failed);
@@ -153,13 +169,13 @@
         let mut jobs = table(vec![step(1)]);
         for run in 1..=2 {
             assert!(start(&mut jobs, key(0, 0), run, run));
-            end(&mut jobs, key(0, 0), run, run, How::Silent(seen));
-            end(&mut jobs, key(0, 0), run, run, How::Crashed(seen));
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Silent(seen));
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Crashed(seen));
             reborn(&mut jobs, run);
         }
         let losses = jobs.losses().of(key(0, 0));
         assert_eq!(losses.len(), 2, "{seen}");
-        assert!(losses.iter().all(|loss| loss.fate == Fate::Crashed));
+        assert!(losses.iter().all(|loss| loss.fate == RunnerFate::Crashed));
         assert_eq!(phase(&jobs), JobPhase::Active);
     }
 }
@@ -170,11 +186,11 @@
     let mut jobs = table(vec![step(1)]);
     for run in 1..=3 {
         assert!(start(&mut jobs, key(0, 0), run, run - 1));
-        end(&mut jobs, key(0, 0), run, run - 1, How::Silent(Seen::Ordered));
+        end(&mut jobs, key(0, 0), run, run - 1, RunOutcome::Silent(LossEvidence::Ordered));
     }
     assert_eq!(phase(&jobs), JobPhase::Active, "they may be cut off");
-    for life in 0..3 {
-        reborn(&mut jobs, life);
+    for incarnation in 0..3 {
+        reborn(&mut jobs, incarnation);
     }
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
@@ -185,8 +201,8 @@
     let mut jobs = table(vec![step(1)]);
     for run in 1..=9 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
-        end(&mut jobs, key(0, 0), run, 1, How::Silent(Seen::Ordered));
-        jobs.apply(JobCommand::Alive(LifeKey(1)));
+        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Silent(LossEvidence::Ordered));
+        jobs.apply(JobCommand::Alive(IncarnationKey(1)));
         assert!(jobs.losses().is_empty());
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
@@ -198,8 +214,8 @@
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
     for run in 1..=20 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
-        let seen = if run % 3 == 0 { Seen::Proven } else { Seen::Ordered };
-        end(&mut jobs, key(0, 0), run, 1, How::Crashed(seen));
+        let seen = if run % 3 == 0 { LossEvidence::Proven } else { LossEvidence::Ordered };
+        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Crashed(seen));
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
@@ -211,7 +227,13 @@
     let mut starts = 0;
     while start(&mut jobs, key(0, 0), starts + 1, starts % 3) {
         starts += 1;
-        end(&mut jobs, key(0, 0), starts, (starts - 1) % 3, How::Silent(Seen::Working));
+        end(
+            &mut jobs,
+            key(0, 0),
+            starts,
+            (starts - 1) % 3,
+            RunOutcome::Silent(LossEvidence::Working),
+        );
     }
     assert_eq!(starts, 5);
 }
@@ -224,8 +246,9 @@
     let (head, body) = bytes.split_at(16);
     let older = &body[..body.len() - 1];
     let head = [&head[..12], &crc32fast::hash(older).to_le_bytes()].concat();
-    let back = snapshot::decode_as::<Jobs>(&[&head, older].concat(), "memory").expect("decoded");
-    assert_eq!(back.machine, jobs);
+    let back =
+        snapshot::decode_as::<CellState>(&[&head, older].concat(), "memory").expect("decoded");
+    assert_eq!(back.state, jobs);
 }
 
 /// A long-running task fails as often as it likes; it is started again.
@@ -234,7 +257,13 @@
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
     for run in 1..10 {
         assert!(start(&mut jobs, key(0, 0), run, 0));
-        end(&mut jobs, key(0, 0), run, 0, if run % 2 == 0 { How::Failed } else { How::Done });
+        end(
+            &mut jobs,
+            key(0, 0),
+            run,
+            0,
+            if run % 2 == 0 { RunOutcome::Failed } else { RunOutcome::Done },
+        );
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
@@ -245,7 +274,7 @@
     for index in 0..3 {
         assert!(start(&mut jobs, key(index, 0), 1, 0));
     }
-    end(&mut jobs, key(1, 0), 1, 0, How::Done);
+    end(&mut jobs, key(1, 0), 1, 0, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Completed);
 }
 
@@ -256,9 +285,9 @@
     assert!(!start(&mut jobs, key(0, 0), 2, 0));
     assert!(start(&mut jobs, key(0, 0), 2, 1));
     assert!(!start(&mut jobs, key(0, 0), 3, 2));
-    end(&mut jobs, key(0, 0), 2, 1, How::Done);
+    end(&mut jobs, key(0, 0), 2, 1, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Completed);
-    assert!(jobs.holds(LifeKey(0), key(0, 0), 1), "the other copy still runs");
+    assert!(jobs.is_assigned(IncarnationKey(0), key(0, 0), 1), "the other copy still runs");
 }
 
 #[test]
@@ -272,7 +301,7 @@
     assert!(!start(&mut jobs, key(1, 0), 1, 0));
     jobs.apply(JobCommand::Forget(vec![JobId(1)]));
     assert!(jobs.job(JobId(1)).is_some(), "a task of it may be running");
-    end(&mut jobs, key(0, 0), 1, 0, How::Stopped);
+    end(&mut jobs, key(0, 0), 1, 0, RunOutcome::Stopped);
     jobs.apply(JobCommand::Forget(vec![JobId(1)]));
     assert!(jobs.job(JobId(1)).is_none());
 }
@@ -283,7 +312,7 @@
     let mut jobs = table(vec![step(1)]);
     let spec = JobSpec { payload: "other".into(), steps: vec![step(9)], schedule: None };
     let (queue, pool) = ("q".into(), "pool".into());
-    let again = Submit { id: JobId(1), queue, pool, attempts: 1, at_ms: 6, spec };
+    let again = JobSubmission { id: JobId(1), queue, pool, attempts: 1, at_ms: 6, spec };
     assert_eq!(
         jobs.apply(JobCommand::Submit(Box::new(again))),
         JobOutcome::Accepted { new: false }
@@ -295,7 +324,7 @@
 /// comes back.
 #[test]
 fn the_highest_version_stays_in_force() {
-    let mut jobs = Jobs::new();
+    let mut jobs = CellState::new();
     let change = |version, text: &str| {
         let text = text.as_bytes().into();
         JobCommand::Change(Box::new(ChangeSet { version, text, ..ChangeSet::default() }))
@@ -303,7 +332,7 @@
     assert_eq!(jobs.apply(change(5, "a")), JobOutcome::Changed(true));
     assert_eq!(jobs.apply(change(5, "b")), JobOutcome::Changed(false));
     assert_eq!(jobs.apply(change(4, "c")), JobOutcome::Changed(false));
-    assert_eq!(&*jobs.change().expect("one").text, b"a");
+    assert_eq!(&*jobs.change_set().expect("one").text, b"a");
 }
 
 #[test]
@@ -334,24 +363,24 @@
     /// Whatever happened, a snapshot brings back the same state, derived parts too.
     #[test]
     fn a_snapshot_brings_everything_back(moves in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
-        let mut jobs = table(vec![step(2), StepSpec { after: vec![0], ..step(2) }]);
-        for (at, life, what) in moves {
+        let mut jobs = table(vec![step(2), StepSpec { depends_on: vec![0], ..step(2) }]);
+        for (at, incarnation, what) in moves {
             let how_lost = SEEN[usize::from(at) % SEEN.len()];
             let task = key(at % 2, at / 2);
             let last = jobs.task(task).map_or(0, |task| task.last_run);
             match what {
-                0 | 1 => { start(&mut jobs, task, last + 1, life); }
-                2 => end(&mut jobs, task, last, life, How::Done),
-                3 => end(&mut jobs, task, last, life, How::Stopped),
-                4 => end(&mut jobs, task, last, life, How::Failed),
-                5 => end(&mut jobs, task, last, life, How::Silent(how_lost)),
-                6 => end(&mut jobs, task, last, life, How::Crashed(how_lost)),
-                7 => { reborn(&mut jobs, life); }
-                _ => end(&mut jobs, task, last, life, How::Lapsed),
+                0 | 1 => { start(&mut jobs, task, last + 1, incarnation); }
+                2 => end(&mut jobs, task, last, incarnation, RunOutcome::Done),
+                3 => end(&mut jobs, task, last, incarnation, RunOutcome::Stopped),
+                4 => end(&mut jobs, task, last, incarnation, RunOutcome::Failed),
+                5 => end(&mut jobs, task, last, incarnation, RunOutcome::Silent(how_lost)),
+                6 => end(&mut jobs, task, last, incarnation, RunOutcome::Crashed(how_lost)),
+                7 => { reborn(&mut jobs, incarnation); }
+                _ => end(&mut jobs, task, last, incarnation, RunOutcome::Lapsed),
             }
         }
         let bytes = snapshot::encode(&Meta::default(), &jobs).expect("a snapshot");
-        let back = snapshot::decode_as::<Jobs>(&bytes, "memory").expect("decoded").machine;
+        let back = snapshot::decode_as::<CellState>(&bytes, "memory").expect("decoded").state;
         prop_assert_eq!(&back, &jobs);
     }
 
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -5,7 +5,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use yuccalink_state::error::Error;
-use yuccalink_state::log::{Frame, Hard, Log, Record};
+use yuccalink_state::log::{Log, LogFrame, Record, TermAndVote};
 
 fn segment(folder: &Path) -> PathBuf {
     let mut files: Vec<PathBuf> = fs::read_dir(folder)
@@ -21,9 +21,9 @@
     Log::open(folder, 0, 0).map(|opened| (opened.log, opened.records))
 }
 
-fn frame(first: u64, term: u64, records: &[&[u8]]) -> Frame {
+fn frame(first: u64, term: u64, records: &[&[u8]]) -> LogFrame {
     let records = records.iter().map(|bytes| (term, (*bytes).into())).collect();
-    Frame { hard: Hard { term, vote: 1 }, first, records }
+    LogFrame { hard: TermAndVote { term, vote: 1 }, first, records }
 }
 
 fn append(log: &mut Log, records: &[&[u8]]) -> Result<(), Error> {
@@ -125,13 +125,14 @@
     log.roll().expect("a new segment");
     log.append(&frame(4, 1, &[b"d"])).expect("an append");
     log.append(&frame(2, 2, &[b"B"])).expect("an append");
-    log.append(&Frame { hard: Hard { term: 9, vote: 4 }, first: 3, records: vec![] }).expect("ok");
+    log.append(&LogFrame { hard: TermAndVote { term: 9, vote: 4 }, first: 3, records: vec![] })
+        .expect("ok");
     assert_eq!(log.last(), 2);
     drop(log);
     let opened = Log::open(folder.path(), 0, 0).expect("a log");
     let found: Vec<_> = opened.records.iter().map(|r| (r.index, r.term, &*r.bytes)).collect();
     assert_eq!(found, [(1, 1, b"a".as_slice()), (2, 2, b"B")]);
-    assert_eq!(opened.hard, Hard { term: 9, vote: 4 });
+    assert_eq!(opened.hard, TermAndVote { term: 9, vote: 4 });
 }
 
 /// A replica took over the leader's snapshot while its log held a branch that was
--- a/crates/state/tests/machine.rs
+++ b/crates/state/tests/machine.rs
@@ -3,17 +3,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use yuccalink_state::command::{
-    Apply, CancelOutcome, Placement, RequestBegin, RequestEnd, Submit, TaskEvent, TaskReport,
+    Apply, CancelOutcome, Placement, RequestBegin, RequestEnd, TaskEvent, TaskReport,
+    TaskSubmission,
 };
-use yuccalink_state::document::{Document, GivesUp, TaskClass, TaskKind};
+use yuccalink_state::document::{DisruptionTolerance, Document, TaskClass, TaskKind};
 use yuccalink_state::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
 use yuccalink_state::ledger::{
-    ANSWER_MAX, Answer, Ended, KEEP_BYTES, KEEP_MS, RequestKey, Verdict,
+    ANSWER_MAX, KEEP_BYTES, KEEP_MS, RequestKey, RequestOutcome, StoredResponse, Verdict,
 };
 use yuccalink_state::snapshot::Meta;
-use yuccalink_state::task::{Ending, TaskPhase};
+use yuccalink_state::task::{TaskOutcome, TaskPhase};
 use yuccalink_state::worker::WorkerSpec;
-use yuccalink_state::{Command, Machine, Outcome, Resources, snapshot};
+use yuccalink_state::{Command, Outcome, Resources, StateMachine, snapshot};
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
@@ -34,7 +35,11 @@
         peak: None,
         requests: [].into(),
         tasks: [kind(name("small"), 300), kind(name("large"), 700)].into(),
-        gives_up: GivesUp { checkpoint: true, evictions: 9, ..GivesUp::default() },
+        disruption_tolerance: DisruptionTolerance {
+            checkpoint: true,
+            evictions: 9,
+            ..DisruptionTolerance::default()
+        },
     };
     let mut digest = [0; 32];
     digest[..text.len()].copy_from_slice(text.as_bytes());
@@ -42,7 +47,7 @@
 }
 
 fn submit(kind: &str, count: u32) -> Command {
-    Command::Submit(Submit {
+    Command::Submit(TaskSubmission {
         key: format!("{kind}{count}").into(),
         service: name("s"),
         kind: name(kind),
@@ -72,15 +77,15 @@
     Command::Report([TaskReport { task: TaskId(task), epoch: Epoch(epoch), event }].into())
 }
 
-fn machine(commands: impl IntoIterator<Item = Command>) -> Machine {
-    let mut machine = Machine::new();
+fn machine(commands: impl IntoIterator<Item = Command>) -> StateMachine {
+    let mut machine = StateMachine::new();
     for command in commands {
         machine.apply(command);
     }
     machine
 }
 
-fn phase(machine: &Machine, task: u64) -> TaskPhase {
+fn phase(machine: &StateMachine, task: u64) -> TaskPhase {
     machine.task(TaskId(task)).expect("a task").phase.clone()
 }
 
@@ -88,7 +93,7 @@
 /// moment. Exactly one is in force, and the other is told who won.
 #[test]
 fn of_two_texts_with_one_version_the_first_wins() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let won = machine.apply(apply(1, "a", "anna"));
     assert_eq!(won, Outcome::Accepted { revision: Revision(1), resent: false });
     let lost = machine.apply(apply(1, "b", "ben"));
@@ -150,7 +155,7 @@
     machine.apply(report(1, 1, TaskEvent::Stopped));
     assert_eq!(machine, before);
     machine.apply(report(1, 2, TaskEvent::Finished));
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(Ending::Finished));
+    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Finished));
 }
 
 #[test]
@@ -181,9 +186,9 @@
     let outcomes = [CancelOutcome::Stopping, CancelOutcome::NotRun, CancelOutcome::Unknown];
     assert_eq!(machine.apply(both), Outcome::Cancelled(outcomes.into()));
     machine.apply(report(1, 1, TaskEvent::Stopped));
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(Ending::Cancelled));
+    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Cancelled));
     let again = machine.apply(Command::Cancel([TaskId(1)].into()));
-    let ended = CancelOutcome::Ended(Ending::Cancelled);
+    let ended = CancelOutcome::Ended(TaskOutcome::Cancelled);
     assert_eq!(again, Outcome::Cancelled([ended].into()));
 }
 
@@ -194,7 +199,7 @@
         machine.apply(place(1, 0));
         machine.apply(report(1, epoch, TaskEvent::Failed { reason: "bad input".into() }));
     }
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(Ending::Failed("bad input".into())));
+    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Failed("bad input".into())));
 }
 
 fn key(text: &str) -> RequestKey {
@@ -211,33 +216,33 @@
     })
 }
 
-fn end(text: &str, attempt: u64, ended: Ended) -> Command {
+fn end(text: &str, attempt: u64, ended: RequestOutcome) -> Command {
     Command::RequestEnd(RequestEnd { key: key(text), attempt, ended })
 }
 
-fn answer(size: usize) -> Answer {
-    Answer { status: 200, headers: [].into(), body: vec![7; size].into() }
+fn answer(size: usize) -> StoredResponse {
+    StoredResponse { status: 200, headers: [].into(), body: vec![7; size].into() }
 }
 
 /// A caller resends an invoice through another entry while the first is under
 /// way, after it was answered, and after its answer was lost. It runs once.
 #[test]
 fn a_request_with_a_key_is_let_go_once() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     assert_eq!(machine.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go));
     assert_eq!(machine.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go), "the same attempt");
     assert_eq!(machine.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Running));
     assert_eq!(machine.apply(begin("a", 2, 5000)), Outcome::Request(Verdict::Unknown));
-    machine.apply(end("a", 1, Ended::Answered(answer(3))));
+    machine.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
     let given = Outcome::Request(Verdict::Answered(answer(3)));
     assert_eq!(machine.apply(begin("a", 3, 20)), given);
-    machine.apply(end("a", 1, Ended::NotRun));
+    machine.apply(end("a", 1, RequestOutcome::NotRun));
     assert_eq!(machine.apply(begin("a", 4, 30)), given, "the first ending stands");
 }
 
 #[test]
 fn a_request_that_did_not_run_may_be_sent_again() {
-    let mut machine = machine([begin("a", 1, 0), end("a", 1, Ended::NotRun)]);
+    let mut machine = machine([begin("a", 1, 0), end("a", 1, RequestOutcome::NotRun)]);
     assert_eq!(machine.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Go));
 }
 
@@ -247,10 +252,10 @@
 #[test]
 fn one_attempts_end_does_not_free_anothers_key() {
     let mut machine = machine([begin("a", 1, 0)]);
-    machine.apply(end("a", 2, Ended::NotRun));
+    machine.apply(end("a", 2, RequestOutcome::NotRun));
     assert_eq!(machine.apply(begin("a", 3, 10)), Outcome::Request(Verdict::Running));
-    machine.apply(end("a", 2, Ended::Unknown));
-    machine.apply(end("a", 1, Ended::Answered(answer(3))));
+    machine.apply(end("a", 2, RequestOutcome::Unknown));
+    machine.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
     let given = Outcome::Request(Verdict::Answered(answer(3)));
     assert_eq!(machine.apply(begin("a", 4, 20)), given);
 }
@@ -268,7 +273,7 @@
 /// run" before one that ran could find no room for its answer.
 #[test]
 fn a_full_ledger_refuses_before_it_loses_an_answer() {
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let mut taken = 0;
     loop {
         let text = format!("k{taken}");
@@ -277,7 +282,7 @@
             Outcome::Request(Verdict::Full) => break,
             other => panic!("{other:?}"),
         }
-        machine.apply(end(&text, taken, Ended::Answered(answer(ANSWER_MAX))));
+        machine.apply(end(&text, taken, RequestOutcome::Answered(answer(ANSWER_MAX))));
         taken += 1;
     }
     assert!(machine.ledger().bytes() <= KEEP_BYTES);
@@ -325,7 +330,7 @@
     /// a snapshot brings back the same state.
     #[test]
     fn any_history_keeps_the_sums(commands in proptest::collection::vec(any_command(), 0..120)) {
-        let mut machine = Machine::new();
+        let mut machine = StateMachine::new();
         for command in commands {
             let before: Vec<(TaskId, Epoch)> = machine.tasks().map(|t| (t.id, t.epoch)).collect();
             let revision = machine.revision();
@@ -340,14 +345,14 @@
                     .filter(|task| task.worker() == Some(key))
                     .try_fold(Resources::ZERO, |sum, task| sum.plus(task.need));
                 prop_assert_eq!(sum, Some(worker.committed));
-                prop_assert!(worker.spec.capacity.holds(worker.committed));
-                prop_assert_eq!(machine.held_by(key).count(), worker.tasks as usize);
+                prop_assert!(worker.spec.capacity.covers(worker.committed));
+                prop_assert_eq!(machine.tasks_on_worker(key).count(), worker.tasks as usize);
             }
             let waiting = machine.tasks().filter(|t| t.phase == TaskPhase::Waiting).count();
             prop_assert_eq!(machine.waiting_len(), waiting);
         }
         let bytes = snapshot::encode(&Meta::default(), &machine).expect("a snapshot");
-        prop_assert_eq!(snapshot::decode(&bytes, "memory").expect("decoded").machine, machine);
+        prop_assert_eq!(snapshot::decode(&bytes, "memory").expect("decoded").state, machine);
     }
 
     #[test]
--- a/crates/state/tests/store.rs
+++ b/crates/state/tests/store.rs
@@ -2,13 +2,13 @@
 
 use std::fs;
 use std::path::Path;
-use yuccalink_state::command::{Apply, Submit};
-use yuccalink_state::document::{Document, GivesUp, TaskClass, TaskKind};
+use yuccalink_state::command::{Apply, TaskSubmission};
+use yuccalink_state::document::{DisruptionTolerance, Document, TaskClass, TaskKind};
 use yuccalink_state::error::Error;
 use yuccalink_state::id::Name;
-use yuccalink_state::log::{Frame, Hard};
+use yuccalink_state::log::{LogFrame, TermAndVote};
 use yuccalink_state::snapshot::Meta;
-use yuccalink_state::{Command, Machine, Resources, Store, snapshot, store};
+use yuccalink_state::{Command, Resources, StateMachine, Store, snapshot, store};
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
@@ -29,14 +29,14 @@
         peak: None,
         requests: [].into(),
         tasks: [kind].into(),
-        gives_up: GivesUp::default(),
+        disruption_tolerance: DisruptionTolerance::default(),
     };
     let text = format!("version {version}").into();
     Command::Apply(Box::new(Apply { document, text, digest: [0; 32], author: "a".into() }))
 }
 
 fn submit(key: u64) -> Command {
-    Command::Submit(Submit {
+    Command::Submit(TaskSubmission {
         key: key.to_string().into(),
         service: name("s"),
         kind: name("k"),
@@ -49,25 +49,25 @@
 
 const REPLICA: u64 = 7;
 
-fn open(folder: &Path) -> (Store, Machine, usize) {
+fn open(folder: &Path) -> (Store, StateMachine, usize) {
     let (store, found) = Store::open(folder, REPLICA).expect("a store");
-    let mut machine = found.machine;
+    let mut machine = found.state;
     for record in &found.records {
         machine.apply(store::decode(&record.bytes).expect("a command"));
     }
     (store, machine, found.records.len())
 }
 
-fn compact(store: &mut Store, machine: &Machine) {
+fn compact(store: &mut Store, machine: &StateMachine) {
     let meta = Meta { index: store.last(), term: 1, members: [].into() };
     let bytes = snapshot::encode(&meta, machine).expect("a snapshot");
     store.compact(meta.index, &bytes).expect("compacted");
 }
 
-fn write(store: &mut Store, machine: &mut Machine, commands: &[Command]) {
+fn write(store: &mut Store, machine: &mut StateMachine, commands: &[Command]) {
     let records = commands.iter().map(|c| (1, store::encode(c).expect("bytes").into())).collect();
-    let hard = Hard { term: 1, vote: REPLICA };
-    store.append(&Frame { hard, first: store.last() + 1, records }).expect("an append");
+    let hard = TermAndVote { term: 1, vote: REPLICA };
+    store.append(&LogFrame { hard, first: store.last() + 1, records }).expect("an append");
     for command in commands {
         machine.apply(command.clone());
     }
@@ -78,7 +78,7 @@
 #[test]
 fn a_restart_brings_back_every_change() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     for round in 0..10u64 {
         let (mut store, found, _) = open(folder.path());
         assert_eq!(found, machine, "round {round}");
@@ -101,7 +101,7 @@
 fn a_damaged_snapshot_falls_back_to_the_one_before() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _, _) = open(folder.path());
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     let mut newest = 0;
     for version in 1..=3 {
         write(&mut store, &mut machine, &[apply(version), submit(version)]);
@@ -137,7 +137,7 @@
 fn a_draft_is_no_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _, _) = open(folder.path());
-    let mut machine = Machine::new();
+    let mut machine = StateMachine::new();
     write(&mut store, &mut machine, &[apply(1)]);
     drop(store);
     fs::write(folder.path().join("00000000000000000009.draft"), b"half").expect("a write");
--- a/crates/transport/src/auth.rs
+++ b/crates/transport/src/auth.rs
@@ -31,7 +31,7 @@
 
 /// Why a connection between daemons is not trusted.
 #[derive(Debug, displaydoc::Display)]
-pub enum NotTrusted {
+pub enum AuthError {
     /// the connection failed: {0}
     Io(io::Error),
     /// the other side did not finish the exchange in time
@@ -46,9 +46,9 @@
     WrongProof,
 }
 
-impl std::error::Error for NotTrusted {}
+impl std::error::Error for AuthError {}
 
-impl From<io::Error> for NotTrusted {
+impl From<io::Error> for AuthError {
     fn from(error: io::Error) -> Self {
         Self::Io(error)
     }
@@ -137,23 +137,23 @@
     /// Proves itself to the daemon that was connected to, and checks its proof.
     ///
     /// # Errors
-    /// [`NotTrusted`]; the connection is then of no use.
-    pub async fn prove(&self, stream: &mut TcpStream) -> Result<(), NotTrusted> {
-        timeout(TIMEOUT, self.prove_now(stream)).await.unwrap_or(Err(NotTrusted::Timeout))
+    /// [`AuthError`]; the connection is then of no use.
+    pub async fn prove(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(TIMEOUT, self.prove_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn prove_now(&self, stream: &mut TcpStream) -> Result<(), NotTrusted> {
+    async fn prove_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
-        let key = keys.as_ref().map(|keys| keys.first().ok_or(NotTrusted::NoKey)).transpose()?;
+        let key = keys.as_ref().map(|keys| keys.first().ok_or(AuthError::NoKey)).transpose()?;
         let nonce = nonce();
         let id = key.map_or(NO_KEY, |key| key.id);
         stream.write_all(&[MAGIC.as_slice(), &id, &nonce].concat()).await?;
         let (their_id, their_nonce) = read_hello(stream).await?;
         let Some(key) = key else {
-            return if their_id == NO_KEY { Ok(()) } else { Err(NotTrusted::UnknownKey) };
+            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
         if their_id == NO_KEY {
-            return Err(NotTrusted::NoKey);
+            return Err(AuthError::NoKey);
         }
         let mut proof = [0; MAC];
         stream.read_exact(&mut proof).await?;
@@ -163,30 +163,30 @@
             .await?;
         match stream.read_u8().await? {
             TAKEN => Ok(()),
-            _ => Err(NotTrusted::NotADaemon),
+            _ => Err(AuthError::NotADaemon),
         }
     }
 
     /// Checks the proof of a daemon that connects, and proves itself to it.
     ///
     /// # Errors
-    /// [`NotTrusted`]; the connection is then of no use.
-    pub async fn check(&self, stream: &mut TcpStream) -> Result<(), NotTrusted> {
-        timeout(TIMEOUT, self.check_now(stream)).await.unwrap_or(Err(NotTrusted::Timeout))
+    /// [`AuthError`]; the connection is then of no use.
+    pub async fn check(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(TIMEOUT, self.check_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn check_now(&self, stream: &mut TcpStream) -> Result<(), NotTrusted> {
+    async fn check_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
         let (their_id, their_nonce) = read_hello(stream).await?;
         let nonce = nonce();
         let Some(keys) = keys else {
             stream.write_all(&[MAGIC.as_slice(), &NO_KEY, &nonce].concat()).await?;
-            return if their_id == NO_KEY { Ok(()) } else { Err(NotTrusted::UnknownKey) };
+            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
         if their_id == NO_KEY {
-            return Err(NotTrusted::NoKey);
+            return Err(AuthError::NoKey);
         }
-        let key = keys.iter().find(|key| key.id == their_id).ok_or(NotTrusted::UnknownKey)?;
+        let key = keys.iter().find(|key| key.id == their_id).ok_or(AuthError::UnknownKey)?;
         let own = mac(key, b"accepts", &their_nonce, &nonce).finalize().into_bytes();
         stream.write_all(&[MAGIC.as_slice(), &key.id, &nonce, &own].concat()).await?;
         let mut proof = [0; MAC];
@@ -197,11 +197,11 @@
     }
 }
 
-async fn read_hello(stream: &mut TcpStream) -> Result<([u8; ID], [u8; NONCE]), NotTrusted> {
+async fn read_hello(stream: &mut TcpStream) -> Result<([u8; ID], [u8; NONCE]), AuthError> {
     let mut magic = [0; MAGIC.len()];
     stream.read_exact(&mut magic).await?;
     if magic != *MAGIC {
-        return Err(NotTrusted::NotADaemon);
+        return Err(AuthError::NotADaemon);
     }
     let mut id = [0; ID];
     stream.read_exact(&mut id).await?;
@@ -226,8 +226,8 @@
     connecting: &[u8],
     accepting: &[u8],
     proof: &[u8],
-) -> Result<(), NotTrusted> {
-    mac(key, role, connecting, accepting).verify_slice(proof).map_err(|_| NotTrusted::WrongProof)
+) -> Result<(), AuthError> {
+    mac(key, role, connecting, accepting).verify_slice(proof).map_err(|_| AuthError::WrongProof)
 }
 
 fn nonce() -> [u8; NONCE] {
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -13,7 +13,7 @@
 /// The answer's source broke off; the caller's connection is closed, so that a
 /// cut answer is never taken for a whole one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Cut {
+pub enum BodyAborted {
     /// the runner broke off its answer
     ByRunner,
     /// the caller took the answer too slowly
@@ -22,12 +22,12 @@
     ByDeadline,
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyAborted {}
 
 /// One piece of a passed-on body. The end is told apart from a sender that
-/// was dropped: without [`Piece::End`] the answer counts as cut.
+/// was dropped: without [`BodyChunk::End`] the answer counts as cut.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     /// Bytes.
     Data(Bytes),
     /// The whole body has been sent.
@@ -35,13 +35,13 @@
 }
 
 struct Passed {
-    rx: mpsc::Receiver<Piece>,
+    rx: mpsc::Receiver<BodyChunk>,
     size: Option<u64>,
     ended: bool,
 }
 
 /// A body fed through the sender, of `size` bytes if that is known.
-pub fn passed(size: Option<u64>) -> (mpsc::Sender<Piece>, ResponseBody) {
+pub fn streamed_body(size: Option<u64>) -> (mpsc::Sender<BodyChunk>, ResponseBody) {
     let (tx, rx) = mpsc::channel(CHUNKS);
     (tx, ResponseBody::boxed(Passed { rx, size, ended: false }))
 }
@@ -59,12 +59,12 @@
         }
         match self.rx.poll_recv(cx) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(Piece::Data(bytes))) => Poll::Ready(Some(Ok(Frame::Data(bytes)))),
-            Poll::Ready(Some(Piece::End)) => {
+            Poll::Ready(Some(BodyChunk::Data(bytes))) => Poll::Ready(Some(Ok(Frame::Data(bytes)))),
+            Poll::Ready(Some(BodyChunk::End)) => {
                 self.ended = true;
                 Poll::Ready(None)
             }
-            Poll::Ready(None) => Poll::Ready(Some(Err(Box::new(Cut::ByRunner)))),
+            Poll::Ready(None) => Poll::Ready(Some(Err(Box::new(BodyAborted::ByRunner)))),
         }
     }
 
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -24,7 +24,7 @@
 
 /// Why no answer came.
 #[derive(Debug, displaydoc::Display)]
-pub enum NoAnswer {
+pub enum UpstreamError {
     /// no connection: {0}
     NotConnected(std::io::Error),
     /// no connection in time
@@ -37,11 +37,11 @@
     Timeout,
 }
 
-impl std::error::Error for NoAnswer {}
+impl std::error::Error for UpstreamError {}
 
-impl NoAnswer {
+impl UpstreamError {
     /// Whether it is certain that no byte of the request left.
-    pub fn surely_not_sent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         match self {
             Self::NotConnected(_) | Self::ConnectTimeout | Self::NotSent(_) => true,
             Self::Lost(_) | Self::Timeout => false,
@@ -94,7 +94,7 @@
 }
 
 /// An answer whose head has come. Dropping it before its end closes the connection.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub head: hyper::http::response::Parts,
     body: Incoming,
@@ -112,13 +112,13 @@
     /// Sends a request and waits for the head of its answer, at most until `deadline`.
     ///
     /// # Errors
-    /// [`NoAnswer`], which tells whether the request may have been sent.
+    /// [`UpstreamError`], which tells whether the request may have been sent.
     pub async fn send<D>(
         &self,
         to: D,
         req: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Answer, NoAnswer>
+    ) -> Result<UpstreamResponse, UpstreamError>
     where
         D: Into<Destination>,
     {
@@ -128,7 +128,7 @@
             match self.exchange(to, sender, req, deadline).await {
                 // The other side closed an idle connection: nothing was sent, so a
                 // new connection may carry the same request.
-                Err((NoAnswer::NotSent(_), Some(unsent))) => req = unsent,
+                Err((UpstreamError::NotSent(_), Some(unsent))) => req = unsent,
                 done => return done.map_err(|(error, _)| error),
             }
         }
@@ -159,25 +159,29 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn tidy(&self) {
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|i| !i.sender.is_closed() && i.since.elapsed() < IDLE_MAX);
             !idle.is_empty()
         });
     }
 
-    async fn connect(&self, address: SocketAddr, deadline: Instant) -> Result<Sender, NoAnswer> {
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        deadline: Instant,
+    ) -> Result<Sender, UpstreamError> {
         let wait = self.settings.connect_timeout.min(deadline.duration_since(Instant::now()));
         let stream = timeout(wait, TcpStream::connect(address))
             .await
-            .map_err(|_| NoAnswer::ConnectTimeout)?
-            .map_err(NoAnswer::NotConnected)?;
-        stream.set_nodelay(true).map_err(NoAnswer::NotConnected)?;
+            .map_err(|_| UpstreamError::ConnectTimeout)?
+            .map_err(UpstreamError::NotConnected)?;
+        stream.set_nodelay(true).map_err(UpstreamError::NotConnected)?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(HEAD_MAX)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(NoAnswer::NotSent)?;
+            .map_err(UpstreamError::NotSent)?;
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {address} ended: {error}");
@@ -192,32 +196,32 @@
         mut sender: Sender,
         req: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Answer, (NoAnswer, Option<Request<Full<Bytes>>>)> {
+    ) -> Result<UpstreamResponse, (UpstreamError, Option<Request<Full<Bytes>>>)> {
         if let Err(error) = sender.ready().await {
-            return Err((NoAnswer::NotSent(error), Some(req)));
+            return Err((UpstreamError::NotSent(error), Some(req)));
         }
         let sent = timeout_at(deadline, sender.try_send_request(req)).await;
         let response = match sent {
-            Err(_) => return Err((NoAnswer::Timeout, None)),
+            Err(_) => return Err((UpstreamError::Timeout, None)),
             Ok(Ok(response)) => response,
             Ok(Err(mut failed)) => {
                 let unsent = failed.take_message();
                 let error = failed.into_error();
                 let error = match unsent {
-                    Some(_) => NoAnswer::NotSent(error),
-                    None => NoAnswer::Lost(error),
+                    Some(_) => UpstreamError::NotSent(error),
+                    None => UpstreamError::Lost(error),
                 };
                 return Err((error, unsent));
             }
         };
         let (head, body) = Response::into_parts(response);
-        Ok(Answer { head, body, sender: Some(sender), to, pool: self.clone() })
+        Ok(UpstreamResponse { head, body, sender: Some(sender), to, pool: self.clone() })
     }
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// The length that the answer's head announced, if it did.
-    pub fn announced(&self) -> Option<u64> {
+    pub fn content_length(&self) -> Option<u64> {
         use hyper::body::Body;
         self.body.size_hint().exact()
     }
@@ -249,7 +253,7 @@
     ///
     /// # Errors
     /// When the connection broke off before the end.
-    pub async fn whole(&mut self, limit: usize) -> Result<Option<Bytes>, hyper::Error> {
+    pub async fn collect_body(&mut self, limit: usize) -> Result<Option<Bytes>, hyper::Error> {
         let mut whole: Vec<Bytes> = Vec::new();
         let mut size = 0;
         while let Some(chunk) = self.next().await? {
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -1,6 +1,6 @@
 //! Connections between daemons, carrying Cap'n Proto RPC.
 
-use crate::auth::{Keys, NotTrusted};
+use crate::auth::{AuthError, Keys};
 use capnp::message::ReaderOptions;
 use capnp_rpc::RpcSystem;
 use capnp_rpc::rpc_twoparty_capnp::Side;
@@ -25,13 +25,13 @@
 type Network = VatNetwork<BufReader<tokio_util::compat::Compat<tokio::net::tcp::OwnedReadHalf>>>;
 
 /// A connection to another daemon; dropping it closes it.
-pub struct Link {
+pub struct RpcConnection {
     /// Calls go through this.
     pub peer: peer::Client,
     task: tokio::task::AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for RpcConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -50,9 +50,9 @@
 /// Connects to the daemon at `address`. Must be called on a `LocalSet`.
 ///
 /// # Errors
-/// [`NotTrusted`] when no connection is made within [`CONNECT_TIMEOUT`], or the
+/// [`AuthError`] when no connection is made within [`CONNECT_TIMEOUT`], or the
 /// other daemon does not know a key of `keys`.
-pub async fn connect(address: SocketAddr, keys: &Keys) -> Result<Link, NotTrusted> {
+pub async fn connect(address: SocketAddr, keys: &Keys) -> Result<RpcConnection, AuthError> {
     let mut stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -64,14 +64,10 @@
             log::debug!("connection to daemon {address} ended: {error}");
         }
     });
-    Ok(Link { peer, task: task.abort_handle() })
+    Ok(RpcConnection { peer, task: task.abort_handle() })
 }
 
-async fn serve(
-    mut stream: TcpStream,
-    service: peer::Client,
-    keys: &Keys,
-) -> Result<(), NotTrusted> {
+async fn serve(mut stream: TcpStream, service: peer::Client, keys: &Keys) -> Result<(), AuthError> {
     keys.check(&mut stream).await?;
     let system = RpcSystem::new(Box::new(network(stream, Side::Server)?), Some(service.client));
     if let Err(error) = system.await {
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -35,7 +35,7 @@
 
 /// Limits of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ServerLimits {
     /// Threads that answer.
     pub threads: usize,
     /// Connections at once; more wait to be accepted.
@@ -48,7 +48,7 @@
     pub stall_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for ServerLimits {
     fn default() -> Self {
         Self {
             threads: 2,
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// When the listener or a thread cannot be set up.
-    pub fn start<F, H>(listener: TcpListener, limits: Limits, make: F) -> io::Result<Self>
+    pub fn start<F, H>(listener: TcpListener, limits: ServerLimits, make: F) -> io::Result<Self>
     where
         F: Fn() -> H + Send + Sync + Clone + 'static,
         H: Handler,
@@ -170,7 +170,7 @@
 
 /// What is wrong with the body of a request.
 #[derive(Debug, displaydoc::Display)]
-pub enum BadBody {
+pub enum RequestBodyError {
     /// the body is over {0} bytes; send less
     TooLarge(usize),
     /// the body did not come in time; send it without pauses
@@ -179,22 +179,26 @@
     Broken,
 }
 
-impl std::error::Error for BadBody {}
+impl std::error::Error for RequestBodyError {}
 
 /// Reads a whole body of at most `limit` bytes within `time`.
 ///
 /// # Errors
-/// [`BadBody`]; the rest of the body is not read.
-pub async fn read_body(body: RequestBody, limit: usize, time: Duration) -> Result<Bytes, BadBody> {
+/// [`RequestBodyError`]; the rest of the body is not read.
+pub async fn read_body(
+    body: RequestBody,
+    limit: usize,
+    time: Duration,
+) -> Result<Bytes, RequestBodyError> {
     use xitca_web::body::Body;
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     let whole = collect(body, limit);
-    tokio::time::timeout(time, whole).await.unwrap_or(Err(BadBody::TooSlow))
+    tokio::time::timeout(time, whole).await.unwrap_or(Err(RequestBodyError::TooSlow))
 }
 
-async fn collect(body: RequestBody, limit: usize) -> Result<Bytes, BadBody> {
+async fn collect(body: RequestBody, limit: usize) -> Result<Bytes, RequestBodyError> {
     use xitca_web::body::{Body, Frame};
     let mut body = std::pin::pin!(body);
     let mut first: Option<Bytes> = None;
@@ -205,11 +209,11 @@
             None => break,
             Some(Ok(Frame::Data(chunk))) => chunk,
             Some(Ok(Frame::Trailers(_))) => continue,
-            Some(Err(_)) => return Err(BadBody::Broken),
+            Some(Err(_)) => return Err(RequestBodyError::Broken),
         };
         let size = first.as_ref().map_or(0, Bytes::len) + rest.len() + chunk.len();
         if size > limit {
-            return Err(BadBody::TooLarge(limit));
+            return Err(RequestBodyError::TooLarge(limit));
         }
         match &first {
             None => first = Some(chunk),
--- a/crates/transport/tests/auth.rs
+++ b/crates/transport/tests/auth.rs
@@ -5,7 +5,7 @@
 use tempfile::TempDir;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use yuccalink_transport::auth::{Keys, NotTrusted};
+use yuccalink_transport::auth::{AuthError, Keys};
 
 const OLD: &str = "0123456789abcdef0123456789abcdef";
 const NEW: &str = "fedcba9876543210fedcba9876543210";
@@ -16,7 +16,7 @@
     path
 }
 
-async fn meet(connecting: &Keys, accepting: &Keys) -> [Result<(), NotTrusted>; 2] {
+async fn meet(connecting: &Keys, accepting: &Keys) -> [Result<(), AuthError>; 2] {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let connect = async {
@@ -39,7 +39,7 @@
     let (old, new) = (keys("old", &[OLD]), keys("new", &[NEW]));
     assert!(meet(&old, &old).await.iter().all(Result::is_ok));
     let [_, refused] = meet(&old, &new).await;
-    assert!(matches!(refused, Err(NotTrusted::UnknownKey)), "{refused:?}");
+    assert!(matches!(refused, Err(AuthError::UnknownKey)), "{refused:?}");
     let none = Keys::open(None).expect("no keys");
     assert!(meet(&none, &none).await.iter().all(Result::is_ok));
     for (a, b) in [(&none, &old), (&old, &none)] {
@@ -106,7 +106,7 @@
         keys.check(&mut stream).await
     };
     let ((), result) = tokio::join!(nonsense, check);
-    assert!(matches!(result, Err(NotTrusted::NotADaemon)), "{result:?}");
+    assert!(matches!(result, Err(AuthError::NotADaemon)), "{result:?}");
 }
 
 #[test]
--- a/crates/yuccalink/tests/reports.rs
+++ b/crates/yuccalink/tests/reports.rs
@@ -23,7 +23,7 @@
     let cell = Cell::start(120);
     let mut sequence = 0;
     for entry in [2, 1] {
-        let orders = wait::until(Duration::from_secs(30), "an answer", || {
+        let orders = wait::wait_until(Duration::from_secs(30), "an answer", || {
             sequence += 1;
             report(&cell, entry, sequence)
         });
@@ -40,9 +40,9 @@
         sequence += 1;
         report(&cell, 2, sequence)
     };
-    wait::until(Duration::from_secs(30), "an answer", &mut next);
+    wait::wait_until(Duration::from_secs(30), "an answer", &mut next);
     cell.stop(2);
-    let named = wait::until(Duration::from_secs(30), "an answer while it stops", || {
+    let named = wait::wait_until(Duration::from_secs(30), "an answer while it stops", || {
         next().map(|orders| orders["report-to"].clone()).filter(|named| named.is_null())
     });
     assert!(named.is_null());
--- a/crates/yuccalinkd/src/cell.rs
+++ b/crates/yuccalinkd/src/cell.rs
@@ -5,7 +5,7 @@
 use std::ffi::OsString;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use yuccalink_daemon::cell::{CellConfig, CellConfigBuilder, Settings, policy};
+use yuccalink_daemon::cell::{CellConfig, CellConfigBuilder, SeedSource, policy};
 
 /// All settings, in the order of the help.
 pub(crate) const SETTINGS: [Setting<CellConfigBuilder>; 15] = [
@@ -56,14 +56,14 @@
         value: "yes|no",
         short: "whether the cell is new [no]",
         long: "The first of the seeds with a disk founds it, if that disk is empty.",
-        set: |config, text| Ok(config.found(yes(text)?)),
+        set: |config, text| Ok(config.bootstrap(yes(text)?)),
     },
     Setting {
         flag: "losses",
         value: "N",
         short: "disks that may be lost at once [1]",
         long: "Decides how many vote: 3 for 1, 5 for 2.",
-        set: |config, text| Ok(config.losses(args::number(text)?)),
+        set: |config, text| Ok(config.tolerated_disk_losses(args::number(text)?)),
     },
     Setting {
         flag: "callers",
@@ -157,7 +157,7 @@
 /// Flags do not change while a process runs.
 pub(crate) struct Flags(pub(crate) Vec<SocketAddr>);
 
-impl Settings for Flags {
+impl SeedSource for Flags {
     fn seeds(&self) -> Result<Vec<SocketAddr>, Box<str>> {
         Ok(self.0.clone())
     }
--- a/crates/yuccalinkd/tests/program.rs
+++ b/crates/yuccalinkd/tests/program.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 use yuccalink_fakes::runner::RunnerSettings;
-use yuccalink_fakes::wait::{name, until};
+use yuccalink_fakes::wait::{name, wait_until};
 use yuccalink_fakes::{Caller, FakeRunner};
 
 const DOCUMENT: &str = include_str!("../../../examples/quotes.toml");
@@ -90,7 +90,7 @@
         })
         .expect("a runner");
         let caller = Caller::new(self.callers);
-        until(Duration::from_secs(60), "a routed request", || {
+        wait_until(Duration::from_secs(60), "a routed request", || {
             let reply = caller.get("/quotes/prices/x").ok()?;
             (reply.status == 200).then_some(())
         });
@@ -217,7 +217,7 @@
     let served = runner.served();
     let slow = caller.header("fake-delay-ms", "4500");
     let in_flight = std::thread::spawn(move || slow.post("/quotes/invoices", b"one net"));
-    until(Duration::from_secs(60), "the request at the runner", || {
+    wait_until(Duration::from_secs(60), "the request at the runner", || {
         (runner.served() > served).then_some(())
     });
     running.signal("-TERM");
--- a/crates/yuccalinkd/tests/support/mod.rs
+++ b/crates/yuccalinkd/tests/support/mod.rs
@@ -10,13 +10,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 use tempfile::TempDir;
-use yuccalink_coordination::invariants::{RequestWatch, TaskWatch, Told};
+use yuccalink_coordination::invariants::{CallerOutcome, RequestChecker, TaskChecker};
 use yuccalink_fakes::runner::RunnerSettings;
 pub use yuccalink_fakes::wait::name;
 use yuccalink_fakes::worker::WorkerSettings;
-use yuccalink_fakes::{Caller, FakeRunner, FakeWorker, Reply};
+use yuccalink_fakes::{Caller, CallerResponse, FakeRunner, FakeWorker};
 use yuccalink_protocol::api::{Status, TargetView, TaskView};
-use yuccalink_protocol::problem::Ran;
+use yuccalink_protocol::problem::ExecutionStatus;
 use yuccalink_state::Resources;
 
 pub const VOTERS: usize = 3;
@@ -27,9 +27,9 @@
     [[request]]\nname = 'any'\npath = '/any'\nidempotent = true\ndeadline = '4s'\n\
     [[task]]\nname = 'k'\nprocessors = 1\nmemory = '10MiB'\nduration = '1s'\n";
 
-/// Waits as [`yuccalink_fakes::wait::until`] does.
+/// Waits as [`yuccalink_fakes::wait::wait_until`] does.
 pub fn until<T>(what: &str, found: impl FnMut() -> Option<T>) -> T {
-    yuccalink_fakes::wait::until(Duration::from_secs(30), what, found)
+    yuccalink_fakes::wait::wait_until(Duration::from_secs(30), what, found)
 }
 
 /// Loopback addresses that no other test of this machine uses, so that daemons
@@ -46,8 +46,8 @@
     pub children: Vec<Option<Child>>,
     pub runners: Vec<FakeRunner>,
     pub workers: Vec<FakeWorker>,
-    pub requests: Arc<Mutex<RequestWatch>>,
-    pub tasks: Arc<Mutex<TaskWatch>>,
+    pub requests: Arc<Mutex<RequestChecker>>,
+    pub tasks: Arc<Mutex<TaskChecker>>,
 }
 
 impl Daemons {
@@ -167,7 +167,7 @@
         })
     }
 
-    pub fn apply(&self, at: usize, version: u64) -> Result<Reply, String> {
+    pub fn apply(&self, at: usize, version: u64) -> Result<CallerResponse, String> {
         let text = DOCUMENT.replace("version = 1", &format!("version = {version}"));
         self.control(at).put("/v1/services/q", text.as_bytes())
     }
@@ -195,7 +195,7 @@
                 threads: 1,
             })
             .expect("a runner");
-            runner.watch(self.requests.clone());
+            runner.set_checker(self.requests.clone());
             self.runners.push(runner);
         }
         until("an owner of each runner", || {
@@ -222,7 +222,7 @@
                 entries: self.entries(),
             })
             .expect("a worker");
-            worker.watch(self.tasks.clone());
+            worker.set_checker(self.tasks.clone());
             self.workers.push(worker);
         }
         let have = self.runners.len() + count;
@@ -231,12 +231,12 @@
     }
 
     pub fn no_breach(&self) {
-        let requests = self.requests.lock().expect("a lock").breaches();
+        let requests = self.requests.lock().expect("a lock").violations();
         assert!(requests.is_empty(), "{requests:?}");
         let tasks = self.tasks.lock().expect("a lock");
-        assert!(tasks.breaches().is_empty(), "{:?}", tasks.breaches());
-        assert!(self.workers.iter().all(|worker| worker.over() == 0));
-        assert!(self.runners.iter().all(|runner| runner.most() <= 8));
+        assert!(tasks.violations().is_empty(), "{:?}", tasks.violations());
+        assert!(self.workers.iter().all(|worker| worker.overcommit_count() == 0));
+        assert!(self.runners.iter().all(|runner| runner.peak_requests() <= 8));
     }
 
     /// Callers that ask through the balancer until told to stop.
@@ -310,7 +310,7 @@
         }
     }
 
-    fn run(&self, caller: usize, entries: &[SocketAddr], watch: &Mutex<RequestWatch>) {
+    fn run(&self, caller: usize, entries: &[SocketAddr], watch: &Mutex<RequestChecker>) {
         let mut at = caller;
         let mut number = 0u64;
         while !self.stop.load(Ordering::SeqCst) {
@@ -322,15 +322,16 @@
             let Some(entry) = self.pick(entries, &mut at) else { continue };
             let mut told = self.ask(entry, tag, once, &label);
             // A caller that wants its invoice asks again with the same key.
-            while once && told == Some(Told::Unknown) && !self.stop.load(Ordering::SeqCst) {
+            while once && told == Some(CallerOutcome::Unknown) && !self.stop.load(Ordering::SeqCst)
+            {
                 let Some(entry) = self.pick(entries, &mut at) else { continue };
                 match self.ask(entry, tag, once, &label) {
-                    Some(Told::Unknown) | None => break,
+                    Some(CallerOutcome::Unknown) | None => break,
                     other => told = other,
                 }
             }
             if let Some(told) = told {
-                watch.lock().expect("a lock").told(&label, told);
+                watch.lock().expect("a lock").record_outcome(&label, told);
             }
         }
     }
@@ -347,7 +348,7 @@
     }
 
     /// `None` when the connection failed, which tells nothing.
-    fn ask(&self, entry: SocketAddr, tag: u64, once: bool, label: &str) -> Option<Told> {
+    fn ask(&self, entry: SocketAddr, tag: u64, once: bool, label: &str) -> Option<CallerOutcome> {
         let caller = Caller::new(entry).header("fake-tag", &tag.to_string());
         let caller = caller.header("fake-name", label).header("fake-delay-ms", "3");
         let reply = match once {
@@ -357,11 +358,11 @@
         let told = match &reply {
             Ok(reply) if reply.status == 200 => {
                 self.answered.fetch_add(1, Ordering::SeqCst);
-                return Some(Told::Answer(reply.text().parse().expect("a tag")));
+                return Some(CallerOutcome::Answer(reply.text().parse().expect("a tag")));
             }
             Ok(reply) => Some(match reply.problem().map(|problem| problem.ran) {
-                Some(Ran::NotRun) => Told::NotRun,
-                _ => Told::Unknown,
+                Some(ExecutionStatus::NotRun) => CallerOutcome::NotRun,
+                _ => CallerOutcome::Unknown,
             }),
             Err(_) => None,
         };
--- a/crates/yuccalinkd/tests/system.rs
+++ b/crates/yuccalinkd/tests/system.rs
@@ -10,7 +10,7 @@
 use yuccalink_operator::Client;
 use yuccalink_operator::command::{self, Command};
 use yuccalink_protocol::api::Status;
-use yuccalink_protocol::problem::Ran;
+use yuccalink_protocol::problem::ExecutionStatus;
 
 fn voters(status: &Status) -> Vec<String> {
     let voters = status.members.iter().filter(|member| member.voter);
@@ -85,7 +85,7 @@
     for entry in [3, 4] {
         let reply = Caller::new(daemons.callers(entry)).get("/q/any").expect("an answer");
         let problem = reply.problem().expect("a problem");
-        assert_eq!((reply.status, problem.ran), (503, Ran::NotRun), "{}", reply.text());
+        assert_eq!((reply.status, problem.ran), (503, ExecutionStatus::NotRun), "{}", reply.text());
         assert!(problem.retry_after_ms.is_some());
     }
     (0..VOTERS).for_each(|at| daemons.signal(at, "-CONT"));
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -21,7 +21,7 @@
         voters.push(Member { id, name: Name::new(&format!("e{number}"))?, address: "".into() });
         replicas.push(Raft::new(id, Restored::default(), number, now));
     }
-    replicas[0].found(Members { voters, learners: Vec::new() }, now);
+    replicas[0].bootstrap(Members { voters, learners: Vec::new() }, now);
 
     let mut words: Vec<&str> = vec!["nets", "returns", "quotes"];
     let mut agreed = 0;
