--- a/crates/coordination/benches/crashes.rs
+++ b/crates/coordination/benches/crashes.rs
@@ -53,8 +53,8 @@
             while owed >= 1.0 {
                 owed -= 1.0;
                 submitted += 1;
-                let (spec, truth) = step(6, 3, 900);
-                world.submit(JobId(submitted), job(spec), vec![truth]);
+                let (spec, behavior) = step(6, 3, 900);
+                world.submit(JobId(submitted), job(spec), vec![behavior]);
             }
             world.run_for(SECOND / 10);
             crash_by_chance(&mut world, options.runners);
@@ -95,9 +95,9 @@
         false => (1, options.guilty),
     };
     for at in 0..jobs {
-        let (spec, mut truth) = step(count, 3, 900);
-        truth.crash = Some(CRASH);
-        world.submit(JobId(FIRST_GUILTY + at), job(spec), vec![truth]);
+        let (spec, mut behavior) = step(count, 3, 900);
+        behavior.crash = Some(CRASH);
+        world.submit(JobId(FIRST_GUILTY + at), job(spec), vec![behavior]);
     }
 }
 
--- a/crates/coordination/benches/leader.rs
+++ b/crates/coordination/benches/leader.rs
@@ -111,12 +111,13 @@
         let now = self.now;
         self.runners[number].advance(now);
         let report = Box::new(self.runners[number].report(now));
-        let truth = TaskBehavior { run_time: WORK, actual_usage: NEED, ..TaskBehavior::default() };
+        let behavior =
+            TaskBehavior { run_time: WORK, actual_usage: NEED, ..TaskBehavior::default() };
         for answer in self.ask(CellRequest::Heartbeat(report)) {
             let CellResponse::Orders(orders) = answer else { continue };
             self.spent.heartbeats += 1;
             self.spent.starts += orders.start.len();
-            self.runners[number].apply_orders(now, now, &orders, |_| Some(truth));
+            self.runners[number].apply_orders(now, now, &orders, |_| Some(behavior));
         }
     }
 
--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -19,8 +19,8 @@
     Name::new(text).expect("a name")
 }
 
-fn machine(workers: u64, tasks: u32) -> StateMachine {
-    let mut machine = StateMachine::new();
+fn state(workers: u64, tasks: u32) -> StateMachine {
+    let mut state = StateMachine::new();
     let kind = TaskKind {
         name: name("k"),
         need: Resources { millicores: 700, memory_mib: 900, accelerators: 0 },
@@ -38,9 +38,9 @@
         disruption_tolerance: DisruptionTolerance::default(),
     };
     let apply = Apply { document, text: "".into(), digest: [0; 32], author: "a".into() };
-    machine.apply(Command::Apply(Box::new(apply)));
+    state.apply(Command::Apply(Box::new(apply)));
     for at in 0..workers {
-        machine.apply(Command::WorkerUp(Box::new(WorkerSpec {
+        state.apply(Command::WorkerUp(Box::new(WorkerSpec {
             name: name(&format!("w{at}")),
             incarnation: Incarnation(1),
             address: "127.0.0.1:1".into(),
@@ -49,7 +49,7 @@
             zone: name("z"),
         })));
     }
-    machine.apply(Command::Submit(TaskSubmission {
+    state.apply(Command::Submit(TaskSubmission {
         key: "k".into(),
         service: name("s"),
         kind: name("k"),
@@ -58,16 +58,16 @@
         payload: "".into(),
         at_ms: 0,
     }));
-    machine
+    state
 }
 
 fn placement() {
     println!("| workers | placements in a plan | us each |");
     println!("|---|---|---|");
     for workers in [50u64, 571, 16_000] {
-        let machine = machine(workers, 1_000);
+        let state = state(workers, 1_000);
         let started = Instant::now();
-        let placed = plan(&machine).decisions.len();
+        let placed = plan(&state).decisions.len();
         let each = started.elapsed().as_secs_f64() * 1e6 / placed as f64;
         println!("| {workers} | {placed} | {each:.1} |");
     }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -55,10 +55,10 @@
     /// # use yuccalink_state::{StateMachine, id::WorkerKey};
     /// assert!(Dispatch::new().due(Moment::ZERO, &StateMachine::new(), WorkerKey(0)).is_empty());
     /// ```
-    pub fn due(&mut self, now: Moment, machine: &StateMachine, worker: WorkerKey) -> Vec<DueOrder> {
+    pub fn due(&mut self, now: Moment, state: &StateMachine, worker: WorkerKey) -> Vec<DueOrder> {
         let mut due = Vec::new();
-        for task in machine.tasks_on_worker(worker) {
-            let Some(order) = order_for(machine, task) else { continue };
+        for task in state.tasks_on_worker(worker) {
+            let Some(order) = order_for(state, task) else { continue };
             let at = self.sent.entry((task.id, task.epoch, order)).or_insert(Moment::ZERO);
             let first = *at == Moment::ZERO;
             if first || now.since(*at) >= RESEND {
@@ -73,10 +73,10 @@
     }
 
     /// Forgets orders that the state no longer asks for.
-    pub fn tidy(&mut self, machine: &StateMachine) {
+    pub fn tidy(&mut self, state: &StateMachine) {
         self.sent.retain(|(id, epoch, order), _| {
-            let task = machine.task(*id).filter(|task| task.epoch == *epoch);
-            task.and_then(|task| order_for(machine, task)) == Some(*order)
+            let task = state.task(*id).filter(|task| task.epoch == *epoch);
+            task.and_then(|task| order_for(state, task)) == Some(*order)
         });
     }
 
@@ -96,13 +96,13 @@
     }
 }
 
-fn order_for(machine: &StateMachine, task: &Task) -> Option<Order> {
+fn order_for(state: &StateMachine, task: &Task) -> Option<Order> {
     use yuccalink_state::task::StopReason;
     match task.phase {
         TaskPhase::Placed(_) => Some(Order::Start),
         TaskPhase::Stopping(_, StopReason::Cancel) => Some(Order::Stop),
         TaskPhase::Stopping(_, StopReason::Evict) => {
-            let checkpoint = machine.document_of(task).disruption_tolerance.checkpoint;
+            let checkpoint = state.document_of(task).disruption_tolerance.checkpoint;
             Some(if checkpoint { Order::Checkpoint } else { Order::Stop })
         }
         TaskPhase::Waiting | TaskPhase::Running(_) | TaskPhase::Ended(_) => None,
@@ -131,12 +131,12 @@
     /// Compares one heartbeat with the state.
     pub fn compare(
         &mut self,
-        machine: &StateMachine,
+        state: &StateMachine,
         worker: WorkerKey,
         held: &[(TaskId, Epoch)],
     ) -> Differences {
         let mut found = Differences::default();
-        for task in machine.tasks_on_worker(worker) {
+        for task in state.tasks_on_worker(worker) {
             let at = (task.id, task.epoch);
             let running = matches!(task.phase, TaskPhase::Running(_) | TaskPhase::Stopping(..));
             if !running || held.contains(&at) {
@@ -151,7 +151,7 @@
             }
         }
         let should = |id: &TaskId, epoch: &Epoch| {
-            let task = machine.task(*id);
+            let task = state.task(*id);
             task.is_some_and(|t| t.epoch == *epoch && t.worker() == Some(worker))
         };
         found.stray.extend(held.iter().filter(|(id, epoch)| !should(id, epoch)));
--- a/crates/coordination/src/entries.rs
+++ b/crates/coordination/src/entries.rs
@@ -104,17 +104,17 @@
 
     /// Takes in a hello, which renews the sender's lease. True when another run
     /// of its daemon was known before.
-    pub fn record_report(&mut self, now: Moment, hello: &EntryReport) -> bool {
+    pub fn record_report(&mut self, now: Moment, report: &EntryReport) -> bool {
         let entry = EntryRecord {
-            incarnation: hello.incarnation,
-            caller_address: hello.caller_address.clone(),
-            zone: hello.zone.clone(),
-            acked_revision: hello.acked_revision,
+            incarnation: report.incarnation,
+            caller_address: report.caller_address.clone(),
+            zone: report.zone.clone(),
+            acked_revision: report.acked_revision,
             last_heard: now,
-            draining: hello.draining,
+            draining: report.draining,
         };
-        let before = self.all.insert(hello.name.clone(), entry);
-        before.is_some_and(|known| known.incarnation != hello.incarnation)
+        let before = self.all.insert(report.name.clone(), entry);
+        before.is_some_and(|known| known.incarnation != report.incarnation)
     }
 
     /// Forgets an entry that said it has stopped serving.
--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -46,16 +46,16 @@
 /// # use yuccalink_coordination::invariants::commitments;
 /// assert!(commitments(&yuccalink_state::StateMachine::new()).is_empty());
 /// ```
-pub fn commitments(machine: &StateMachine) -> Vec<Violation> {
+pub fn commitments(state: &StateMachine) -> Vec<Violation> {
     let mut sums: BTreeMap<WorkerKey, Resources> = BTreeMap::new();
-    for task in machine.tasks() {
+    for task in state.tasks() {
         if let Some(key) = task.worker() {
             let sum = sums.entry(key).or_default();
             *sum = sum.plus(task.need).unwrap_or(*sum);
         }
     }
     let mut found = Vec::new();
-    for (key, worker) in machine.workers() {
+    for (key, worker) in state.workers() {
         let sum = sums.get(&key).copied().unwrap_or_default();
         if sum != worker.committed {
             found.push(Violation::WrongSum(worker.spec.name.clone()));
@@ -167,8 +167,8 @@
         let held = self.held.entry(runner.into()).or_default();
         *held += 1;
         if *held > slots {
-            let breach = Violation::OverSlots { runner: runner.into(), held: *held, slots };
-            self.violations.push(breach);
+            let violation = Violation::OverSlots { runner: runner.into(), held: *held, slots };
+            self.violations.push(violation);
         }
     }
 
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -141,10 +141,10 @@
         let mut all_ends = ends;
         self.collect_never_started(now, key, &ended, &mut all_ends);
         self.judge_runs(now, key);
-        let neighbours = self.pace(now, key);
+        let colocation = self.pace(now, key);
         self.measure_room(key, &ended);
         let starts = match offer {
-            Offer::Work => self.pick(now, key, neighbours),
+            Offer::Work => self.pick(now, key, colocation),
             Offer::Nothing => Vec::new(),
         };
         self.commit_report(now, token, key, report, all_ends, starts);
@@ -158,13 +158,13 @@
             let Some(task) = end.task else { continue };
             let held = self.state.is_assigned(key, task, end.run);
             if held && !self.ending.contains(&(task, end.run)) {
-                let saved = end.checkpoint.clone();
+                let checkpoint = end.checkpoint.clone();
                 ends.push(RunEnd {
                     task,
                     run: end.run,
                     incarnation: key,
                     outcome: end.outcome,
-                    checkpoint: saved,
+                    checkpoint,
                 });
             }
         }
@@ -334,13 +334,13 @@
         runner.proposed = runner.proposed.max(newest);
         let at = self.next_heartbeat;
         self.next_heartbeat += 1;
-        let noted = runner.proposed;
+        let acked_through = runner.proposed;
         let since = now.at;
         let waiting = PendingHeartbeat {
             token,
             incarnation: key,
             commands,
-            acked_through: noted,
+            acked_through,
             since,
             answered: false,
         };
@@ -390,7 +390,7 @@
             );
         }
         let stop = self.stop_orders(runner);
-        let noted = runner.acked_through;
+        let acked_through = runner.acked_through;
         let has_room = runner.takes_tasks() && runner.free.millicores > 0;
         let retry = if has_room { pause } else { REPORT_FULL.max(pause) };
         let retry = retry.min(self.cfg.heartbeat);
@@ -406,7 +406,7 @@
         let orders = RunnerOrders {
             lease_ms: millis(self.cfg.lease),
             token: self.term,
-            acked_through: noted,
+            acked_through,
             start,
             stop,
             rates,
@@ -448,8 +448,8 @@
                 continue;
             };
             let payload = job.spec.payload.as_ref().into();
-            let saved = state.checkpoint.clone();
-            orders.push(StartOrder { task, run, payload, checkpoint: saved, ticket });
+            let checkpoint = state.checkpoint.clone();
+            orders.push(StartOrder { task, run, payload, checkpoint, ticket });
         }
         orders
     }
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -193,7 +193,7 @@
 
     /// The state, for a replica that no longer leads. Whoever waits for an answer
     /// is told nothing: what it asked may yet be decided.
-    pub fn into_jobs(self) -> CellState {
+    pub fn into_state(self) -> CellState {
         self.state
     }
 
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -42,13 +42,13 @@
             let seen = seen(runner, task, run);
             self.log_lost(now, incarnation, why, (task, run), seen);
             let view = runner.and_then(|runner| runner.view(task, run));
-            let saved = view.map_or_else(Box::default, |view| view.checkpoint.clone());
-            let how = match (why, seen.filter(|_| !leaves)) {
+            let checkpoint = view.map_or_else(Box::default, |view| view.checkpoint.clone());
+            let outcome = match (why, seen.filter(|_| !leaves)) {
                 (Why::Left, _) | (_, None) => RunOutcome::Gone,
                 (Why::NextLife, Some(seen)) => RunOutcome::Crashed(seen),
                 (Why::Lease, Some(seen)) => RunOutcome::Silent(seen),
             };
-            ends.push(RunEnd { task, run, incarnation, outcome: how, checkpoint: saved });
+            ends.push(RunEnd { task, run, incarnation, outcome, checkpoint });
         }
     }
 
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -96,27 +96,27 @@
         let policy = &self.cfg.policy;
         let Some(runner) = self.runners.get(&key) else { return Colocation::default() };
         let figures = figures(runner, &self.ready);
-        let mut neighbours = self.neighbours(now, runner);
+        let mut colocation = self.colocation(now, runner);
         if !figures.is_empty() {
-            learn(now, &figures, &mut self.interference, &mut self.loads, &neighbours.filling);
-            neighbours = self.neighbours(now, runner);
+            learn(now, &figures, &mut self.interference, &mut self.loads, &colocation.filling);
+            colocation = self.colocation(now, runner);
         }
         let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
-        runner.serves = neighbours.only_serving();
-        neighbours.over = runner.is_over(now.at, &figures, policy.standstill);
-        let allowances = match (neighbours.over, policy.pacing.mode) {
-            (true, _) => stand_still(&neighbours),
+        runner.serves = colocation.only_serving();
+        colocation.over = runner.is_over(now.at, &figures, policy.standstill);
+        let allowances = match (colocation.over, policy.pacing.mode) {
+            (true, _) => stand_still(&colocation),
             (false, Switch::On) => {
-                allowances(&neighbours, &self.interference, &policy.pacing, &policy.moving)
+                allowances(&colocation, &self.interference, &policy.pacing, &policy.moving)
             }
-            (false, Switch::Off) => at_full_pace(&neighbours),
+            (false, Switch::Off) => at_full_pace(&colocation),
         };
-        self.hold_back(now, key, &allowances, neighbours.least_own());
-        neighbours
+        self.hold_back(now, key, &allowances, colocation.least_own());
+        colocation
     }
 
     /// Who shares a runner, by its last report and by what is on its way there.
-    pub(super) fn neighbours(&self, now: Now, runner: &Runner) -> Colocation {
+    pub(super) fn colocation(&self, now: Now, runner: &Runner) -> Colocation {
         let sharing = self.cfg.policy.sharing;
         Colocation::of(now.at, runner, &self.state, &self.ready, &self.loads, sharing)
     }
@@ -183,26 +183,26 @@
 }
 
 /// All that may disturb stops working.
-fn stand_still(neighbours: &Colocation) -> Vec<Allowance> {
+fn stand_still(colocation: &Colocation) -> Vec<Allowance> {
     let still = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 0.0, hard: false };
-    neighbours.at_full_pace.iter().map(still).collect()
+    colocation.at_full_pace.iter().map(still).collect()
 }
 
-fn at_full_pace(neighbours: &Colocation) -> Vec<Allowance> {
+fn at_full_pace(colocation: &Colocation) -> Vec<Allowance> {
     let full = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 1.0, hard: false };
-    neighbours.at_full_pace.iter().map(full).collect()
+    colocation.at_full_pace.iter().map(full).collect()
 }
 
 /// What all margins together allow each image.
 fn allowances(
-    neighbours: &Colocation,
+    colocation: &Colocation,
     learnt: &Interference,
     pacing: &PacingPolicy,
     moving: &MovingPolicy,
 ) -> Vec<Allowance> {
-    let mut all = at_full_pace(neighbours);
-    for serving in &neighbours.serving {
-        let pressures: Vec<Pressure> = neighbours
+    let mut all = at_full_pace(colocation);
+    for serving in &colocation.serving {
+        let pressures: Vec<Pressure> = colocation
             .at_full_pace
             .iter()
             .map(|fill| Pressure {
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -19,7 +19,7 @@
         &mut self,
         now: Now,
         key: IncarnationKey,
-        neighbours: Colocation,
+        colocation: Colocation,
     ) -> Vec<RunStart> {
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let trust = self.trust(now, runner);
@@ -30,7 +30,7 @@
             starts: Vec::new(),
             free: runner.free,
             most: starts_allowed(trust, runner),
-            neighbours,
+            colocation,
         };
         if self.trial_on(now, runner).is_some() {
             return Vec::new();
@@ -42,7 +42,7 @@
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let kept_free = self.kept_free.get(&key).is_some_and(|kept| now.at < kept.until);
         let mut later = Vec::new();
-        let serves_nothing = chosen.neighbours.serving.is_empty();
+        let serves_nothing = chosen.colocation.serving.is_empty();
         for WaitingStep { group, step, .. } in self.offered(&chosen) {
             if !chosen.free.covers(step.reserved) {
                 continue;
@@ -80,10 +80,10 @@
     }
 
     fn take_chosen(&mut self, key: IncarnationKey, chosen: Chosen) -> Vec<RunStart> {
-        let Chosen { starts, free, neighbours, .. } = chosen;
+        let Chosen { starts, free, colocation, .. } = chosen;
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
-            runner.serves = neighbours.only_serving();
+            runner.serves = colocation.only_serving();
         }
         starts
     }
@@ -92,7 +92,7 @@
     fn offered(&self, chosen: &Chosen) -> Vec<WaitingStep<'_>> {
         let fits = |waiting: WaitingStep<'_>| chosen.free.covers(waiting.step.reserved);
         match self.in_turn().any(fits) {
-            true => self.order_for(&chosen.neighbours),
+            true => self.order_for(&chosen.colocation),
             false => Vec::new(),
         }
     }
@@ -130,7 +130,7 @@
                 return;
             }
             chosen.free = saturating_sub(chosen.free, info.reserved);
-            chosen.neighbours.started(now.at, info, &self.loads, group);
+            chosen.colocation.started(now.at, info, &self.loads, group);
             chosen.starts.push(RunStart { task, run, incarnation: runner.key });
             seats -= 1;
         }
@@ -228,7 +228,7 @@
     pub(super) starts: Vec<RunStart>,
     pub(super) free: Resources,
     pub(super) most: usize,
-    pub(super) neighbours: Colocation,
+    pub(super) colocation: Colocation,
 }
 
 /// A runner that is only being tried gets one task at a time.
--- a/crates/coordination/src/jobs/report.rs
+++ b/crates/coordination/src/jobs/report.rs
@@ -52,7 +52,7 @@
     pub(super) fn log_load(&self, now: Now) {
         let mut load = Load::default();
         for runner in self.runners.values() {
-            let beside = self.neighbours(now, runner);
+            let beside = self.colocation(now, runner);
             load.mixed += usize::from(beside.serving.len() > 1);
             load.serving += usize::from(!beside.serving.is_empty());
             load.paced += usize::from(runner.paces.values().any(|pace| *pace < 100));
--- a/crates/coordination/src/jobs/suits.rs
+++ b/crates/coordination/src/jobs/suits.rs
@@ -171,25 +171,25 @@
         chosen: &mut Chosen,
     ) -> bool {
         let since = self.ready.since(group).unwrap_or(now.at);
-        let neighbours = &mut chosen.neighbours;
+        let colocation = &mut chosen.colocation;
         match step.kind {
             StepKind::Background => {
-                let spare = !step.opportunistic || neighbours.has_spare(step);
-                if spare && neighbours.bears(step, &self.interference) {
+                let spare = !step.opportunistic || colocation.has_spare(step);
+                if spare && colocation.bears(step, &self.interference) {
                     return true;
                 }
                 let policy = &self.cfg.policy.patience;
                 policy.mode.is_on()
                     && now.at.since(since) > policy.after.to_duration()
-                    && self.is_idle(&neighbours.pool)
+                    && self.is_idle(&colocation.pool)
                     && chosen.starts.iter().all(|start| start.task.job != group.job)
                     && self.runs_of(now, group.job) == 0
             }
             StepKind::Serving => {
                 let own = step.image;
-                let alike = neighbours.serving.iter().all(|serving| Some(serving.image) == own);
+                let alike = colocation.serving.iter().all(|serving| Some(serving.image) == own);
                 let settled = self.has_waited_alike(now, group);
-                match neighbours.serving.is_empty() {
+                match colocation.serving.is_empty() {
                     true => settled || !self.room_beside_alike(now, step),
                     false => alike || settled,
                 }
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -313,7 +313,7 @@
         );
         if let Some(step) = self.ready.step_of(start.task) {
             chosen.free = saturating_sub(chosen.free, step.reserved);
-            chosen.neighbours.started(now.at, step, &self.loads, StepKey::of(start.task));
+            chosen.colocation.started(now.at, step, &self.loads, StepKey::of(start.task));
         }
         chosen.starts.push(start);
         self.counts.tried += 1;
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -70,8 +70,8 @@
 /// # use yuccalink_state::{StateMachine, Resources};
 /// assert_eq!(possible(&StateMachine::new(), Resources::ZERO), Err(Impossible::NoWorker));
 /// ```
-pub fn possible(machine: &StateMachine, need: Resources) -> Result<(), Impossible> {
-    let known = || machine.workers().filter(|(_, w)| w.phase != WorkerPhase::Gone);
+pub fn possible(state: &StateMachine, need: Resources) -> Result<(), Impossible> {
+    let known = || state.workers().filter(|(_, w)| w.phase != WorkerPhase::Gone);
     if known().any(|(_, worker)| worker.spec.capacity.covers(need)) {
         return Ok(());
     }
@@ -105,10 +105,10 @@
 /// # use yuccalink_coordination::placement::{plan, Plan};
 /// assert_eq!(plan(&yuccalink_state::StateMachine::new()), Plan::default());
 /// ```
-pub fn plan(machine: &StateMachine) -> Plan {
-    let mut planner = Planner::new(machine);
+pub fn plan(state: &StateMachine) -> Plan {
+    let mut planner = Planner::new(state);
     let mut plan = Plan::default();
-    for task in machine.waiting() {
+    for task in state.waiting() {
         if plan.decisions.len() == PLAN_MAX {
             break;
         }
@@ -121,15 +121,15 @@
 }
 
 struct Planner<'a> {
-    machine: &'a StateMachine,
+    state: &'a StateMachine,
     rooms: Vec<Room>,
     full_for: HashSet<Resources>,
     neighbours: Option<Neighbours>,
 }
 
 impl<'a> Planner<'a> {
-    fn new(machine: &'a StateMachine) -> Self {
-        let live = machine.workers().filter(|(_, w)| w.phase == WorkerPhase::Live);
+    fn new(state: &'a StateMachine) -> Self {
+        let live = state.workers().filter(|(_, w)| w.phase == WorkerPhase::Live);
         let rooms = live.map(|(key, worker)| Room {
             key,
             free: worker.free(),
@@ -138,7 +138,7 @@
             zone: worker.spec.zone.clone(),
         });
         let rooms = rooms.collect();
-        Self { machine, rooms, full_for: HashSet::new(), neighbours: None }
+        Self { state, rooms, full_for: HashSet::new(), neighbours: None }
     }
 
     fn place(&mut self, task: &Task) -> Option<Decision> {
@@ -147,7 +147,7 @@
         if self.full_for.contains(&task.need) {
             return None;
         }
-        let kind = self.machine.kind_of(task);
+        let kind = self.state.kind_of(task);
         let spread = kind.map_or(Spread::None, |kind| kind.spread);
         let class = kind.map_or(TaskClass::Batch, |kind| kind.class);
         let near = self.neighbours_of(task, spread);
@@ -179,8 +179,8 @@
         if spread == Spread::None {
             return HashMap::new();
         }
-        let machine = self.machine;
-        let all = self.neighbours.get_or_insert_with(|| count_neighbours(machine));
+        let state = self.state;
+        let all = self.neighbours.get_or_insert_with(|| count_neighbours(state));
         all.get(&(task.service, task.kind.clone())).cloned().unwrap_or_default()
     }
 
@@ -192,11 +192,11 @@
     }
 }
 
-fn count_neighbours(machine: &StateMachine) -> Neighbours {
+fn count_neighbours(state: &StateMachine) -> Neighbours {
     let mut all = Neighbours::new();
-    for (key, worker) in machine.workers() {
-        for task in machine.tasks_on_worker(key) {
-            let place = match machine.kind_of(task).map(|kind| kind.spread) {
+    for (key, worker) in state.workers() {
+        for task in state.tasks_on_worker(key) {
+            let place = match state.kind_of(task).map(|kind| kind.spread) {
                 Some(Spread::Racks) => &worker.spec.rack,
                 Some(Spread::Zones) => &worker.spec.zone,
                 Some(Spread::None) | None => continue,
--- a/crates/coordination/src/pressure.rs
+++ b/crates/coordination/src/pressure.rs
@@ -57,16 +57,16 @@
     /// ```
     pub fn note(
         &mut self,
-        machine: &StateMachine,
+        state: &StateMachine,
         worker: WorkerKey,
         used_millicores: u64,
     ) -> (Vec<Throttle>, Option<PressureChange>) {
-        let critical = machine
+        let critical = state
             .tasks_on_worker(worker)
-            .any(|task| machine.class_of(task) == TaskClass::LatencyCritical);
+            .any(|task| state.class_of(task) == TaskClass::LatencyCritical);
         let was = self.pressed.contains(&worker);
         let from = if was { EASED_BELOW } else { PRESSED_FROM };
-        let is = critical && used_share(machine, worker, used_millicores) >= from;
+        let is = critical && used_share(state, worker, used_millicores) >= from;
         let turn = match (was, is) {
             (false, true) => Some(PressureChange::Pressed),
             (true, false) => Some(PressureChange::Eased),
@@ -77,20 +77,20 @@
             return (Vec::new(), turn);
         }
         self.pressed.insert(worker);
-        let throttles = machine.tasks_on_worker(worker).filter(|task| may_throttle(machine, task));
+        let throttles = state.tasks_on_worker(worker).filter(|task| may_throttle(state, task));
         (throttles.map(|task| Throttle { task: task.id, epoch: task.epoch }).collect(), turn)
     }
 }
 
 /// In thousandths of what the worker has.
-fn used_share(machine: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
-    let all = machine.worker_at(worker).spec.capacity.millicores;
+fn used_share(state: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
+    let all = state.worker_at(worker).spec.capacity.millicores;
     used_millicores.saturating_mul(1000) / all.max(1)
 }
 
-fn may_throttle(machine: &StateMachine, task: &Task) -> bool {
-    machine.document_of(task).disruption_tolerance.throttle
+fn may_throttle(state: &StateMachine, task: &Task) -> bool {
+    state.document_of(task).disruption_tolerance.throttle
         && !task.urgent
         && matches!(task.phase, TaskPhase::Running(_))
-        && machine.class_of(task) == TaskClass::Batch
+        && state.class_of(task) == TaskClass::Batch
 }
--- a/crates/coordination/src/scenario/world.rs
+++ b/crates/coordination/src/scenario/world.rs
@@ -125,7 +125,7 @@
 
 struct World {
     now: Moment,
-    machine: StateMachine,
+    state: StateMachine,
     directory: Directory,
     entries: EntryTable,
     dispatch: Dispatch,
@@ -135,8 +135,8 @@
     fakes: Vec<FakeEntry>,
     tasks: BTreeMap<Box<str>, TaskId>,
     requests: BTreeMap<Box<str>, Request>,
-    task_watch: TaskChecker,
-    request_watch: RequestChecker,
+    task_checker: TaskChecker,
+    request_checker: RequestChecker,
     next_run: u64,
 }
 
@@ -148,7 +148,7 @@
     fn new(scenario: &Scenario) -> Self {
         let mut world = Self {
             now: START,
-            machine: StateMachine::new(),
+            state: StateMachine::new(),
             directory: Directory::new(),
             entries: EntryTable::new(Moment::ZERO),
             dispatch: Dispatch::new(),
@@ -158,8 +158,8 @@
             fakes: Vec::new(),
             tasks: BTreeMap::new(),
             requests: BTreeMap::new(),
-            task_watch: TaskChecker::default(),
-            request_watch: RequestChecker::default(),
+            task_checker: TaskChecker::default(),
+            request_checker: RequestChecker::default(),
             next_run: 1,
         };
         world.set_up(scenario);
@@ -252,7 +252,7 @@
             disruption_tolerance,
         };
         let apply = Apply { document, text: "".into(), digest: [0; 32], author: "scenario".into() };
-        self.machine.apply(Command::Apply(Box::new(apply)));
+        self.state.apply(Command::Apply(Box::new(apply)));
     }
 
     fn advance(&mut self, to: Moment) {
--- a/crates/coordination/src/scenario/world/events.rs
+++ b/crates/coordination/src/scenario/world/events.rs
@@ -8,12 +8,12 @@
             Event::Submit { name, kind, count, urgent } => self.submit(name, kind, *count, *urgent),
             Event::Cancel(name) => {
                 let ids = self.ids(name)?;
-                self.machine.apply(Command::Cancel(ids));
+                self.state.apply(Command::Cancel(ids));
                 Ok(())
             }
             Event::Evict(name) => {
                 let ids = self.ids(name)?;
-                self.machine.apply(Command::Evict(ids));
+                self.state.apply(Command::Evict(ids));
                 Ok(())
             }
             Event::Finish(name) => self.end(name, &TaskEvent::Finished),
@@ -47,7 +47,7 @@
             payload: "".into(),
             at_ms: 0,
         };
-        match self.machine.apply(Command::Submit(submit)) {
+        match self.state.apply(Command::Submit(submit)) {
             Outcome::Submitted { first, .. } => {
                 for at in 0..count {
                     let label = if count == 1 { name.into() } else { format!("{name}.{}", at + 1) };
@@ -80,8 +80,8 @@
             let Some(worker) = holder else { return Err(format!("{name} runs nowhere").into()) };
             let Some(epoch) = worker.running.remove(&task) else { continue };
             match event {
-                TaskEvent::Finished => self.task_watch.finished(task, epoch),
-                _ => self.task_watch.stopped(task, epoch),
+                TaskEvent::Finished => self.task_checker.finished(task, epoch),
+                _ => self.task_checker.stopped(task, epoch),
             }
             worker.reports.push(TaskReport { task, epoch, event: event.clone() });
         }
@@ -121,7 +121,7 @@
         let run = self.run_number();
         if let Some(worker) = self.workers.iter_mut().find(|w| w.spec.name == *name) {
             for (task, epoch) in std::mem::take(&mut worker.running) {
-                self.task_watch.stopped(task, epoch);
+                self.task_checker.stopped(task, epoch);
             }
             worker.spec.incarnation = run;
             worker.known = false;
@@ -157,7 +157,7 @@
     ) -> Result<(), Box<str>> {
         let at = self.fakes.iter().position(|fake| fake.name == *entry);
         let at = at.ok_or_else(|| format!("no entry is called {entry}"))?;
-        self.request_watch.sent(name, 0, true);
+        self.request_checker.sent(name, 0, true);
         let deadline = self.now + deadline;
         let fake = &mut self.fakes[at];
         let state = if fake.lease.holds(self.now) {
@@ -168,7 +168,9 @@
         };
         let mut request = Request { entry: at, deadline, state: RequestState::NotRun };
         match state {
-            Admission::Refuse(..) => self.request_watch.record_outcome(name, CallerOutcome::NotRun),
+            Admission::Refuse(..) => {
+                self.request_checker.record_outcome(name, CallerOutcome::NotRun)
+            }
             Admission::Wait(ticket) => request.state = RequestState::Waiting(ticket),
             Admission::Granted(_) => {}
         }
@@ -190,7 +192,7 @@
         };
         if let Some(fake) = self.runners.iter_mut().find(|fake| fake.spec.name == runner) {
             fake.busy = fake.busy.saturating_sub(1);
-            self.request_watch.done(runner.as_str());
+            self.request_checker.done(runner.as_str());
         }
         let at = request.entry;
         let mut turns = Vec::new();
--- a/crates/coordination/src/scenario/world/expectations.rs
+++ b/crates/coordination/src/scenario/world/expectations.rs
@@ -28,7 +28,7 @@
 
     pub(super) fn state_of(&self, name: &str) -> Result<String, Box<str>> {
         if let Some(id) = self.tasks.get(name) {
-            let phase = self.machine.task(*id).map(|task| &task.phase);
+            let phase = self.state.task(*id).map(|task| &task.phase);
             let found = match phase {
                 None => "forgotten",
                 Some(TaskPhase::Waiting) => "waiting",
@@ -54,8 +54,8 @@
 
     pub(super) fn place_of(&self, name: &str) -> Result<Option<Name>, Box<str>> {
         if let Some(id) = self.tasks.get(name) {
-            let key: Option<WorkerKey> = self.machine.task(*id).and_then(|task| task.worker());
-            return Ok(key.map(|key| self.machine.worker_at(key).spec.name.clone()));
+            let key: Option<WorkerKey> = self.state.task(*id).and_then(|task| task.worker());
+            return Ok(key.map(|key| self.state.worker_at(key).spec.name.clone()));
         }
         let request = self.requests.get(name).ok_or_else(|| format!("nothing is called {name}"))?;
         Ok(match &request.state {
@@ -74,12 +74,12 @@
     }
 
     pub(super) fn check(&self) -> Result<(), Box<str>> {
-        let mut found = invariants::commitments(&self.machine);
-        found.extend(self.task_watch.violations().iter().cloned());
-        found.extend(self.request_watch.violations());
+        let mut found = invariants::commitments(&self.state);
+        found.extend(self.task_checker.violations().iter().cloned());
+        found.extend(self.request_checker.violations());
         match found.first() {
             None => Ok(()),
-            Some(breach) => Err(format!("a promise is broken: {breach}").into()),
+            Some(violation) => Err(format!("a promise is broken: {violation}").into()),
         }
     }
 }
--- a/crates/coordination/src/scenario/world/routing.rs
+++ b/crates/coordination/src/scenario/world/routing.rs
@@ -102,7 +102,7 @@
         let Some(runner) = router.runner(grant.runner).map(|r| r.spec.name.clone()) else { return };
         if let Some(fake) = self.runners.iter_mut().find(|fake| fake.spec.name == runner) {
             fake.busy += 1;
-            self.request_watch.ran(name, runner.as_str(), fake.spec.slots);
+            self.request_checker.ran(name, runner.as_str(), fake.spec.slots);
         }
         request.state = RequestState::At(grant, runner);
     }
@@ -119,7 +119,7 @@
             if let RequestState::Waiting(ticket) = request.state {
                 self.fakes[request.entry].router.abandon(ticket);
                 request.state = RequestState::NotRun;
-                self.request_watch.record_outcome(&name, CallerOutcome::NotRun);
+                self.request_checker.record_outcome(&name, CallerOutcome::NotRun);
             }
         }
     }
--- a/crates/coordination/src/scenario/world/tasks.rs
+++ b/crates/coordination/src/scenario/world/tasks.rs
@@ -10,7 +10,7 @@
                 continue;
             }
             for (task, epoch) in std::mem::take(&mut worker.running) {
-                self.task_watch.stopped(task, epoch);
+                self.task_checker.stopped(task, epoch);
                 worker.reports.push(TaskReport { task, epoch, event: TaskEvent::Stopped });
             }
         }
@@ -39,16 +39,16 @@
             if self.directory.announce(self.now, target, 0) != HeartbeatOutcome::Noted {
                 return false;
             }
-            if let Some(former) = workers::previous_incarnation(&self.machine, &spec) {
-                self.machine.apply(Command::WorkerGone(spec.name.clone(), former));
+            if let Some(former) = workers::previous_incarnation(&self.state, &spec) {
+                self.state.apply(Command::WorkerGone(spec.name.clone(), former));
             }
-            let up = self.machine.apply(Command::WorkerUp(Box::new(spec)));
+            let up = self.state.apply(Command::WorkerUp(Box::new(spec)));
             self.workers[at].known = matches!(up, Outcome::WorkerUp(_));
             return self.workers[at].known;
         }
         let usage = Usage::default();
         let heard = self.directory.heartbeat(self.now, &spec.name, spec.incarnation, usage);
-        let record = self.machine.worker(&spec.name);
+        let record = self.state.worker(&spec.name);
         let gone = record.is_none_or(|(_, worker)| worker.phase == WorkerPhase::Gone);
         if heard != HeartbeatOutcome::Noted || gone {
             worker.known = false;
@@ -57,35 +57,34 @@
         let reports = std::mem::take(&mut worker.reports);
         if worker.leaving {
             self.directory.leave(&spec.name, spec.incarnation);
-            self.machine.apply(Command::WorkerLeaving(spec.name, spec.incarnation));
+            self.state.apply(Command::WorkerLeaving(spec.name, spec.incarnation));
         }
-        self.machine.apply(Command::Report(reports.into()));
+        self.state.apply(Command::Report(reports.into()));
         true
     }
 
     pub(super) fn give_up_workers(&mut self) {
-        for (name, run) in workers::expired_workers(&self.machine, &self.directory, START, self.now)
-        {
-            self.machine.apply(Command::WorkerGone(name.clone(), run));
+        for (name, run) in workers::expired_workers(&self.state, &self.directory, START, self.now) {
+            self.state.apply(Command::WorkerGone(name.clone(), run));
             self.directory.drop_worker(&name);
         }
     }
 
     pub(super) fn place(&mut self) {
-        let plan = placement::plan(&self.machine);
+        let plan = placement::plan(&self.state);
         if !plan.decisions.is_empty() {
-            self.machine.apply(Command::Place(plan.placements()));
+            self.state.apply(Command::Place(plan.placements()));
         }
     }
 
     pub(super) fn deliver_orders(&mut self) {
         for at in 0..self.workers.len() {
             let spec = &self.workers[at].spec;
-            let Some((key, record)) = self.machine.worker(&spec.name) else { continue };
+            let Some((key, record)) = self.state.worker(&spec.name) else { continue };
             if record.spec.incarnation != spec.incarnation {
                 continue;
             }
-            let due = self.dispatch.due(self.now, &self.machine, key);
+            let due = self.dispatch.due(self.now, &self.state, key);
             let mut reports = Vec::new();
             for due in due {
                 match self.workers[at].silent {
@@ -93,7 +92,7 @@
                     false => reports.extend(self.obey(at, &due)),
                 }
             }
-            self.machine.apply(Command::Report(reports.into()));
+            self.state.apply(Command::Report(reports.into()));
         }
     }
 
@@ -109,13 +108,13 @@
             Order::Start => {
                 worker.seen.insert(task, epoch);
                 worker.running.insert(task, epoch);
-                self.task_watch.started(task, epoch);
+                self.task_checker.started(task, epoch);
                 report(TaskEvent::Started)
             }
             Order::Checkpoint | Order::Stop => {
                 if worker.running.get(&task) == Some(&epoch) {
                     worker.running.remove(&task);
-                    self.task_watch.stopped(task, epoch);
+                    self.task_checker.stopped(task, epoch);
                 }
                 report(TaskEvent::Stopped)
             }
--- a/crates/coordination/src/workers.rs
+++ b/crates/coordination/src/workers.rs
@@ -17,13 +17,13 @@
 /// assert!(expired_workers(&StateMachine::new(), &Directory::new(), Moment::ZERO, Moment::ZERO).is_empty());
 /// ```
 pub fn expired_workers(
-    machine: &StateMachine,
+    state: &StateMachine,
     directory: &Directory,
     since: Moment,
     now: Moment,
 ) -> Vec<(Name, Incarnation)> {
     let lease = lease_span_with_drift(WORKER_LEASE);
-    let known = machine.workers().filter(|(_, worker)| worker.phase != WorkerPhase::Gone);
+    let known = state.workers().filter(|(_, worker)| worker.phase != WorkerPhase::Gone);
     known
         .filter(|(_, worker)| {
             let target = directory.get(&worker.spec.name);
@@ -47,8 +47,8 @@
 /// assert_eq!(previous_incarnation(&StateMachine::new(), &spec), None);
 /// # Ok::<(), BadName>(())
 /// ```
-pub fn previous_incarnation(machine: &StateMachine, spec: &WorkerSpec) -> Option<Incarnation> {
-    let (_, known) = machine.worker(&spec.name)?;
+pub fn previous_incarnation(state: &StateMachine, spec: &WorkerSpec) -> Option<Incarnation> {
+    let (_, known) = state.worker(&spec.name)?;
     let former = known.spec.incarnation;
     (former != spec.incarnation && known.phase != WorkerPhase::Gone).then_some(former)
 }
--- a/crates/coordination/tests/cell.rs
+++ b/crates/coordination/tests/cell.rs
@@ -16,10 +16,10 @@
 #[test]
 fn a_job_of_two_steps_runs_in_order_and_completes() {
     let mut world = World::new(1, 4, Rough::CALM);
-    let (first, truth) = step(4, 4, 400);
+    let (first, behavior) = step(4, 4, 400);
     let (mut second, truth2) = step(2, 4, 300);
     second.depends_on = vec![0];
-    let (spec, truths) = job(vec![(first, truth), (second, truth2)]);
+    let (spec, truths) = job(vec![(first, behavior), (second, truth2)]);
     world.submit(JobId(1), spec, truths);
     world.run_for(SECOND * 4);
     assert_eq!(world.state(JobId(1)), Some(JobState::Completed));
@@ -253,7 +253,7 @@
     for at in 0..1 + world.draw(3) {
         let (count, cores) = (1 + world.draw(6), 1 + world.draw(5));
         let work = 100 + world.draw(2_500);
-        let (mut spec, mut truth) = step(u32::try_from(count).unwrap_or(1), cores, work);
+        let (mut spec, mut behavior) = step(u32::try_from(count).unwrap_or(1), cores, work);
         if at > 0 && world.draw(2) == 0 {
             spec.depends_on = vec![u16::try_from(at - 1).unwrap_or(0)];
         }
@@ -262,8 +262,8 @@
         spec.per_runner_max = if world.draw(4) == 0 { 2 } else { 0 };
         // By a figure drawn already, so that the seeds keep their histories.
         spec.speculative = work.is_multiple_of(3) && !spec.gang;
-        truth.fails = world.draw(20) == 0;
-        steps.push((spec, truth));
+        behavior.fails = world.draw(20) == 0;
+        steps.push((spec, behavior));
     }
     job(steps)
 }
--- a/crates/coordination/tests/cell/checks.rs
+++ b/crates/coordination/tests/cell/checks.rs
@@ -21,9 +21,9 @@
     pub(super) fn noted(&mut self, at: usize, upto: u64) {
         let rest = self.slots[at].listed.split_off(&(upto + 1));
         let noted = std::mem::replace(&mut self.slots[at].listed, rest);
-        for (task, run, how) in noted.into_values() {
+        for (task, run, outcome) in noted.into_values() {
             let past = self.past.entry(task).or_default();
-            match how {
+            match outcome {
                 RunOutcome::Done => {
                     if let Some(done) = past.dones.iter_mut().find(|done| done.run == run) {
                         done.noted = Some(self.now);
@@ -40,9 +40,9 @@
     pub(super) fn lapsed(&mut self, at: usize) {
         let listed: Vec<(TaskKey, u32, RunOutcome)> =
             self.slots[at].listed.values().copied().collect();
-        self.slots[at].listed.retain(|_, (_, _, how)| *how != RunOutcome::Failed);
-        for (task, run, how) in listed {
-            if how == RunOutcome::Done
+        self.slots[at].listed.retain(|_, (_, _, outcome)| *outcome != RunOutcome::Failed);
+        for (task, run, outcome) in listed {
+            if outcome == RunOutcome::Done
                 && let Some(past) = self.past.get_mut(&task)
                 && let Some(found) = past.dones.iter().position(|done| done.run == run)
             {
--- a/crates/coordination/tests/cell/desk.rs
+++ b/crates/coordination/tests/cell/desk.rs
@@ -18,22 +18,22 @@
     index: u64,
     tokens: u64,
     pub runners: Vec<EmulatedRunner>,
-    truth: TaskBehavior,
+    behavior: TaskBehavior,
 }
 
 impl Desk {
-    pub fn new(runners: usize, policy: Option<Advisor>, truth: TaskBehavior) -> Self {
-        Self::with(runners, policy, truth, Vec::new())
+    pub fn new(runners: usize, policy: Option<Advisor>, behavior: TaskBehavior) -> Self {
+        Self::with(runners, policy, behavior, Vec::new())
     }
 
     /// One whose log begins with these commands, after its change set.
     pub fn with(
         runners: usize,
         policy: Option<Advisor>,
-        truth: TaskBehavior,
+        behavior: TaskBehavior,
         commands: Vec<JobCommand>,
     ) -> Self {
-        Self::deciding_by(LeaderConfig::default(), runners, policy, truth, commands)
+        Self::deciding_by(LeaderConfig::default(), runners, policy, behavior, commands)
     }
 
     /// The same, with settings of its own.
@@ -41,7 +41,7 @@
         cfg: LeaderConfig,
         runners: usize,
         policy: Option<Advisor>,
-        truth: TaskBehavior,
+        behavior: TaskBehavior,
         commands: Vec<JobCommand>,
     ) -> Self {
         let mut jobs = CellState::new();
@@ -56,7 +56,7 @@
         leader.set_node_name("e1");
         let runner = |at| EmulatedRunner::new(&format!("w{at}"), "r1", 5, CAPACITY, now);
         let runners = (0..runners).map(runner).collect();
-        Self { now, leader, index: 0, tokens: 0, runners, truth }
+        Self { now, leader, index: 0, tokens: 0, runners, behavior }
     }
 
     fn at(at: Moment) -> Now {
@@ -119,8 +119,8 @@
             let CellResponse::Orders(orders) = self.ask(CellRequest::Heartbeat(report)) else {
                 panic!("no orders")
             };
-            let truth = self.truth;
-            self.runners[at].apply_orders(self.now, self.now, &orders, |_| Some(truth));
+            let behavior = self.behavior;
+            self.runners[at].apply_orders(self.now, self.now, &orders, |_| Some(behavior));
             all.push(*orders);
         }
         all
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -440,9 +440,9 @@
             self.check_order(slot, start.task, &start.checkpoint);
         }
         let truths = &self.truths;
-        let truth = |task: TaskKey| truths.get(&task.job)?.get(usize::from(task.step)).copied();
+        let behavior = |task: TaskKey| truths.get(&task.job)?.get(usize::from(task.step)).copied();
         let Some(runner) = self.slots[slot].runner.as_mut() else { return };
-        runner.apply_orders(now, sent, orders, truth);
+        runner.apply_orders(now, sent, orders, behavior);
         let pause = if orders.retry_after_ms == 0 { 500 } else { orders.retry_after_ms };
         self.slots[slot].next_report = now + Duration::from_millis(pause);
         self.observe(slot);
@@ -553,13 +553,13 @@
         for event in happened {
             match event {
                 RunnerEvent::Started { task, run, at: when } => self.started(at, task, run, when),
-                RunnerEvent::Ended { task, run, outcome: how, at: when } => {
+                RunnerEvent::Ended { task, run, outcome, at: when } => {
                     ended = true;
                     let slot = &mut self.slots[at];
                     slot.ends += 1;
-                    slot.listed.insert(slot.ends, (task, run, how));
+                    slot.listed.insert(slot.ends, (task, run, outcome));
                     let past = self.past.entry(task).or_default();
-                    if how == RunOutcome::Done {
+                    if outcome == RunOutcome::Done {
                         past.dones.push(Done { run, at: when, noted: None });
                     }
                 }
@@ -708,12 +708,12 @@
 pub fn step(count: u32, cores: u64, work_ms: u64) -> (StepSpec, TaskBehavior) {
     let need = Resources { millicores: cores * 1_000, memory_mib: 1_000, accelerators: 0 };
     let spec = StepSpec { count, need, estimate_ms: work_ms, ..StepSpec::default() };
-    let truth = TaskBehavior {
+    let behavior = TaskBehavior {
         run_time: Duration::from_millis(work_ms),
         actual_usage: need,
         ..TaskBehavior::default()
     };
-    (spec, truth)
+    (spec, behavior)
 }
 
 /// The checkpoint that an emulated runner would tell.
--- a/crates/coordination/tests/cell_outside.rs
+++ b/crates/coordination/tests/cell_outside.rs
@@ -29,8 +29,8 @@
 /// ticket, would be rejected and cost a round.
 #[test]
 fn a_step_starts_only_where_the_policy_allows_and_with_its_ticket() {
-    let (spec, truth) = step(2, 1, 5_000);
-    let mut desk = Desk::new(3, Some(POLICY), truth);
+    let (spec, behavior) = step(2, 1, 5_000);
+    let mut desk = Desk::new(3, Some(POLICY), behavior);
     desk.round();
     desk.submit(vec![spec]);
     assert!(desk.round().iter().all(|orders| orders.start.is_empty()), "no ticket yet");
@@ -49,8 +49,8 @@
 /// question that is under way is not asked again, one that got no answer is.
 #[test]
 fn one_question_is_under_way_at_a_time() {
-    let (spec, truth) = step(2, 1, 5_000);
-    let mut desk = Desk::new(2, Some(POLICY), truth);
+    let (spec, behavior) = step(2, 1, 5_000);
+    let mut desk = Desk::new(2, Some(POLICY), behavior);
     desk.round();
     desk.submit(vec![spec]);
     desk.pass(TICK);
@@ -67,8 +67,8 @@
 /// again it would be rejected; the run is given up and another asked for.
 #[test]
 fn an_order_whose_ticket_ran_out_is_not_given_again() {
-    let (spec, truth) = step(1, 1, 5_000);
-    let mut desk = Desk::new(1, Some(POLICY), truth);
+    let (spec, behavior) = step(1, 1, 5_000);
+    let mut desk = Desk::new(1, Some(POLICY), behavior);
     desk.round();
     desk.submit(vec![spec]);
     desk.pass(TICK);
@@ -86,9 +86,9 @@
 }
 
 fn lasting(count: u32, disruptions_max: Option<u32>) -> (StepSpec, TaskBehavior) {
-    let (spec, truth) = step(count, 8, 0);
+    let (spec, behavior) = step(count, 8, 0);
     let spec = StepSpec { long_running: true, disruptions_max, ..spec };
-    (spec, TaskBehavior { long_running: true, ..truth })
+    (spec, TaskBehavior { long_running: true, ..behavior })
 }
 
 fn machines(desk: &Desk, away: &[usize]) -> ExternalReply {
@@ -109,9 +109,9 @@
 /// the same time, nothing of it would be at work; the second waits for the first.
 #[test]
 fn a_wave_takes_no_more_of_a_step_than_its_document_allows() {
-    let (spec, truth) = lasting(2, Some(1));
+    let (spec, behavior) = lasting(2, Some(1));
     let spec = StepSpec { per_runner_max: 1, ..spec };
-    let mut desk = Desk::new(2, None, truth);
+    let mut desk = Desk::new(2, None, behavior);
     desk.round();
     desk.submit(vec![spec]);
     for _ in 0..3 {
@@ -166,8 +166,8 @@
 /// renewed by a word that is seconds old.
 #[test]
 fn a_late_report_gets_no_orders() {
-    let (spec, truth) = step(1, 1, 5_000);
-    let mut desk = Desk::new(1, None, truth);
+    let (spec, behavior) = step(1, 1, 5_000);
+    let mut desk = Desk::new(1, None, behavior);
     let held_up = desk.runners[0].report(desk.now);
     desk.round();
     desk.submit(vec![spec]);
@@ -183,8 +183,8 @@
 /// use up the job's attempts within a second; it waits for another runner.
 #[test]
 fn a_second_try_goes_to_another_runner() {
-    let (spec, truth) = step(1, 1, 100);
-    let mut desk = Desk::new(1, None, TaskBehavior { fails: true, ..truth });
+    let (spec, behavior) = step(1, 1, 100);
+    let mut desk = Desk::new(1, None, TaskBehavior { fails: true, ..behavior });
     desk.round();
     desk.submit(vec![spec]);
     assert_eq!(desk.round()[0].start.len(), 1);
--- a/crates/coordination/tests/crashes.rs
+++ b/crates/coordination/tests/crashes.rs
@@ -192,8 +192,10 @@
     let mut world = World::new(13, 3, Rough::CALM);
     let (mut spec, truths) = job(vec![step(1, 2, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths =
-        truths.into_iter().map(|truth| TaskBehavior { long_running: true, ..truth }).collect();
+    let truths = truths
+        .into_iter()
+        .map(|behavior| TaskBehavior { long_running: true, ..behavior })
+        .collect();
     world.submit(JobId(1), spec, truths);
     for _ in 0..6 {
         world.run_for(SECOND * 14);
@@ -405,7 +407,7 @@
     }
     world.calm_down();
     world.run_for(SECOND * 60);
-    let sound = |steps: &Vec<TaskBehavior>| steps.iter().all(|truth| truth.crash.is_none());
+    let sound = |steps: &Vec<TaskBehavior>| steps.iter().all(|behavior| behavior.crash.is_none());
     for (id, truths) in world.truths.clone() {
         if sound(&truths) && world.is_open(id) {
             world.broken.push(format!("{id} never ended beside crashing tasks"));
@@ -420,7 +422,7 @@
     for at in 0..1 + world.draw(2) {
         let (count, cores) = (1 + world.draw(6), 1 + world.draw(5));
         let work = 100 + world.draw(2_500);
-        let (mut spec, mut truth) = step(u32::try_from(count).unwrap_or(1), cores, work);
+        let (mut spec, mut behavior) = step(u32::try_from(count).unwrap_or(1), cores, work);
         if at > 0 && world.draw(2) == 0 {
             spec.depends_on = vec![u16::try_from(at - 1).unwrap_or(0)];
         }
@@ -430,9 +432,9 @@
         if world.draw(5) == 0 {
             let after = [10, 10, 200, work * 3 / 4][world.draw(4) as usize];
             let per_mille = [1_000, 1_000, 500][world.draw(3) as usize];
-            truth.crash = Some(Crash { after: Duration::from_millis(after), per_mille });
+            behavior.crash = Some(Crash { after: Duration::from_millis(after), per_mille });
         }
-        steps.push((spec, truth));
+        steps.push((spec, behavior));
     }
     job(steps)
 }
--- a/crates/coordination/tests/explain.rs
+++ b/crates/coordination/tests/explain.rs
@@ -57,7 +57,7 @@
     }
 }
 
-fn truth(work_ms: u64, fails: bool) -> TaskBehavior {
+fn behavior(work_ms: u64, fails: bool) -> TaskBehavior {
     TaskBehavior { run_time: Duration::from_millis(work_ms), fails, ..TaskBehavior::default() }
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn a_refused_job_has_a_line_with_the_time_to_come_back() {
     keep_lines();
-    let mut desk = Desk::new(1, None, truth(500, false));
+    let mut desk = Desk::new(1, None, behavior(500, false));
     let (spec, _) = step(1, 1, 500);
     let spec = Arc::new(JobSpec { payload: "p".into(), steps: vec![spec], schedule: None });
     // Nothing is committed in between: the log stands still.
@@ -102,7 +102,7 @@
 #[test]
 fn a_late_job_leads_to_the_run_that_stood_still() {
     keep_lines();
-    let mut desk = Desk::new(2, None, truth(1_000, false));
+    let mut desk = Desk::new(2, None, behavior(1_000, false));
     desk.round();
     desk.runners[0].fault = RunnerFault::TasksStall;
     desk.runners[1].fault = RunnerFault::TasksStall;
@@ -134,7 +134,7 @@
 #[test]
 fn a_failed_job_leads_to_its_own_fault() {
     keep_lines();
-    let mut desk = Desk::new(4, None, truth(300, true));
+    let mut desk = Desk::new(4, None, behavior(300, true));
     desk.round();
     let (spec, _) = step(1, 2, 300);
     desk.submit(vec![spec]);
@@ -167,7 +167,7 @@
 #[test]
 fn a_late_job_says_that_it_waited_for_room() {
     keep_lines();
-    let mut desk = Desk::new(1, None, truth(2_000, false));
+    let mut desk = Desk::new(1, None, behavior(2_000, false));
     desk.round();
     let (spec, _) = step(1, 12, 2_000);
     desk.submit_as(JobId(1), vec![spec.clone()]);
--- a/crates/coordination/tests/lasting.rs
+++ b/crates/coordination/tests/lasting.rs
@@ -17,24 +17,24 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn submit_lasting(world: &mut World, id: u64, count: u32, cores: u64) {
-    let (mut step, truth) = step(count, cores, 60_000);
+    let (mut step, behavior) = step(count, cores, 60_000);
     step.long_running = true;
     let spec = JobSpec { payload: "serve".into(), steps: vec![step], schedule: None };
-    world.submit(JobId(id), spec, vec![TaskBehavior { long_running: true, ..truth }]);
+    world.submit(JobId(id), spec, vec![TaskBehavior { long_running: true, ..behavior }]);
 }
 
 fn submit_short(world: &mut World, id: u64, count: u32, cores: u64, work_ms: u64) {
-    let (step, truth) = step(count, cores, work_ms);
+    let (step, behavior) = step(count, cores, work_ms);
     let spec = JobSpec { payload: "work".into(), steps: vec![step], schedule: None };
-    world.submit(JobId(id), spec, vec![truth]);
+    world.submit(JobId(id), spec, vec![behavior]);
 }
 
 /// Short tasks, one on each runner.
 fn submit_apart(world: &mut World, id: u64, count: u32, cores: u64, work_ms: u64) {
-    let (mut step, truth) = step(count, cores, work_ms);
+    let (mut step, behavior) = step(count, cores, work_ms);
     step.per_runner_max = 1;
     let spec = JobSpec { payload: "work".into(), steps: vec![step], schedule: None };
-    world.submit(JobId(id), spec, vec![truth]);
+    world.submit(JobId(id), spec, vec![behavior]);
 }
 
 /// A log that a customer keeps stops being written, and stays so for half a minute though
--- a/crates/coordination/tests/neighbours.rs
+++ b/crates/coordination/tests/neighbours.rs
@@ -49,13 +49,13 @@
 }
 
 fn desk_deciding_by(policy: Policy, learnt: Vec<PairWeight>) -> Desk {
-    let truth = TaskBehavior {
+    let behavior = TaskBehavior {
         run_time: Duration::from_secs(60),
         long_running: true,
         ..TaskBehavior::default()
     };
     let cfg = LeaderConfig { policy, ..LeaderConfig::default() };
-    let mut desk = Desk::deciding_by(cfg, 1, None, truth, vec![JobCommand::Learn(learnt)]);
+    let mut desk = Desk::deciding_by(cfg, 1, None, behavior, vec![JobCommand::Learn(learnt)]);
     desk.round();
     desk.submit_as(SERVING, vec![serving()]);
     for _ in 0..4 {
--- a/crates/coordination/tests/policy.rs
+++ b/crates/coordination/tests/policy.rs
@@ -53,13 +53,13 @@
     for id in 1..=JOBS {
         let count = 1 + u32::try_from(world.draw(5)).unwrap_or(0);
         let (cores, work_ms) = (1 + world.draw(6), 100 + world.draw(2_000));
-        let (mut spec, truth) = step(count, cores, work_ms);
+        let (mut spec, behavior) = step(count, cores, work_ms);
         spec.checkpointing = id.is_multiple_of(2);
         spec.speculative = id.is_multiple_of(3);
         spec.gang = id.is_multiple_of(5);
         spec.per_runner_max = u32::from(id.is_multiple_of(4)) * 2;
         let spec = JobSpec { payload: "work".into(), steps: vec![spec], schedule: None };
-        world.submit(JobId(id), spec, vec![truth]);
+        world.submit(JobId(id), spec, vec![behavior]);
         let pause = 100 + world.draw(900);
         world.run_for(Duration::from_millis(pause));
     }
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -18,8 +18,8 @@
 }
 
 /// A worker of ten cores that runs one task of each kind given.
-fn machine(throttle: bool, classes: &[TaskClass]) -> StateMachine {
-    let mut machine = StateMachine::new();
+fn state(throttle: bool, classes: &[TaskClass]) -> StateMachine {
+    let mut state = StateMachine::new();
     let kinds = classes.iter().enumerate().map(|(at, class)| TaskKind {
         name: name(&format!("k{at}")),
         need: need(1000),
@@ -37,8 +37,8 @@
         disruption_tolerance: DisruptionTolerance { throttle, ..DisruptionTolerance::default() },
     };
     let apply = Apply { document, text: "".into(), digest: [0; 32], author: "a".into() };
-    machine.apply(Command::Apply(Box::new(apply)));
-    machine.apply(Command::WorkerUp(Box::new(WorkerSpec {
+    state.apply(Command::Apply(Box::new(apply)));
+    state.apply(Command::WorkerUp(Box::new(WorkerSpec {
         name: name("w"),
         incarnation: Incarnation(1),
         address: "127.0.0.1:1".into(),
@@ -47,7 +47,7 @@
         zone: name("z"),
     })));
     for at in 0..classes.len() as u64 {
-        machine.apply(Command::Submit(TaskSubmission {
+        state.apply(Command::Submit(TaskSubmission {
             key: at.to_string().into(),
             service: name("s"),
             kind: name(&format!("k{at}")),
@@ -57,15 +57,15 @@
             at_ms: 0,
         }));
         let task = TaskId(at + 1);
-        machine.apply(Command::Place([Placement { task, worker: WORKER }].into()));
+        state.apply(Command::Place([Placement { task, worker: WORKER }].into()));
         let report = TaskReport { task, epoch: Epoch(1), event: TaskEvent::Started };
-        machine.apply(Command::Report([report].into()));
+        state.apply(Command::Report([report].into()));
     }
-    machine
+    state
 }
 
-fn throttled(pressure: &mut Pressure, machine: &StateMachine, used: u64) -> Vec<u64> {
-    pressure.note(machine, WORKER, used).0.iter().map(|throttle| throttle.task.0).collect()
+fn throttled(pressure: &mut Pressure, state: &StateMachine, used: u64) -> Vec<u64> {
+    pressure.note(state, WORKER, used).0.iter().map(|throttle| throttle.task.0).collect()
 }
 
 /// A batch wave fills a worker on which people wait for a latency-critical task.
@@ -73,21 +73,21 @@
 #[test]
 fn batch_makes_way_for_latency_critical_work() {
     use TaskClass::{Batch, LatencyCritical};
-    let machine = machine(true, &[LatencyCritical, Batch, Batch]);
+    let state = state(true, &[LatencyCritical, Batch, Batch]);
     let mut pressure = Pressure::default();
-    assert!(throttled(&mut pressure, &machine, 8_900).is_empty(), "not yet");
-    assert_eq!(pressure.note(&machine, WORKER, 9_100).1, Some(PressureChange::Pressed));
-    assert_eq!(throttled(&mut pressure, &machine, 9_100), [2, 3], "renewed at each word");
-    assert_eq!(throttled(&mut pressure, &machine, 7_500), [2, 3], "not to and fro");
-    assert_eq!(pressure.note(&machine, WORKER, 6_900).1, Some(PressureChange::Eased));
-    assert!(throttled(&mut pressure, &machine, 8_000).is_empty());
+    assert!(throttled(&mut pressure, &state, 8_900).is_empty(), "not yet");
+    assert_eq!(pressure.note(&state, WORKER, 9_100).1, Some(PressureChange::Pressed));
+    assert_eq!(throttled(&mut pressure, &state, 9_100), [2, 3], "renewed at each word");
+    assert_eq!(throttled(&mut pressure, &state, 7_500), [2, 3], "not to and fro");
+    assert_eq!(pressure.note(&state, WORKER, 6_900).1, Some(PressureChange::Eased));
+    assert!(throttled(&mut pressure, &state, 8_000).is_empty());
 }
 
 #[test]
 fn nothing_is_slowed_without_leave_or_need() {
     use TaskClass::{Batch, LatencyCritical};
-    let without_leave = machine(false, &[LatencyCritical, Batch]);
+    let without_leave = state(false, &[LatencyCritical, Batch]);
     assert!(throttled(&mut Pressure::default(), &without_leave, 10_000).is_empty());
-    let without_need = machine(true, &[Batch, Batch]);
+    let without_need = state(true, &[Batch, Batch]);
     assert!(throttled(&mut Pressure::default(), &without_need, 10_000).is_empty());
 }
--- a/crates/coordination/tests/roster.rs
+++ b/crates/coordination/tests/roster.rs
@@ -30,8 +30,8 @@
 
 /// Processes of a new cell, the first of them its seeds.
 fn rosters(disks: &[bool]) -> Vec<PeerTable> {
-    let roster = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
-    disks.iter().enumerate().map(roster).collect()
+    let peer_table = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
+    disks.iter().enumerate().map(peer_table).collect()
 }
 
 /// `to` hears `from` itself, and what it says of the founder.
@@ -105,13 +105,13 @@
 #[test]
 fn an_earlier_leader_is_not_believed_in() {
     let now = Moment::from_millis(1_000);
-    let mut roster = PeerTable::new(info(3, false), seeds(), false);
-    roster.record_leader(lead(1, 5), address(1), now);
-    assert!(roster.lead().is_some_and(|lead| lead.serving), "it says so itself");
-    roster.record_leader(lead(0, 4), address(0), now);
-    assert_eq!(roster.lead().map(|lead| lead.peer), Some(address(1)));
-    roster.record_leader(lead(2, 6), address(0), now);
-    let told = roster.lead().expect("a leader");
+    let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
+    peer_table.record_leader(lead(1, 5), address(1), now);
+    assert!(peer_table.lead().is_some_and(|lead| lead.serving), "it says so itself");
+    peer_table.record_leader(lead(0, 4), address(0), now);
+    assert_eq!(peer_table.lead().map(|lead| lead.peer), Some(address(1)));
+    peer_table.record_leader(lead(2, 6), address(0), now);
+    let told = peer_table.lead().expect("a leader");
     assert_eq!((told.peer, told.serving), (address(2), false));
 }
 
@@ -120,12 +120,12 @@
 #[test]
 fn a_silent_leader_is_dropped() {
     let mut now = Moment::from_millis(1_000);
-    let mut roster = PeerTable::new(info(3, false), seeds(), false);
-    roster.record_leader(lead(1, 5), address(1), now);
+    let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
+    peer_table.record_leader(lead(1, 5), address(1), now);
     now = now + LEAD_FRESH;
-    roster.record_leader(lead(1, 5), address(0), now);
-    roster.tick(now);
-    assert!(roster.lead().is_some(), "it may still answer");
-    roster.tick(now + Duration::from_millis(1));
-    assert!(roster.lead().is_none());
+    peer_table.record_leader(lead(1, 5), address(0), now);
+    peer_table.tick(now);
+    assert!(peer_table.lead().is_some(), "it may still answer");
+    peer_table.tick(now + Duration::from_millis(1));
+    assert!(peer_table.lead().is_none());
 }
--- a/crates/coordination/tests/scale.rs
+++ b/crates/coordination/tests/scale.rs
@@ -29,12 +29,12 @@
 
 /// A pool of `runners` on which each job that waits finds no room, after all had their turn.
 fn full_pool(runners: usize, waiting: &StepSpec) -> Desk {
-    let truth = TaskBehavior {
+    let behavior = TaskBehavior {
         run_time: SECOND * 600,
         actual_usage: work(12).need,
         ..TaskBehavior::default()
     };
-    let mut desk = Desk::new(runners, None, truth);
+    let mut desk = Desk::new(runners, None, behavior);
     desk.round();
     desk.submit_as(JobId(1), vec![StepSpec { count: runners as u32, ..work(12) }]);
     desk.round();
--- a/crates/coordination/tests/sizes.rs
+++ b/crates/coordination/tests/sizes.rs
@@ -46,9 +46,9 @@
         true => (8, 4),
         false => (1 + world.draw(3) as u32, 2 + world.draw(2)),
     };
-    let (step, truth) = step(count, cores, WORK_MS);
+    let (step, behavior) = step(count, cores, WORK_MS);
     let spec = JobSpec { payload: "work".into(), steps: vec![step], schedule: None };
-    world.submit(JobId(id), spec, vec![truth]);
+    world.submit(JobId(id), spec, vec![behavior]);
 }
 
 /// Shares of all jobs and of the large ones that are done while it is of use.
--- a/crates/coordination/tests/swing.rs
+++ b/crates/coordination/tests/swing.rs
@@ -55,9 +55,9 @@
     let (mut forecast, mut naive) = (0.0, 0.0);
     for (job, phase) in phases.iter().enumerate() {
         let swing: &MarginModel = loads.get(u32::try_from(job).unwrap()).unwrap();
-        let truth = margin(period_s, *phase, then_s);
-        forecast += (swing.margin_at(now + AHEAD) - truth).abs();
-        naive += (margin(period_s, *phase, now_s as f64) - truth).abs();
+        let behavior = margin(period_s, *phase, then_s);
+        forecast += (swing.margin_at(now + AHEAD) - behavior).abs();
+        naive += (margin(period_s, *phase, now_s as f64) - behavior).abs();
     }
     let count = phases.len() as f64;
     (forecast / count, naive / count)
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -57,7 +57,7 @@
 /// What all connections share.
 pub(crate) struct Site {
     pub(crate) node: Shared,
-    pub(crate) dialect: Rc<dyn ApiAdapter>,
+    pub(crate) adapter: Rc<dyn ApiAdapter>,
     pub(crate) connections: Rc<Connections>,
     /// Requests being answered.
     pub(crate) in_flight: Cell<usize>,
@@ -170,8 +170,8 @@
     let path = head.uri.path();
     let incoming = ApiRequest { method: head.method.as_str(), path, host, body: &body };
     let asked = match port {
-        Port::Callers => site.dialect.caller(incoming),
-        _ => site.dialect.control(incoming),
+        Port::Callers => site.adapter.caller(incoming),
+        _ => site.adapter.control(incoming),
     };
     let concerns_change = matches!(asked, Ok(CellRequest::Change(_) | CellRequest::Document));
     let reply = match asked {
@@ -190,9 +190,9 @@
                 CellResponse::AskLeader { control } => ApiResponse::elsewhere(control, path),
                 CellResponse::Orders(mut orders) => {
                     orders.report_to = site.node.takes_reports_at();
-                    site.dialect.reply(CellResponse::Orders(orders))
+                    site.adapter.reply(CellResponse::Orders(orders))
                 }
-                answer => site.dialect.reply(answer),
+                answer => site.adapter.reply(answer),
             }
         }
     };
--- a/crates/daemon/src/cell/node.rs
+++ b/crates/daemon/src/cell/node.rs
@@ -78,7 +78,7 @@
 pub(crate) struct Node {
     pub(crate) cfg: CellConfig,
     clock: BootClock,
-    pub(crate) roster: PeerTable,
+    pub(crate) peer_table: PeerTable,
     pub(crate) replica: Option<Replica>,
     links: HashMap<SocketAddr, PeerConnection>,
     waiting: HashMap<RequestToken, oneshot::Sender<CellResponse>>,
@@ -86,7 +86,7 @@
     /// When a leader was last known.
     led_at: Moment,
     pub(crate) metrics: Metrics,
-    dialect: Rc<dyn ApiAdapter>,
+    adapter: Rc<dyn ApiAdapter>,
 }
 
 /// Handle of the state; one thread uses it, and never across an await.
@@ -106,20 +106,20 @@
         clock: BootClock,
         info: NodeInfo,
         replica: Option<Replica>,
-        dialect: Rc<dyn ApiAdapter>,
+        adapter: Rc<dyn ApiAdapter>,
     ) -> Self {
-        let roster = PeerTable::new(info, cfg.seeds.clone(), cfg.bootstrap);
+        let peer_table = PeerTable::new(info, cfg.seeds.clone(), cfg.bootstrap);
         let node = Node {
             cfg,
             clock,
-            roster,
+            peer_table,
             replica,
             links: HashMap::new(),
             waiting: HashMap::new(),
             next_token: 0,
             led_at: clock.now(),
             metrics: Metrics::default(),
-            dialect,
+            adapter,
         };
         Self(Rc::new(Inner {
             node: RefCell::new(node),
@@ -213,13 +213,13 @@
     ) {
         self.with(|node| {
             let now = node.clock.now();
-            node.roster.record_peer(me, now);
+            node.peer_table.record_peer(me, now);
             for disk in disks {
-                node.roster.record_reported_peer(disk, now);
+                node.peer_table.record_reported_peer(disk, now);
             }
-            node.roster.record_bootstrapper(founder, from);
+            node.peer_table.record_bootstrapper(founder, from);
             if let Some(lead) = lead {
-                node.roster.record_leader(lead, from, now);
+                node.peer_table.record_leader(lead, from, now);
             }
         });
     }
@@ -228,12 +228,12 @@
     pub(crate) fn greeted(&self, info: NodeInfo) -> PeerMessage {
         self.with(|node| {
             let now = node.clock.now();
-            node.roster.record_peer(info, now);
+            node.peer_table.record_peer(info, now);
             PeerMessage::Welcome {
                 me: node.info(),
                 lead: node.known_lead(),
-                disks: node.roster.disks(now),
-                founder: node.roster.designated(),
+                disks: node.peer_table.disks(now),
+                founder: node.peer_table.designated(),
             }
         })
     }
@@ -305,7 +305,7 @@
         ask: &CellRequest,
     ) -> Option<(Option<SocketAddr>, oneshot::Receiver<CellResponse>)> {
         self.with(|node| {
-            let lead = node.roster.lead()?;
+            let lead = node.peer_table.lead()?;
             let link = node.links.get_mut(&lead.peer)?;
             Some((Some(lead.peer), link.ask(ask.clone())))
         })
@@ -346,7 +346,7 @@
             true => None,
             // An address that stands for any of this VM's names none that others reach.
             false => {
-                self.with(|node| node.roster.me.control.filter(|at| !at.ip().is_unspecified()))
+                self.with(|node| node.peer_table.me.control.filter(|at| !at.ip().is_unspecified()))
             }
         }
     }
@@ -364,7 +364,7 @@
 
     fn info(&self) -> NodeInfo {
         let empty = self.replica.as_ref().is_some_and(|replica| replica.raft.is_empty());
-        NodeInfo { may_bootstrap: empty && self.cfg.bootstrap, ..self.roster.me.clone() }
+        NodeInfo { may_bootstrap: empty && self.cfg.bootstrap, ..self.peer_table.me.clone() }
     }
 
     /// What this process tells operators of itself.
@@ -374,7 +374,7 @@
         CellStatus {
             cell: self.cfg.name.clone(),
             zone: self.cfg.zone.clone(),
-            leads: lead.is_some_and(|lead| lead.peer == self.roster.me.peer),
+            leads: lead.is_some_and(|lead| lead.peer == self.peer_table.me.peer),
             term: lead.map_or(0, |lead| lead.term),
             leader: lead.map(|lead| lead.peer),
             policy,
@@ -387,13 +387,13 @@
         if let Some(leader) = self.replica.as_mut().and_then(|replica| replica.leader(now)) {
             return leader.state().change_set().is_some();
         }
-        self.roster.lead().is_some_and(|lead| lead.serving)
+        self.peer_table.lead().is_some_and(|lead| lead.serving)
     }
 
     /// Who leads: by the own replica, else by what others say.
     pub(crate) fn known_lead(&mut self) -> Option<LeaderInfo> {
         let now = self.clock.now();
-        let me = (self.roster.me.peer, self.roster.me.control);
+        let me = (self.peer_table.me.peer, self.peer_table.me.control);
         if let Some(replica) = &mut self.replica {
             let term = replica.raft.term();
             if let Some(leader) = replica.leader(now) {
@@ -401,15 +401,15 @@
                 return Some(LeaderInfo { term, peer: me.0, control: me.1, serving });
             }
         }
-        self.roster.lead()
+        self.peer_table.lead()
     }
 
     /// The process believed to lead does not, or does not answer.
     pub(crate) fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
-        if self.roster.lead().is_some_and(|lead| lead.peer == peer) {
+        if self.peer_table.lead().is_some_and(|lead| lead.peer == peer) {
             self.metrics.leaders_lost += 1;
         }
-        self.roster.clear_leader(peer, why);
+        self.peer_table.clear_leader(peer, why);
     }
 
     /// The newest change set that this process's replica has, while it is a voter or learner.
@@ -425,15 +425,15 @@
         let Some(id) = replica.raft.leader().filter(|id| *id != replica.raft.id()) else { return };
         let term = replica.raft.term();
         let Some(peer) = self.address_of(id) else { return };
-        if self.roster.lead().is_none_or(|lead| lead.term < term) {
-            let control = self.roster.control_of(peer);
+        if self.peer_table.lead().is_none_or(|lead| lead.term < term) {
+            let control = self.peer_table.control_of(peer);
             let lead = LeaderInfo { term, peer, control, serving: false };
-            self.roster.record_leader(lead, self.roster.me.peer, now);
+            self.peer_table.record_leader(lead, self.peer_table.me.peer, now);
         }
     }
 
     fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let by_itself = self.roster.address_of(id);
+        let by_itself = self.peer_table.address_of(id);
         let members = self.replica.as_ref().map(|replica| replica.raft.members());
         let listed = || members?.get(id)?.address.parse().ok();
         by_itself.or_else(listed)
@@ -447,16 +447,16 @@
 
     fn tick(&mut self, shared: &Shared) {
         let now = self.clock.now();
-        let led = self.roster.lead().is_some();
-        self.roster.tick(now);
-        if led && self.roster.lead().is_none() {
+        let led = self.peer_table.lead().is_some();
+        self.peer_table.tick(now);
+        if led && self.peer_table.lead().is_none() {
             self.metrics.leaders_lost += 1;
         }
         self.learn_lead();
         if self.known_lead().is_some() {
             self.led_at = now;
         }
-        let wanted = self.roster.wanted_links(&self.member_addresses());
+        let wanted = self.peer_table.wanted_links(&self.member_addresses());
         self.links.retain(|to, _| wanted.contains(to));
         for to in wanted {
             self.links.entry(to).or_insert_with(|| PeerConnection::open(shared.clone(), to));
@@ -478,8 +478,8 @@
             None => (Vec::new(), Vec::new()),
         };
         for (id, call) in calls {
-            let dialect = self.dialect.clone();
-            tokio::task::spawn_local(outside::perform(shared.clone(), dialect, id, call));
+            let adapter = self.adapter.clone();
+            tokio::task::spawn_local(outside::perform(shared.clone(), adapter, id, call));
         }
         if replica.leader.is_none() && !self.waiting.is_empty() {
             self.waiting.clear();
--- a/crates/daemon/src/cell/outside.rs
+++ b/crates/daemon/src/cell/outside.rs
@@ -36,14 +36,14 @@
 /// Makes one call and tells the leader what came of it.
 pub(crate) async fn perform(
     node: Shared,
-    dialect: Rc<dyn ApiAdapter>,
+    adapter: Rc<dyn ApiAdapter>,
     id: ExternalCallId,
     call: ExternalCall,
 ) {
-    let told = match dialect.request(&call) {
+    let told = match adapter.request(&call) {
         None => ExternalReply::Refused,
         Some(outgoing) => match timeout(ANSWER_MAX, exchange(outgoing)).await {
-            Ok(Ok((status, body))) => dialect.decode_reply(&call, status, &body),
+            Ok(Ok((status, body))) => adapter.decode_reply(&call, status, &body),
             Ok(Err(why)) => unanswered(&call, &why),
             Err(_) => unanswered(&call, &Unanswered::Late),
         },
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -31,7 +31,7 @@
     name: Box<str>,
     pub(crate) raft: Raft,
     /// The state, but while this replica leads: then the leader has it.
-    jobs: Option<CellState>,
+    state: Option<CellState>,
     pub(crate) leader: Option<Leader>,
     applied: u64,
     writes: Vec<LogWrite>,
@@ -52,7 +52,7 @@
         seed: u64,
         now: Moment,
     ) -> Result<Self, peer::BadMessage> {
-        let Recovered { replica, meta, state: machine, records, hard } = recovered;
+        let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
         let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
@@ -65,7 +65,7 @@
             cfg,
             name,
             raft: Raft::new(ReplicaId(replica), restored, seed, now),
-            jobs: Some(machine),
+            state: Some(state),
             leader: None,
             applied: meta.index,
             writes: Vec::new(),
@@ -90,7 +90,7 @@
     pub(crate) fn state(&self) -> Option<&CellState> {
         match &self.leader {
             Some(leader) => Some(leader.state()),
-            None => self.jobs.as_ref(),
+            None => self.state.as_ref(),
         }
     }
 
@@ -169,8 +169,8 @@
         };
         if let Some(leader) = &mut self.leader {
             leader.apply_committed(now, index, command);
-        } else if let Some(jobs) = &mut self.jobs {
-            jobs.apply(command);
+        } else if let Some(state) = &mut self.state {
+            state.apply(command);
         }
     }
 
@@ -179,14 +179,14 @@
             && let Some(leader) = self.leader.take()
         {
             log::warn!("role=follower term={} was=leader", self.raft.term());
-            self.jobs = Some(leader.into_jobs());
+            self.state = Some(leader.into_state());
         }
         if self.raft.has_committed_in_term()
             && self.leader.is_none()
-            && let Some(jobs) = self.jobs.take()
+            && let Some(state) = self.state.take()
         {
             log::info!("role=leader term={} record={}", self.raft.term(), self.applied);
-            let mut leader = Leader::new(self.cfg, self.raft.term(), jobs, now);
+            let mut leader = Leader::new(self.cfg, self.raft.term(), state, now);
             leader.set_node_name(&self.name);
             self.leader = Some(leader);
         }
@@ -243,7 +243,7 @@
         match snapshot::decode_as::<CellState>(&bytes, "a snapshot of the leader") {
             Ok(found) => {
                 log::info!("took over the leader's state up to record {}", meta.index);
-                self.jobs = Some(found.state);
+                self.state = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
             }
@@ -255,13 +255,13 @@
     }
 
     fn encode_snapshot(&self) -> Option<(SnapshotMeta, Vec<u8>)> {
-        let jobs = self.state()?;
+        let state = self.state()?;
         let index = self.applied;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
         let meta = Meta { index, term, members: encoded.into() };
-        match snapshot::encode(&meta, jobs) {
+        match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
                 log::error!("no snapshot: {error}");
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -47,30 +47,30 @@
 /// disk fails later on.
 pub fn run(
     config: CellConfig,
-    dialect: Box<dyn ApiAdapter>,
+    adapter: Box<dyn ApiAdapter>,
     settings: Box<dyn SeedSource>,
 ) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Thread)?;
-    LocalSet::new().block_on(&runtime, serve(config, dialect, settings))
+    LocalSet::new().block_on(&runtime, serve(config, adapter, settings))
 }
 
 async fn serve(
     config: CellConfig,
-    dialect: Box<dyn ApiAdapter>,
+    adapter: Box<dyn ApiAdapter>,
     settings: Box<dyn SeedSource>,
 ) -> Result<()> {
     let mut term = on(SignalKind::terminate())?;
     let mut int = on(SignalKind::interrupt())?;
     let mut hup = on(SignalKind::hangup())?;
-    let dialect: Rc<dyn ApiAdapter> = Rc::from(dialect);
-    let (node, journal) = recover(&config, &dialect)?;
+    let adapter: Rc<dyn ApiAdapter> = Rc::from(adapter);
+    let (node, journal) = recover(&config, &adapter)?;
     let (close, closing) = watch::channel(false);
     let in_flight = Cell::new(0);
     let connections = Connections::new(config.connections_max);
-    let site = Rc::new(Site { node: node.clone(), dialect, connections, in_flight, closing });
+    let site = Rc::new(Site { node: node.clone(), adapter, connections, in_flight, closing });
     listen_all(&config, &site).await?;
     if let Some(journal) = journal {
         tokio::task::spawn_local(disk::feed(node.clone(), journal));
@@ -154,9 +154,9 @@
 fn read_again(node: &Shared, settings: &dyn SeedSource, asked: bool) {
     match settings.seeds() {
         Ok(seeds) => node.with(|node| {
-            if node.roster.seeds != seeds {
-                log::info!("reloaded seeds={seeds:?} were={:?}", node.roster.seeds);
-                node.roster.seeds = seeds;
+            if node.peer_table.seeds != seeds {
+                log::info!("reloaded seeds={seeds:?} were={:?}", node.peer_table.seeds);
+                node.peer_table.seeds = seeds;
             } else if asked {
                 log::info!("reloaded, nothing has changed");
             }
@@ -165,7 +165,7 @@
     }
 }
 
-fn recover(config: &CellConfig, dialect: &Rc<dyn ApiAdapter>) -> Result<(Shared, Option<Journal>)> {
+fn recover(config: &CellConfig, adapter: &Rc<dyn ApiAdapter>) -> Result<(Shared, Option<Journal>)> {
     let clock = BootClock::start();
     let mut replica = None;
     let mut journal = None;
@@ -182,7 +182,7 @@
         replica: replica.as_ref().map(|replica: &Replica| replica.raft.id()),
         may_bootstrap: false,
     };
-    let node = Shared::new(config.clone(), clock, info, replica, dialect.clone());
+    let node = Shared::new(config.clone(), clock, info, replica, adapter.clone());
     Ok((node, journal))
 }
 
--- a/crates/daemon/src/cell/seats.rs
+++ b/crates/daemon/src/cell/seats.rs
@@ -26,11 +26,11 @@
 
 fn bootstrap(node: &mut Node) {
     let empty = node.replica.as_ref().is_some_and(|replica| replica.raft.is_empty());
-    if !node.roster.should_bootstrap(empty) {
+    if !node.peer_table.should_bootstrap(empty) {
         return;
     }
     let now = node.now();
-    let Some(member) = member_of(&node.roster.me) else { return };
+    let Some(member) = member_of(&node.peer_table.me) else { return };
     let Some(replica) = &mut node.replica else { return };
     if replica.raft.is_empty() {
         log::info!("founding a new cell with replica {}", member.id);
@@ -40,7 +40,7 @@
 
 fn settle(node: &mut Node) {
     let now = node.now();
-    let disks = node.roster.candidates(now.at);
+    let disks = node.peer_table.candidates(now.at);
     let wanted = voters::wanted(node.cfg.tolerated_disk_losses);
     let Some(replica) = &mut node.replica else { return };
     if !replica.raft.has_committed_in_term() || !replica.raft.members_committed() {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -158,13 +158,13 @@
             },
         };
         match result {
-            Ok(news) => {
+            Ok(update) => {
                 if !connected {
                     log::info!("in touch with the leader");
                 }
                 connected = true;
                 backoff.reset();
-                entry.borrow_mut().apply(news, sent);
+                entry.borrow_mut().apply(update, sent);
             }
             Err(error) => {
                 if connected {
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -55,7 +55,7 @@
         if !self.lease.holds(self.shared.clock.now()) {
             self.lapse();
         }
-        let let_go = self.take_released();
+        let released_runners = self.take_released();
         let config = &self.shared.config;
         let owned = if self.told_owned == way { Vec::new() } else { self.owned_specs() };
         self.telling = way;
@@ -68,7 +68,7 @@
             draining: self.shared.is_draining(),
             term: self.term,
             table_version: self.table_version,
-            released_runners: let_go,
+            released_runners,
             owned,
             runner_table_complete: self.runner_table_complete,
             leaving,
@@ -115,28 +115,28 @@
     }
 
     /// Takes in news that answer a request sent at `sent`, then renews the lease.
-    pub(crate) fn apply(&mut self, news: EntryUpdate, sent: Moment) {
+    pub(crate) fn apply(&mut self, update: EntryUpdate, sent: Moment) {
         // A late answer of an earlier leader must not bring back what a later one
         // has replaced.
-        if news.term < self.term {
+        if update.term < self.term {
             return;
         }
-        if news.term > self.term {
-            log::info!("following the leader of term {}", news.term);
-            self.term = news.term;
+        if update.term > self.term {
+            log::info!("following the leader of term {}", update.term);
+            self.term = update.term;
             self.runner_table_complete = false;
             self.heard.clear();
         }
         self.told_owned = self.telling;
-        let mut changed = self.take_documents(news.documents);
-        self.revision = self.revision.max(news.revision);
-        self.table_version = news.table_version;
+        let mut changed = self.take_documents(update.documents);
+        self.revision = self.revision.max(update.revision);
+        self.table_version = update.table_version;
         let neighbours =
-            PeerEntry::known(news.entries, &self.neighbours, news.runner_table_complete);
-        changed |= !news.runners.is_empty() || self.neighbours != neighbours;
+            PeerEntry::known(update.entries, &self.neighbours, update.runner_table_complete);
+        changed |= !update.runners.is_empty() || self.neighbours != neighbours;
         self.neighbours = neighbours;
-        self.take_runners(news.runners);
-        if news.runner_table_complete && !self.runner_table_complete {
+        self.take_runners(update.runners);
+        if update.runner_table_complete && !self.runner_table_complete {
             changed |= self.settle();
         }
         if changed {
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -87,7 +87,7 @@
     clock: Clock,
     term: u64,
     started: Moment,
-    machine: StateMachine,
+    state: StateMachine,
     directory: Directory,
     entries: EntryTable,
     dispatch: Dispatch,
@@ -118,7 +118,7 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         term: u64,
-        machine: StateMachine,
+        state: StateMachine,
         orders: Arc<Notify>,
     ) -> Self {
         let clock = shared.clock;
@@ -128,7 +128,7 @@
             clock,
             term,
             started,
-            machine,
+            state,
             directory: Directory::new(),
             entries: EntryTable::new(started),
             dispatch: Dispatch::new(),
@@ -151,14 +151,14 @@
         }
     }
 
-    pub(crate) fn machine(&self) -> &StateMachine {
-        &self.machine
+    pub(crate) fn state(&self) -> &StateMachine {
+        &self.state
     }
 
     /// The state, for a replica that no longer leads. Whoever waits for an answer
     /// is told that there is no leader: what it asked may yet be decided.
-    pub(crate) fn into_machine(self) -> StateMachine {
-        self.machine
+    pub(crate) fn into_state(self) -> StateMachine {
+        self.state
     }
 
     /// Tells when there may be news for entries.
@@ -219,7 +219,7 @@
 
     /// A command is agreed on: applies it and answers.
     pub(crate) fn committed(&mut self, index: u64, command: Command) {
-        let outcome = self.machine.apply(command);
+        let outcome = self.state.apply(command);
         if self.committing.front().is_some_and(|(at, _)| *at == index)
             && let Some((_, then)) = self.committing.pop_front()
         {
@@ -303,7 +303,7 @@
             return;
         };
         for id in tasks {
-            if let Some(key) = self.machine.task(*id).and_then(Task::worker) {
+            if let Some(key) = self.state.task(*id).and_then(Task::worker) {
                 self.dirty.insert(key);
             }
         }
@@ -327,9 +327,9 @@
     }
 
     fn log_placement(&self, placed: &yuccalink_state::command::Committed, passed_over: usize) {
-        let Some(task) = self.machine.task(placed.task) else { return };
-        let worker = self.machine.worker_at(placed.worker);
-        let service = &self.machine.service_at(task.service).accepted.document.service;
+        let Some(task) = self.state.task(placed.task) else { return };
+        let worker = self.state.worker_at(placed.worker);
+        let service = &self.state.service_at(task.service).accepted.document.service;
         self.shared.decisions.note(format!(
             "placed {} epoch {} of {service}/{} on {} in {}/{}; {} live workers had no room",
             placed.task,
@@ -368,11 +368,11 @@
     }
 
     fn plan(&mut self) {
-        if !self.plan_due || self.placing || self.machine.waiting_len() == 0 {
+        if !self.plan_due || self.placing || self.state.waiting_len() == 0 {
             return;
         }
         self.plan_due = false;
-        let plan = placement::plan(&self.machine);
+        let plan = placement::plan(&self.state);
         if plan.no_room > 0 {
             log::debug!("{} tasks wait for room", plan.no_room);
         }
--- a/crates/daemon/src/leader/asks.rs
+++ b/crates/daemon/src/leader/asks.rs
@@ -23,17 +23,17 @@
                 return self.propose_for(Command::RequestEnd(end), Then::Done, reply);
             }
             LeaderRequest::Services => {
-                let all = self.machine.services();
+                let all = self.state.services();
                 LeaderResponse::Services(all.map(|s| views::service(&s.accepted, false)).collect())
             }
-            LeaderRequest::Service(name) => match self.machine.service(&name) {
+            LeaderRequest::Service(name) => match self.state.service(&name) {
                 Some(found) => LeaderResponse::Service(views::service(&found.accepted, true)),
                 None => {
                     not_found(format!("no service is called {name}; `yuccalink list` shows all"))
                 }
             },
-            LeaderRequest::Task(id) => match self.machine.task(id) {
-                Some(task) => LeaderResponse::Task(views::task(&self.machine, task)),
+            LeaderRequest::Task(id) => match self.state.task(id) {
+                Some(task) => LeaderResponse::Task(views::task(&self.state, task)),
                 None => not_found(format!("no task {id} is known; it may have ended long ago")),
             },
             LeaderRequest::Tasks(filter) => LeaderResponse::Tasks(self.tasks(&filter)),
@@ -115,9 +115,9 @@
                 "the payload is over {PAYLOAD_MAX} bytes; put it in your own storage and pass its name"
             ));
         }
-        let service = self.machine.service(&tasks.service)?;
+        let service = self.state.service(&tasks.service)?;
         let need = service.accepted.document.task_kind(&tasks.kind)?.need;
-        match placement::possible(&self.machine, need) {
+        match placement::possible(&self.state, need) {
             Err(never @ placement::Impossible::TooLarge { .. }) => {
                 refuse(format!("{}/{} can never run: {never}", tasks.service, tasks.kind))
             }
@@ -164,12 +164,12 @@
                 let _ = reply.send(LeaderResponse::Welcome(runner_welcome()));
             }
             TargetSpec::Worker(spec) => {
-                let known = self.machine.worker(&spec.name);
+                let known = self.state.worker(&spec.name);
                 if known.is_some_and(|(_, w)| w.spec == spec && w.phase == WorkerPhase::Live) {
                     let _ = reply.send(LeaderResponse::Welcome(worker_welcome(true)));
                     return;
                 }
-                if let Some(former) = workers::previous_incarnation(&self.machine, &spec) {
+                if let Some(former) = workers::previous_incarnation(&self.state, &spec) {
                     let name = spec.name.clone();
                     let gone = Command::WorkerGone(name.clone(), former);
                     self.propose(gone, Then::FormerRunGone(name));
@@ -188,7 +188,7 @@
         now: Moment,
     ) -> Option<Duration> {
         let TargetSpec::Worker(spec) = target else { return None };
-        workers::previous_incarnation(&self.machine, spec)?;
+        workers::previous_incarnation(&self.state, spec)?;
         if self.directory.get(&spec.name).is_some() {
             return None;
         }
@@ -222,7 +222,7 @@
     }
 
     pub(super) fn worker_beat(&mut self, name: &Name, beat: Heartbeat, reply: Reply) {
-        let known = self.machine.worker(name).filter(|(_, w)| {
+        let known = self.state.worker(name).filter(|(_, w)| {
             w.spec.incarnation == beat.incarnation && w.phase != WorkerPhase::Gone
         });
         let Some((key, _)) = known else {
@@ -239,7 +239,7 @@
         let differences = match &beat.held {
             Some(held) => {
                 let held: Vec<_> = held.iter().map(|held| (held.task, held.epoch)).collect();
-                self.reconcile.compare(&self.machine, key, &held)
+                self.reconcile.compare(&self.state, key, &held)
             }
             None => Differences::default(),
         };
@@ -262,9 +262,9 @@
 
     /// Throttles batch tasks on a worker whose latency-critical ones need room.
     fn relieve(&mut self, worker: WorkerKey, used_millicores: u64) {
-        let (throttles, turn) = self.pressure.note(&self.machine, worker, used_millicores);
+        let (throttles, turn) = self.pressure.note(&self.state, worker, used_millicores);
         if let Some(turn) = turn {
-            let name = &self.machine.worker_at(worker).spec.name;
+            let name = &self.state.worker_at(worker).spec.name;
             let line = match turn {
                 PressureChange::Pressed => format!(
                     "worker {name} uses {used_millicores} millicores and runs latency-critical \
@@ -285,7 +285,7 @@
     /// Digest of the tasks that a worker has confirmed and should hold.
     fn digest_of(&self, worker: WorkerKey) -> u32 {
         let confirmed = self
-            .machine
+            .state
             .tasks_on_worker(worker)
             .filter(|task| matches!(task.phase, TaskPhase::Running(_) | TaskPhase::Stopping(..)));
         held_digest(confirmed.map(|task| ReportedTask { task: task.id, epoch: task.epoch }))
@@ -308,7 +308,7 @@
         log::info!("target {name} leaves");
         self.directory.tick(now, &self.entries);
         self.bump();
-        if self.machine.worker(&name).is_some() {
+        if self.state.worker(&name).is_some() {
             let command = Command::WorkerLeaving(name, run);
             self.propose_for(command, Then::Done, reply);
         } else {
@@ -319,13 +319,13 @@
     pub(super) fn tasks(&self, filter: &TaskFilter) -> Vec<yuccalink_protocol::api::TaskView> {
         let limit = filter.limit.clamp(1, PAGE_MAX) as usize;
         let of_service = |task: &&Task| {
-            let service = &self.machine.service_at(task.service).accepted.document.service;
+            let service = &self.state.service_at(task.service).accepted.document.service;
             filter.service.as_ref().is_none_or(|want| want == service)
         };
         let in_phase =
             |task: &&Task| filter.phase.as_ref().is_none_or(|want| **want == *views::phase(task));
-        let found = self.machine.tasks_after(TaskId(filter.after)).filter(of_service);
-        found.filter(in_phase).take(limit).map(|task| views::task(&self.machine, task)).collect()
+        let found = self.state.tasks_after(TaskId(filter.after)).filter(of_service);
+        found.filter(in_phase).take(limit).map(|task| views::task(&self.state, task)).collect()
     }
 
     pub(crate) fn status(&self, log: LogView, members: Vec<MemberView>) -> Status {
@@ -339,17 +339,17 @@
             draining: entry.draining,
             silent_ms: millis(now.since(entry.last_heard)),
         });
-        let on_workers = self.machine.workers().map(|(_, worker)| u64::from(worker.tasks)).sum();
+        let on_workers = self.state.workers().map(|(_, worker)| u64::from(worker.tasks)).sum();
         Status {
             entry: self.shared.config.name.clone(),
             leader: Some(self.shared.config.name.clone()),
             term: self.term,
-            revision: self.machine.revision().0,
+            revision: self.state.revision().0,
             entries: entries.collect(),
-            waiting: self.machine.waiting_len() as u64,
+            waiting: self.state.waiting_len() as u64,
             on_workers,
-            ledger_requests: self.machine.ledger().len() as u64,
-            ledger_bytes: self.machine.ledger().bytes() as u64,
+            ledger_requests: self.state.ledger().len() as u64,
+            ledger_bytes: self.state.ledger().bytes() as u64,
             log,
             members,
         }
@@ -370,6 +370,6 @@
     }
 
     pub(super) fn committed_on(&self, name: &Name) -> Option<Resources> {
-        self.machine.worker(name).map(|(_, worker)| worker.committed)
+        self.state.worker(name).map(|(_, worker)| worker.committed)
     }
 }
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -56,10 +56,10 @@
         let (documents, revision) = self.documents_after(state.acked_revision);
         let (runners, upto) = self.directory.changes(table_version, RUNNERS_MAX);
         let any = !same_term
-            || self.machine.revision().0 > state.acked_revision
+            || self.state.revision().0 > state.acked_revision
             || (self.settled && !state.runner_table_complete)
             || self.directory.version() > table_version;
-        let complete = revision == self.machine.revision().0 && upto == self.directory.version();
+        let complete = revision == self.state.revision().0 && upto == self.directory.version();
         let runners = runners.into_iter().map(|change| RunnerChange {
             spec: change.spec,
             usable: change.usable,
@@ -81,7 +81,7 @@
     /// The documents accepted after `revision`, the oldest first and not more than a call
     /// carries over a slow link, with the revision up to which they go.
     fn documents_after(&self, revision: u64) -> (Vec<Accepted>, u64) {
-        let accepted = self.machine.services().map(|service| &service.accepted);
+        let accepted = self.state.services().map(|service| &service.accepted);
         let mut new: Vec<&Accepted> = accepted.filter(|a| a.revision.0 > revision).collect();
         new.sort_by_key(|accepted| accepted.revision);
         let mut bytes = 0;
@@ -92,7 +92,7 @@
         let told: Vec<Accepted> = new.iter().take_while(fits).map(|a| Accepted::clone(a)).collect();
         let upto = match told.len() < new.len() {
             true => told.last().map_or(revision, |last| last.revision.0),
-            false => self.machine.revision().0,
+            false => self.state.revision().0,
         };
         (told, upto)
     }
--- a/crates/daemon/src/leader/orders.rs
+++ b/crates/daemon/src/leader/orders.rs
@@ -11,7 +11,7 @@
         let mut batches = Vec::new();
         for key in ready {
             self.dirty.remove(&key);
-            let mut due = self.dispatch.due(now, &self.machine, key);
+            let mut due = self.dispatch.due(now, &self.state, key);
             for (task, epoch) in self.strays.remove(&key).unwrap_or_default() {
                 due.push(DueOrder { task, epoch, order: Order::Stop });
             }
@@ -20,7 +20,7 @@
             if due.is_empty() && throttles.is_empty() {
                 continue;
             }
-            let worker = &self.machine.worker_at(key).spec;
+            let worker = &self.state.worker_at(key).spec;
             batches.push(OrderBatch {
                 worker: key,
                 name: worker.name.clone(),
@@ -43,12 +43,12 @@
             Order::Stop => Some(OrderTask::Stop(held)),
             Order::Checkpoint => Some(OrderTask::Checkpoint(held)),
             Order::Start => {
-                let task = self.machine.task(due.task)?;
-                let kind = self.machine.kind_of(task);
+                let task = self.state.task(due.task)?;
+                let kind = self.state.kind_of(task);
                 Some(OrderTask::Start(TaskStart {
                     task: task.id,
                     epoch: task.epoch,
-                    service: self.machine.document_of(task).service.clone(),
+                    service: self.state.document_of(task).service.clone(),
                     kind: task.kind.clone(),
                     need: task.need,
                     duration_ms: kind.map_or(0, |kind| kind.duration_ms),
--- a/crates/daemon/src/leader/time.rs
+++ b/crates/daemon/src/leader/time.rs
@@ -24,9 +24,9 @@
         self.answer_in_force();
         if now.since(self.swept) >= SWEEP {
             self.swept = now;
-            self.dispatch.tidy(&self.machine);
-            self.dirty.extend(self.machine.workers().filter(|(_, w)| w.tasks > 0).map(|(k, _)| k));
-            self.plan_due |= self.machine.waiting_len() > 0;
+            self.dispatch.tidy(&self.state);
+            self.dirty.extend(self.state.workers().filter(|(_, w)| w.tasks > 0).map(|(k, _)| k));
+            self.plan_due |= self.state.waiting_len() > 0;
             self.orders.notify_one();
             self.gauges();
         }
@@ -34,13 +34,12 @@
 
     pub(super) fn gauges(&self) {
         let metrics = &self.shared.metrics;
-        metrics.gauge("tasks_waiting", self.machine.waiting_len() as u64);
-        metrics.gauge("ledger_bytes", self.machine.ledger().bytes() as u64);
+        metrics.gauge("tasks_waiting", self.state.waiting_len() as u64);
+        metrics.gauge("ledger_bytes", self.state.ledger().bytes() as u64);
     }
 
     pub(super) fn give_up_workers(&mut self, now: Moment) {
-        for (name, run) in
-            workers::expired_workers(&self.machine, &self.directory, self.started, now)
+        for (name, run) in workers::expired_workers(&self.state, &self.directory, self.started, now)
         {
             if !self.going.insert(name.clone()) {
                 continue;
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -56,7 +56,7 @@
     shared: Arc<Shared>,
     raft: Raft,
     /// The state, but while this replica leads: then the leader has it.
-    machine: Option<StateMachine>,
+    state: Option<StateMachine>,
     leader: Option<Leader>,
     applied: u64,
     writes: Vec<LogWrite>,
@@ -82,7 +82,7 @@
         recovered: Recovered,
         seed: u64,
     ) -> Result<Self, peer::BadMessage> {
-        let Recovered { replica, meta, state: machine, records, hard } = recovered;
+        let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
         let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
@@ -95,7 +95,7 @@
         Ok(Self {
             shared,
             raft,
-            machine: Some(machine),
+            state: Some(state),
             leader: None,
             applied: meta.index,
             writes: Vec::new(),
@@ -307,8 +307,8 @@
         };
         if let Some(leader) = &mut self.leader {
             leader.committed(index, command);
-        } else if let Some(machine) = &mut self.machine {
-            machine.apply(command);
+        } else if let Some(state) = &mut self.state {
+            state.apply(command);
         }
     }
 
@@ -316,15 +316,15 @@
         let leads = self.raft.role() == Role::Leader;
         if !leads && let Some(leader) = self.leader.take() {
             log::warn!("no longer leading in term {}", self.raft.term());
-            self.machine = Some(leader.into_machine());
+            self.state = Some(leader.into_state());
         }
         if self.raft.has_committed_in_term()
             && self.leader.is_none()
-            && let Some(machine) = self.machine.take()
+            && let Some(state) = self.state.take()
         {
             log::info!("leading in term {} from record {}", self.raft.term(), self.applied);
             let shared = self.shared.clone();
-            let leader = Leader::new(shared, self.raft.term(), machine, self.orders.clone());
+            let leader = Leader::new(shared, self.raft.term(), state, self.orders.clone());
             self.leader = Some(leader);
         }
     }
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -34,7 +34,7 @@
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
                 log::info!("took over the leader's state up to record {}", meta.index);
-                self.machine = Some(found.state);
+                self.state = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
             }
@@ -46,16 +46,16 @@
     }
 
     pub(super) fn encode_snapshot(&self) -> Option<(SnapshotMeta, Vec<u8>)> {
-        let machine = match &self.leader {
-            Some(leader) => leader.machine(),
-            None => self.machine.as_ref()?,
+        let state = match &self.leader {
+            Some(leader) => leader.state(),
+            None => self.state.as_ref()?,
         };
         let index = self.applied;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
         let meta = Meta { index, term, members: encoded.into() };
-        match snapshot::encode(&meta, machine) {
+        match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
                 log::error!("no snapshot: {error}");
--- a/crates/daemon/src/views.rs
+++ b/crates/daemon/src/views.rs
@@ -28,15 +28,15 @@
     }
 }
 
-pub(crate) fn task(machine: &StateMachine, task: &Task) -> TaskView {
+pub(crate) fn task(state: &StateMachine, task: &Task) -> TaskView {
     let reason = match &task.phase {
         TaskPhase::Ended(TaskOutcome::Failed(reason)) => Some(reason.clone()),
         _ => None,
     };
-    let worker = task.worker().map(|key| machine.worker_at(key).spec.name.clone());
+    let worker = task.worker().map(|key| state.worker_at(key).spec.name.clone());
     TaskView {
         task: task.id,
-        service: machine.service_at(task.service).accepted.document.service.clone(),
+        service: state.service_at(task.service).accepted.document.service.clone(),
         kind: task.kind.clone(),
         phase: phase(task).into(),
         reason,
--- a/crates/fakes/src/emulator.rs
+++ b/crates/fakes/src/emulator.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 struct Run {
     run: u32,
-    truth: TaskBehavior,
+    behavior: TaskBehavior,
     done: Duration,
     began: Moment,
     stop_at: Option<Moment>,
@@ -144,7 +144,7 @@
     numbers: u64,
     highest: BTreeMap<TaskKey, u32>,
     at: Moment,
-    happened: Vec<RunnerEvent>,
+    events: Vec<RunnerEvent>,
     /// Rooms that it had before it shrank, and until when they count.
     former: Vec<(Moment, Resources)>,
     crashed_by: Option<TaskKey>,
@@ -180,7 +180,7 @@
             numbers: 0,
             highest: BTreeMap::new(),
             at: now,
-            happened: Vec::new(),
+            events: Vec::new(),
             former: Vec::new(),
             crashed_by: None,
         }
@@ -193,7 +193,7 @@
 
     /// What happened since the last call.
     pub fn take_events(&mut self) -> Vec<RunnerEvent> {
-        std::mem::take(&mut self.happened)
+        std::mem::take(&mut self.events)
     }
 
     /// Whether a task runs here.
@@ -208,7 +208,7 @@
 
     /// What all that runs takes.
     pub fn resources_in_use(&self) -> Resources {
-        let all = self.runs.values().map(|run| run.truth.actual_usage);
+        let all = self.runs.values().map(|run| run.behavior.actual_usage);
         all.fold(Resources::ZERO, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
@@ -244,7 +244,7 @@
         if now >= self.lease_end {
             if self.leased {
                 self.leased = false;
-                self.happened.push(RunnerEvent::LeaseExpired(now));
+                self.events.push(RunnerEvent::LeaseExpired(now));
             }
             let all: Vec<TaskKey> = self.runs.keys().copied().collect();
             for task in all {
@@ -254,7 +254,7 @@
         let mut ends = Vec::new();
         for (task, run) in &mut self.runs {
             let due = |crash: &Crash| now.since(run.began) >= crash.after;
-            let crash = run.truth.crash.filter(due);
+            let crash = run.behavior.crash.filter(due);
             if crash.is_some_and(|crash| crash.strikes(*task, run.run)) {
                 self.crashed_by.get_or_insert(*task);
             }
@@ -268,35 +268,35 @@
                 RunnerFault::None | RunnerFault::Slow => {
                     let slowdown = if self.fault == RunnerFault::Slow { SLOW_FACTOR } else { 1 };
                     run.done += passed * u32::from(run.rate) / 100 / slowdown;
-                    if run.done >= run.truth.run_time && !run.truth.long_running {
+                    if run.done >= run.behavior.run_time && !run.behavior.long_running {
                         ends.push((
                             *task,
-                            if run.truth.fails { RunOutcome::Failed } else { RunOutcome::Done },
+                            if run.behavior.fails { RunOutcome::Failed } else { RunOutcome::Done },
                         ));
                     }
                 }
             }
         }
-        for (task, how) in ends {
-            self.end(task, how);
+        for (task, outcome) in ends {
+            self.end(task, outcome);
         }
     }
 
-    fn end(&mut self, task: TaskKey, how: RunOutcome) {
+    fn end(&mut self, task: TaskKey, outcome: RunOutcome) {
         let Some(run) = self.runs.remove(&task) else { return };
         self.numbers += 1;
         let highest = self.highest.entry(task).or_default();
         *highest = (*highest).max(run.run);
-        let saved = checkpoint_text(task, run.run);
+        let checkpoint = checkpoint_text(task, run.run);
         let number = self.numbers;
         self.finished.push(FinishedRun {
             number,
             task: Some(task),
             run: run.run,
-            outcome: how,
-            checkpoint: saved,
+            outcome,
+            checkpoint,
         });
-        self.happened.push(RunnerEvent::Ended { task, run: run.run, outcome: how, at: self.at });
+        self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.at });
     }
 
     /// The next report.
@@ -328,7 +328,7 @@
     }
 
     /// Obeys the answer to a report that was sent at `sent`.
-    pub fn apply_orders<F>(&mut self, now: Moment, sent: Moment, orders: &RunnerOrders, truth: F)
+    pub fn apply_orders<F>(&mut self, now: Moment, sent: Moment, orders: &RunnerOrders, behavior: F)
     where
         F: Fn(TaskKey) -> Option<TaskBehavior>,
     {
@@ -338,7 +338,7 @@
         }
         self.token = orders.token;
         self.finished.retain(|end| end.number > orders.acked_through);
-        self.happened.push(RunnerEvent::EndsAcknowledged(orders.acked_through));
+        self.events.push(RunnerEvent::EndsAcknowledged(orders.acked_through));
         for (task, run) in &orders.stop {
             self.stop(*task, *run);
         }
@@ -359,33 +359,27 @@
         }
         self.leased = true;
         for start in &orders.start {
-            if let Some(truth) = truth(start.task) {
-                self.start(start.task, start.run, truth);
+            if let Some(behavior) = behavior(start.task) {
+                self.start(start.task, start.run, behavior);
             }
         }
     }
 
-    fn start(&mut self, task: TaskKey, run: u32, truth: TaskBehavior) {
+    fn start(&mut self, task: TaskKey, run: u32, behavior: TaskBehavior) {
         let ended = self.highest.get(&task).copied().unwrap_or(0);
         if self.runs.get(&task).is_some_and(|there| there.run == run) {
             return;
         }
         if run <= ended || self.runs.contains_key(&task) {
             self.numbers += 1;
-            let (number, task, how, saved) =
+            let (number, task, outcome, checkpoint) =
                 (self.numbers, Some(task), RunOutcome::Refused, "".into());
-            return self.finished.push(FinishedRun {
-                number,
-                task,
-                run,
-                outcome: how,
-                checkpoint: saved,
-            });
+            return self.finished.push(FinishedRun { number, task, run, outcome, checkpoint });
         }
         let done = Duration::ZERO;
         let began = self.at;
-        self.runs.insert(task, Run { run, truth, done, began, stop_at: None, rate: 100 });
-        self.happened.push(RunnerEvent::Started { task, run, at: self.at });
+        self.runs.insert(task, Run { run, behavior, done, began, stop_at: None, rate: 100 });
+        self.events.push(RunnerEvent::Started { task, run, at: self.at });
     }
 
     fn stop(&mut self, task: TaskKey, run: u32) {
@@ -408,10 +402,10 @@
 }
 
 fn percent(run: &Run) -> u8 {
-    if run.truth.long_running {
+    if run.behavior.long_running {
         return 100;
     }
-    let work = run.truth.run_time.as_micros().max(1);
+    let work = run.behavior.run_time.as_micros().max(1);
     u8::try_from((run.done.as_micros() * 100 / work).min(99)).unwrap_or(99)
 }
 
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -59,7 +59,7 @@
     leaving: AtomicBool,
     stop: AtomicBool,
     frozen: AtomicBool,
-    watch: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
+    checker: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
 }
 
 /// A running runner.
@@ -110,8 +110,8 @@
     }
 
     /// Reports what it does to `watch`; requests are named by `fake-name`.
-    pub fn set_checker(&self, watch: Arc<Mutex<RequestChecker>>) {
-        *self.state.watch.lock().unwrap_or_else(PoisonError::into_inner) = Some(watch);
+    pub fn set_checker(&self, checker: Arc<Mutex<RequestChecker>>) {
+        *self.state.checker.lock().unwrap_or_else(PoisonError::into_inner) = Some(checker);
     }
 
     /// Says that it leaves; goes on answering.
@@ -221,10 +221,10 @@
         state.served.fetch_add(1, Ordering::SeqCst);
         let now = state.busy.fetch_add(1, Ordering::SeqCst) + 1;
         state.most.fetch_max(now, Ordering::SeqCst);
-        if let Some(watch) = &*state.watch.lock().unwrap_or_else(PoisonError::into_inner) {
+        if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
             let request = text(headers, "fake-name").unwrap_or_default();
-            let mut watch = watch.lock().unwrap_or_else(PoisonError::into_inner);
-            watch.ran(request, answers.name.as_str(), answers.slots);
+            let mut checker = checker.lock().unwrap_or_else(PoisonError::into_inner);
+            checker.ran(request, answers.name.as_str(), answers.slots);
         }
         Self(answers)
     }
@@ -233,8 +233,8 @@
 impl Drop for Busy<'_> {
     fn drop(&mut self) {
         let state = &self.0.state;
-        if let Some(watch) = &*state.watch.lock().unwrap_or_else(PoisonError::into_inner) {
-            watch.lock().unwrap_or_else(PoisonError::into_inner).done(self.0.name.as_str());
+        if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
+            checker.lock().unwrap_or_else(PoisonError::into_inner).done(self.0.name.as_str());
         }
         state.busy.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -81,7 +81,7 @@
     running: BTreeMap<TaskId, Running>,
     seen: HashMap<TaskId, Epoch>,
     reports: Vec<TaskReport>,
-    watch: Option<Arc<Mutex<TaskChecker>>>,
+    checker: Option<Arc<Mutex<TaskChecker>>>,
 }
 
 struct State {
@@ -146,8 +146,8 @@
     }
 
     /// Reports what it does to `watch`.
-    pub fn set_checker(&self, watch: Arc<Mutex<TaskChecker>>) {
-        lock(&self.state.tasks).watch = Some(watch);
+    pub fn set_checker(&self, checker: Arc<Mutex<TaskChecker>>) {
+        lock(&self.state.tasks).checker = Some(checker);
     }
 
     /// Tasks that it runs now.
@@ -302,10 +302,10 @@
         for task in over {
             let Some(run) = tasks.running.remove(&task) else { continue };
             let event = if run.fails {
-                note(&tasks, |watch| watch.stopped(task, run.epoch));
+                note(&tasks, |checker| checker.stopped(task, run.epoch));
                 TaskEvent::Failed { reason: "the payload asked for it".into() }
             } else {
-                note(&tasks, |watch| watch.finished(task, run.epoch));
+                note(&tasks, |checker| checker.finished(task, run.epoch));
                 TaskEvent::Finished
             };
             tasks.reports.push(TaskReport { task, epoch: run.epoch, event });
@@ -317,8 +317,8 @@
 where
     F: FnOnce(&mut TaskChecker),
 {
-    if let Some(watch) = &tasks.watch {
-        tell(&mut lock(watch));
+    if let Some(checker) = &tasks.checker {
+        tell(&mut lock(checker));
     }
 }
 
@@ -327,7 +327,7 @@
     let running = std::mem::take(&mut tasks.running);
     state.dropped.fetch_add(running.len() as u64, Ordering::SeqCst);
     for (task, run) in running {
-        note(&tasks, |watch| watch.stopped(task, run.epoch));
+        note(&tasks, |checker| checker.stopped(task, run.epoch));
         tasks.reports.push(TaskReport { task, epoch: run.epoch, event: TaskEvent::Stopped });
     }
 }
@@ -398,7 +398,7 @@
         }
         tasks.seen.insert(task, epoch);
         tasks.running.insert(task, running(start));
-        note(&tasks, |watch| watch.started(task, epoch));
+        note(&tasks, |checker| checker.started(task, epoch));
         report(TaskEvent::Started)
     }
 
@@ -415,7 +415,7 @@
             None => return Some(TaskReport { task, epoch, event: TaskEvent::Stopped }),
             Some(done) => {
                 tasks.running.remove(&task);
-                note(&tasks, |watch| watch.stopped(task, epoch));
+                note(&tasks, |checker| checker.stopped(task, epoch));
                 if save {
                     let done_ms = u64::try_from(done.as_millis()).unwrap_or(u64::MAX);
                     let event = TaskEvent::Checkpointed { done_ms };
--- a/crates/operator/src/saved.rs
+++ b/crates/operator/src/saved.rs
@@ -35,7 +35,7 @@
 /// Makes the data folder of one voter, which then founds the system anew; the
 /// other voters start with empty disks and join it.
 pub(crate) fn restore(file: &str, data: &str, name: &Name, address: SocketAddr) -> Result<Output> {
-    let Snapshot { meta, state: mut machine } = read(file)?;
+    let Snapshot { meta, mut state } = read(file)?;
     let replica = drawn();
     let address = address.to_string().into();
     let voters = vec![Member { id: ReplicaId(replica), name: name.clone(), address }];
@@ -44,8 +44,8 @@
     // Terms that the lost system may have reached must not outdo the new one's.
     let term = meta.term + RESTORE_JUMP;
     let meta = Meta { index: meta.index, term, members: members.into() };
-    machine.restore_jump();
-    Store::restore(Path::new(data), replica, &meta, &machine).map_err(Error::State)?;
+    state.restore_jump();
+    Store::restore(Path::new(data), replica, &meta, &state).map_err(Error::State)?;
     let text = format!(
         "{data} holds the state up to record {}; start {name} on it, and the other voters with \
          empty disks\n",
@@ -60,20 +60,20 @@
 }
 
 fn described(file: &str, found: &Snapshot) -> Output {
-    let Snapshot { meta, state: machine } = found;
-    let services = machine.services().count();
-    let tasks = machine.tasks().count();
-    let requests = machine.ledger().len();
+    let Snapshot { meta, state } = found;
+    let services = state.services().count();
+    let tasks = state.tasks().count();
+    let requests = state.ledger().len();
     let text = format!(
         "{file} is whole: record {}, revision {}, {services} services, {tasks} tasks, {requests} \
          remembered requests\n",
         meta.index,
-        machine.revision()
+        state.revision()
     );
     let json = json!({
         "file": file,
         "record": meta.index,
-        "revision": machine.revision().0,
+        "revision": state.revision().0,
         "services": services,
         "tasks": tasks,
         "requests": requests,
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -369,9 +369,9 @@
         to.set_table_version(self.table_version);
         to.set_leaving(self.leaving);
         to.set_settled(self.runner_table_complete);
-        let mut let_go = to.reborrow().init_let_go(count(&self.released_runners));
+        let mut released_runners = to.reborrow().init_let_go(count(&self.released_runners));
         for (at, name) in (0..).zip(&self.released_runners) {
-            let_go.set(at, name.as_str());
+            released_runners.set(at, name.as_str());
         }
         fill_parts(to.init_owned(count(&self.owned)), &self.owned)
     }
@@ -381,7 +381,8 @@
     /// # Errors
     /// [`BadMessage`] when it is malformed.
     pub fn read(from: crate::peer_capnp::entry_state::Reader<'_>) -> Result<Self, BadMessage> {
-        let let_go = from.get_let_go()?.iter().map(|text| name(text?)).collect::<Result<_, _>>()?;
+        let released_runners =
+            from.get_let_go()?.iter().map(|text| name(text?)).collect::<Result<_, _>>()?;
         Ok(Self {
             entry: name(from.get_entry()?)?,
             incarnation: Incarnation(from.get_incarnation()),
@@ -391,7 +392,7 @@
             draining: from.get_draining(),
             term: from.get_term(),
             table_version: from.get_table_version(),
-            released_runners: let_go,
+            released_runners,
             owned: read_parts(from.get_owned()?)?,
             leaving: from.get_leaving(),
             runner_table_complete: from.get_settled(),
--- a/crates/soak/src/runners.rs
+++ b/crates/soak/src/runners.rs
@@ -36,7 +36,7 @@
 /// Shortest and longest time that a room stays as it is.
 const ROOM_STAYS_MS: std::ops::Range<u64> = 500..6_000;
 /// What is true of every task: its work is drawn from its key.
-fn truth(task: TaskKey, crashes: bool) -> TaskBehavior {
+fn behavior(task: TaskKey, crashes: bool) -> TaskBehavior {
     let work = Duration::from_millis(100 + (task.job.0 ^ u64::from(task.index)) % 900);
     let need = Resources { millicores: 1_000, memory_mib: 100, accelerators: 0 };
     let strikes = crashes && task.index == 0 && task.job.0.is_multiple_of(CRASHING_ONE_IN);
@@ -129,7 +129,7 @@
             Some(orders) => {
                 told = orders.report_to;
                 let before = runner.resources_in_use();
-                runner.apply_orders(now(), sent, &orders, |task| Some(truth(task, crashes)));
+                runner.apply_orders(now(), sent, &orders, |task| Some(behavior(task, crashes)));
                 let filled = runner.resources_in_use().millicores > before.millicores;
                 if filled && !runner.is_within_capacity(now()) {
                     watch.borrow_mut().overfull(at);
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -150,7 +150,7 @@
         for event in events {
             match event {
                 RunnerEvent::Started { task, run, .. } => self.started(runner, task, run),
-                RunnerEvent::Ended { task, outcome: how, .. } => self.ended(runner, task, how),
+                RunnerEvent::Ended { task, outcome, .. } => self.ended(runner, task, outcome),
                 RunnerEvent::EndsAcknowledged(upto) => self.noted(runner, upto),
                 RunnerEvent::LeaseExpired(_) => {
                     self.listed.remove(&runner);
@@ -182,20 +182,20 @@
         }
     }
 
-    fn ended(&mut self, runner: usize, key: TaskKey, how: RunOutcome) {
+    fn ended(&mut self, runner: usize, key: TaskKey, outcome: RunOutcome) {
         let task = self.tasks.entry(key).or_default();
         task.running.remove(&runner);
-        task.done |= how == RunOutcome::Done;
+        task.done |= outcome == RunOutcome::Done;
         let count = self.counts.entry(runner).or_default();
         *count += 1;
-        self.listed.entry(runner).or_default().insert(*count, (key, how));
+        self.listed.entry(runner).or_default().insert(*count, (key, outcome));
     }
 
     fn noted(&mut self, runner: usize, upto: u64) {
         let Some(listed) = self.listed.get_mut(&runner) else { return };
         let rest = listed.split_off(&(upto + 1));
-        for (key, how) in std::mem::replace(listed, rest).into_values() {
-            if how == RunOutcome::Done {
+        for (key, outcome) in std::mem::replace(listed, rest).into_values() {
+            if outcome == RunOutcome::Done {
                 self.tasks.entry(key).or_default().noted = true;
             }
         }
--- a/crates/state/src/jobs/table.rs
+++ b/crates/state/src/jobs/table.rs
@@ -489,10 +489,10 @@
         else {
             return;
         };
-        let saved = step.tasks.iter().find(|task| !task.checkpoint.is_empty());
-        let Some(saved) = saved.map(|task| task.checkpoint.clone()) else { return };
+        let checkpoint = step.tasks.iter().find(|task| !task.checkpoint.is_empty());
+        let Some(checkpoint) = checkpoint.map(|task| task.checkpoint.clone()) else { return };
         for task in &mut step.tasks {
-            task.checkpoint.clone_from(&saved);
+            task.checkpoint.clone_from(&checkpoint);
         }
     }
 
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -183,8 +183,8 @@
         self.set_phase(id, TaskPhase::Waiting);
     }
 
-    fn end(&mut self, id: TaskId, ending: TaskOutcome) {
-        self.set_phase(id, TaskPhase::Ended(ending));
+    fn end(&mut self, id: TaskId, outcome: TaskOutcome) {
+        self.set_phase(id, TaskPhase::Ended(outcome));
         self.ended.push_back(id);
         if self.ended.len() > PAST_TASKS
             && let Some(oldest) = self.ended.pop_front()
--- a/crates/state/src/machine/tasks.rs
+++ b/crates/state/src/machine/tasks.rs
@@ -52,7 +52,7 @@
     pub(super) fn cancel(&mut self, id: TaskId) -> CancelOutcome {
         let Some(task) = self.tasks.get(&id) else { return CancelOutcome::Unknown };
         match task.phase.clone() {
-            TaskPhase::Ended(ending) => CancelOutcome::Ended(ending),
+            TaskPhase::Ended(outcome) => CancelOutcome::Ended(outcome),
             TaskPhase::Waiting => {
                 // Only a task that never ran may be called "not run".
                 let ran = task.epoch > Epoch(0);
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -68,11 +68,11 @@
 /// assert_eq!(snapshot::decode(&bytes, "memory")?.meta, meta);
 /// # Ok::<(), yuccalink_state::Error>(())
 /// ```
-pub fn encode<S>(meta: &Meta, machine: &S) -> Result<Vec<u8>>
+pub fn encode<S>(meta: &Meta, state: &S) -> Result<Vec<u8>>
 where
     S: Replicated,
 {
-    let body = postcard::to_stdvec(&(meta, machine))
+    let body = postcard::to_stdvec(&(meta, state))
         .map_err(|source| Error::Decode { what: "a snapshot", source })?;
     let mut buf = Vec::with_capacity(body.len() + HEAD);
     buf.extend_from_slice(MAGIC);
@@ -112,10 +112,10 @@
     if crc32fast::hash(body) != number(12) {
         return Err(damaged());
     }
-    let (meta, mut machine): (Meta, S) = postcard::from_bytes(body)
+    let (meta, mut state): (Meta, S) = postcard::from_bytes(body)
         .map_err(|source| Error::Decode { what: "a snapshot", source })?;
-    machine.reindex();
-    Ok(Snapshot { meta, state: machine })
+    state.reindex();
+    Ok(Snapshot { meta, state })
 }
 
 /// Writes `bytes` as the snapshot of record `index`; it is durable on return.
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -71,7 +71,7 @@
         let lock = lock(folder)?;
         let found: Option<snapshot::Snapshot<S>> = snapshot::newest(folder)?;
         let meta = found.as_ref().map(|found| found.meta.clone()).unwrap_or_default();
-        let machine = found.map(|found| found.state).unwrap_or_default();
+        let state = found.map(|found| found.state).unwrap_or_default();
         let known = read_identity(folder)?;
         if known.is_some() && !has_log(folder)? {
             return Err(Error::Identity(folder.display().to_string().into()));
@@ -85,7 +85,7 @@
             None => write_identity(folder, draw)?,
         };
         let store = Self { folder: folder.into(), log, _lock: lock };
-        Ok((store, Recovered { replica, meta, state: machine, records, hard }))
+        Ok((store, Recovered { replica, meta, state, records, hard }))
     }
 
     /// Makes a data folder that begins with this snapshot, for a replica that
@@ -93,14 +93,14 @@
     ///
     /// # Errors
     /// [`Error::NotEmpty`] when the folder holds anything; then nothing is changed.
-    pub fn restore(folder: &Path, replica: u64, meta: &Meta, machine: &StateMachine) -> Result<()> {
+    pub fn restore(folder: &Path, replica: u64, meta: &Meta, state: &StateMachine) -> Result<()> {
         fs::create_dir_all(folder).map_err(|e| Error::io("create", folder, e))?;
         let mut entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
         if entries.next().is_some() {
             return Err(Error::NotEmpty(folder.display().to_string().into()));
         }
         let lock = lock(folder)?;
-        snapshot::write(folder, meta.index, &snapshot::encode(meta, machine)?)?;
+        snapshot::write(folder, meta.index, &snapshot::encode(meta, state)?)?;
         let mut log = Log::open(folder, meta.index, meta.term)?.log;
         let hard = TermAndVote { term: meta.term, vote: 0 };
         log.append(&LogFrame { hard, first: meta.index + 1, records: Vec::new() })?;
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -38,12 +38,12 @@
     jobs.apply(JobCommand::Start(vec![start])) == JobOutcome::Started(vec![start])
 }
 
-fn end(jobs: &mut CellState, task: TaskKey, run: u32, incarnation: u32, how: RunOutcome) {
+fn end(jobs: &mut CellState, task: TaskKey, run: u32, incarnation: u32, outcome: RunOutcome) {
     let end = RunEnd {
         task,
         run,
         incarnation: IncarnationKey(incarnation),
-        outcome: how,
+        outcome,
         checkpoint: "s".into(),
     };
     jobs.apply(JobCommand::End { ends: vec![end], at_ms: 9 });
@@ -109,9 +109,9 @@
         RunOutcome::Refused,
         RunOutcome::Gone,
     ];
-    for (run, how) in (1..).zip(ends) {
+    for (run, outcome) in (1..).zip(ends) {
         assert!(start(&mut jobs, key(0, 0), run, 0));
-        end(&mut jobs, key(0, 0), run, 0, how);
+        end(&mut jobs, key(0, 0), run, 0, outcome);
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
--- a/crates/state/tests/machine.rs
+++ b/crates/state/tests/machine.rs
@@ -77,70 +77,67 @@
     Command::Report([TaskReport { task: TaskId(task), epoch: Epoch(epoch), event }].into())
 }
 
-fn machine(commands: impl IntoIterator<Item = Command>) -> StateMachine {
-    let mut machine = StateMachine::new();
+fn state(commands: impl IntoIterator<Item = Command>) -> StateMachine {
+    let mut state = StateMachine::new();
     for command in commands {
-        machine.apply(command);
+        state.apply(command);
     }
-    machine
+    state
 }
 
-fn phase(machine: &StateMachine, task: u64) -> TaskPhase {
-    machine.task(TaskId(task)).expect("a task").phase.clone()
+fn phase(state: &StateMachine, task: u64) -> TaskPhase {
+    state.task(TaskId(task)).expect("a task").phase.clone()
 }
 
 /// Two operators apply different texts with the same version number at the same
 /// moment. Exactly one is in force, and the other is told who won.
 #[test]
 fn of_two_texts_with_one_version_the_first_wins() {
-    let mut machine = StateMachine::new();
-    let won = machine.apply(apply(1, "a", "anna"));
+    let mut state = StateMachine::new();
+    let won = state.apply(apply(1, "a", "anna"));
     assert_eq!(won, Outcome::Accepted { revision: Revision(1), resent: false });
-    let lost = machine.apply(apply(1, "b", "ben"));
+    let lost = state.apply(apply(1, "b", "ben"));
     let winner = Outcome::Conflict { version: 1, author: "anna".into(), revision: Revision(1) };
     assert_eq!(lost, winner);
-    assert_eq!(&*machine.service(&name("s")).expect("a service").accepted.text, "a");
+    assert_eq!(&*state.service(&name("s")).expect("a service").accepted.text, "a");
 }
 
 /// An operator loses the answer and sends the change again, after others have
 /// applied hundreds more. It gets its first answer, and nothing reverts.
 #[test]
 fn a_resend_gets_its_first_answer_and_reverts_nothing() {
-    let mut machine = machine((1..=300).map(|v| apply(v, &v.to_string(), "anna")));
-    let again = machine.apply(apply(7, "7", "anna"));
+    let mut state = state((1..=300).map(|v| apply(v, &v.to_string(), "anna")));
+    let again = state.apply(apply(7, "7", "anna"));
     assert_eq!(again, Outcome::Accepted { revision: Revision(7), resent: true });
-    assert_eq!(machine.service(&name("s")).expect("a service").accepted.document.version, 300);
-    assert!(matches!(machine.apply(apply(7, "x", "ben")), Outcome::Conflict { version: 7, .. }));
-    assert!(matches!(
-        machine.apply(apply(299, "x", "ben")),
-        Outcome::Conflict { version: 299, .. }
-    ));
-    assert_eq!(machine.revision(), Revision(300));
+    assert_eq!(state.service(&name("s")).expect("a service").accepted.document.version, 300);
+    assert!(matches!(state.apply(apply(7, "x", "ben")), Outcome::Conflict { version: 7, .. }));
+    assert!(matches!(state.apply(apply(299, "x", "ben")), Outcome::Conflict { version: 299, .. }));
+    assert_eq!(state.revision(), Revision(300));
 }
 
 #[test]
 fn a_submission_sent_again_adds_nothing() {
-    let mut machine = machine([apply(1, "a", "a"), submit("small", 3)]);
-    let again = machine.apply(submit("small", 3));
+    let mut state = state([apply(1, "a", "a"), submit("small", 3)]);
+    let again = state.apply(submit("small", 3));
     assert_eq!(again, Outcome::Submitted { first: TaskId(1), count: 3, resent: true });
-    assert_eq!(machine.tasks().count(), 3);
+    assert_eq!(state.tasks().count(), 3);
 }
 
 /// Two placements planned from the same old state name one worker. The second
 /// would commit it beyond what it has, and is dropped.
 #[test]
 fn a_placement_beyond_capacity_is_dropped() {
-    let mut machine = machine([apply(1, "a", "a"), submit("large", 2), worker("w", 1)]);
-    assert!(matches!(machine.apply(place(1, 0)), Outcome::Placed(p) if p.len() == 1));
-    assert_eq!(machine.apply(place(2, 0)), Outcome::Placed([].into()));
-    assert_eq!(phase(&machine, 2), TaskPhase::Waiting);
+    let mut state = state([apply(1, "a", "a"), submit("large", 2), worker("w", 1)]);
+    assert!(matches!(state.apply(place(1, 0)), Outcome::Placed(p) if p.len() == 1));
+    assert_eq!(state.apply(place(2, 0)), Outcome::Placed([].into()));
+    assert_eq!(phase(&state, 2), TaskPhase::Waiting);
 }
 
 /// A worker that was cut off reports the end of a task that was placed again
 /// elsewhere since. The late word must not end or free the new placement.
 #[test]
 fn a_late_report_of_an_old_epoch_changes_nothing() {
-    let mut machine = machine([
+    let mut state = state([
         apply(1, "a", "a"),
         submit("small", 1),
         worker("w", 1),
@@ -149,18 +146,18 @@
         Command::WorkerGone(name("w"), Incarnation(1)),
         place(1, 1),
     ]);
-    let before = machine.clone();
-    machine.apply(report(1, 1, TaskEvent::Finished));
-    machine.apply(report(1, 1, TaskEvent::Checkpointed { done_ms: 5 }));
-    machine.apply(report(1, 1, TaskEvent::Stopped));
-    assert_eq!(machine, before);
-    machine.apply(report(1, 2, TaskEvent::Finished));
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Finished));
+    let before = state.clone();
+    state.apply(report(1, 1, TaskEvent::Finished));
+    state.apply(report(1, 1, TaskEvent::Checkpointed { done_ms: 5 }));
+    state.apply(report(1, 1, TaskEvent::Stopped));
+    assert_eq!(state, before);
+    state.apply(report(1, 2, TaskEvent::Finished));
+    assert_eq!(phase(&state, 1), TaskPhase::Ended(TaskOutcome::Finished));
 }
 
 #[test]
 fn an_evicted_task_resumes_from_its_checkpoint() {
-    let mut machine = machine([
+    let mut state = state([
         apply(1, "a", "a"),
         submit("small", 1),
         worker("w", 1),
@@ -170,36 +167,35 @@
         report(1, 1, TaskEvent::Checkpointed { done_ms: 70 }),
         report(1, 1, TaskEvent::Stopped),
     ]);
-    let task = machine.task(TaskId(1)).expect("a task");
+    let task = state.task(TaskId(1)).expect("a task");
     assert_eq!((task.evictions, task.checkpoint.expect("saved").done_ms), (1, 70));
     assert_eq!(task.phase, TaskPhase::Waiting);
-    machine.apply(place(1, 0));
-    assert_eq!(machine.task(TaskId(1)).expect("a task").epoch, Epoch(2));
+    state.apply(place(1, 0));
+    assert_eq!(state.task(TaskId(1)).expect("a task").epoch, Epoch(2));
 }
 
 /// "Not run" is only said of a task that never was on a worker.
 #[test]
 fn a_cancelled_task_is_called_not_run_only_if_it_never_ran() {
-    let mut machine =
-        machine([apply(1, "a", "a"), submit("small", 2), worker("w", 1), place(1, 0)]);
+    let mut state = state([apply(1, "a", "a"), submit("small", 2), worker("w", 1), place(1, 0)]);
     let both = Command::Cancel([TaskId(1), TaskId(2), TaskId(9)].into());
     let outcomes = [CancelOutcome::Stopping, CancelOutcome::NotRun, CancelOutcome::Unknown];
-    assert_eq!(machine.apply(both), Outcome::Cancelled(outcomes.into()));
-    machine.apply(report(1, 1, TaskEvent::Stopped));
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Cancelled));
-    let again = machine.apply(Command::Cancel([TaskId(1)].into()));
+    assert_eq!(state.apply(both), Outcome::Cancelled(outcomes.into()));
+    state.apply(report(1, 1, TaskEvent::Stopped));
+    assert_eq!(phase(&state, 1), TaskPhase::Ended(TaskOutcome::Cancelled));
+    let again = state.apply(Command::Cancel([TaskId(1)].into()));
     let ended = CancelOutcome::Ended(TaskOutcome::Cancelled);
     assert_eq!(again, Outcome::Cancelled([ended].into()));
 }
 
 #[test]
 fn a_task_that_fails_thrice_is_given_up_with_its_reason() {
-    let mut machine = machine([apply(1, "a", "a"), submit("small", 1), worker("w", 1)]);
+    let mut state = state([apply(1, "a", "a"), submit("small", 1), worker("w", 1)]);
     for epoch in 1..=3 {
-        machine.apply(place(1, 0));
-        machine.apply(report(1, epoch, TaskEvent::Failed { reason: "bad input".into() }));
+        state.apply(place(1, 0));
+        state.apply(report(1, epoch, TaskEvent::Failed { reason: "bad input".into() }));
     }
-    assert_eq!(phase(&machine, 1), TaskPhase::Ended(TaskOutcome::Failed("bad input".into())));
+    assert_eq!(phase(&state, 1), TaskPhase::Ended(TaskOutcome::Failed("bad input".into())));
 }
 
 fn key(text: &str) -> RequestKey {
@@ -228,22 +224,22 @@
 /// way, after it was answered, and after its answer was lost. It runs once.
 #[test]
 fn a_request_with_a_key_is_let_go_once() {
-    let mut machine = StateMachine::new();
-    assert_eq!(machine.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go));
-    assert_eq!(machine.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go), "the same attempt");
-    assert_eq!(machine.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Running));
-    assert_eq!(machine.apply(begin("a", 2, 5000)), Outcome::Request(Verdict::Unknown));
-    machine.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
+    let mut state = StateMachine::new();
+    assert_eq!(state.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go));
+    assert_eq!(state.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go), "the same attempt");
+    assert_eq!(state.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Running));
+    assert_eq!(state.apply(begin("a", 2, 5000)), Outcome::Request(Verdict::Unknown));
+    state.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
     let given = Outcome::Request(Verdict::Answered(answer(3)));
-    assert_eq!(machine.apply(begin("a", 3, 20)), given);
-    machine.apply(end("a", 1, RequestOutcome::NotRun));
-    assert_eq!(machine.apply(begin("a", 4, 30)), given, "the first ending stands");
+    assert_eq!(state.apply(begin("a", 3, 20)), given);
+    state.apply(end("a", 1, RequestOutcome::NotRun));
+    assert_eq!(state.apply(begin("a", 4, 30)), given, "the first ending stands");
 }
 
 #[test]
 fn a_request_that_did_not_run_may_be_sent_again() {
-    let mut machine = machine([begin("a", 1, 0), end("a", 1, RequestOutcome::NotRun)]);
-    assert_eq!(machine.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Go));
+    let mut state = state([begin("a", 1, 0), end("a", 1, RequestOutcome::NotRun)]);
+    assert_eq!(state.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Go));
 }
 
 /// A request is under way at one entry. Its caller sends it again through another,
@@ -251,21 +247,21 @@
 /// and says so. Were the key freed by that word, the third sending would run again.
 #[test]
 fn one_attempts_end_does_not_free_anothers_key() {
-    let mut machine = machine([begin("a", 1, 0)]);
-    machine.apply(end("a", 2, RequestOutcome::NotRun));
-    assert_eq!(machine.apply(begin("a", 3, 10)), Outcome::Request(Verdict::Running));
-    machine.apply(end("a", 2, RequestOutcome::Unknown));
-    machine.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
+    let mut state = state([begin("a", 1, 0)]);
+    state.apply(end("a", 2, RequestOutcome::NotRun));
+    assert_eq!(state.apply(begin("a", 3, 10)), Outcome::Request(Verdict::Running));
+    state.apply(end("a", 2, RequestOutcome::Unknown));
+    state.apply(end("a", 1, RequestOutcome::Answered(answer(3))));
     let given = Outcome::Request(Verdict::Answered(answer(3)));
-    assert_eq!(machine.apply(begin("a", 4, 20)), given);
+    assert_eq!(state.apply(begin("a", 4, 20)), given);
 }
 
 #[test]
 fn a_key_used_for_another_request_is_refused() {
-    let mut machine = machine([begin("a", 1, 0)]);
+    let mut state = state([begin("a", 1, 0)]);
     let Command::RequestBegin(mut other) = begin("a", 2, 0) else { unreachable!() };
     other.digest = [2; 32];
-    let outcome = machine.apply(Command::RequestBegin(other));
+    let outcome = state.apply(Command::RequestBegin(other));
     assert_eq!(outcome, Outcome::Request(Verdict::KeyReused));
 }
 
@@ -273,24 +269,24 @@
 /// run" before one that ran could find no room for its answer.
 #[test]
 fn a_full_ledger_refuses_before_it_loses_an_answer() {
-    let mut machine = StateMachine::new();
+    let mut state = StateMachine::new();
     let mut taken = 0;
     loop {
         let text = format!("k{taken}");
-        match machine.apply(begin(&text, taken, 0)) {
+        match state.apply(begin(&text, taken, 0)) {
             Outcome::Request(Verdict::Go) => {}
             Outcome::Request(Verdict::Full) => break,
             other => panic!("{other:?}"),
         }
-        machine.apply(end(&text, taken, RequestOutcome::Answered(answer(ANSWER_MAX))));
+        state.apply(end(&text, taken, RequestOutcome::Answered(answer(ANSWER_MAX))));
         taken += 1;
     }
-    assert!(machine.ledger().bytes() <= KEEP_BYTES);
+    assert!(state.ledger().bytes() <= KEEP_BYTES);
     assert!(taken > 200, "only {taken} were taken");
-    assert!(matches!(machine.apply(begin("k0", 999, 1)), Outcome::Request(Verdict::Answered(_))));
-    let later = machine.apply(begin("new", 1, KEEP_MS + 1));
+    assert!(matches!(state.apply(begin("k0", 999, 1)), Outcome::Request(Verdict::Answered(_))));
+    let later = state.apply(begin("new", 1, KEEP_MS + 1));
     assert_eq!(later, Outcome::Request(Verdict::Go));
-    assert_eq!(machine.ledger().len(), 1);
+    assert_eq!(state.ledger().len(), 1);
 }
 
 fn any_command() -> impl Strategy<Value = Command> {
@@ -330,29 +326,29 @@
     /// a snapshot brings back the same state.
     #[test]
     fn any_history_keeps_the_sums(commands in proptest::collection::vec(any_command(), 0..120)) {
-        let mut machine = StateMachine::new();
+        let mut state = StateMachine::new();
         for command in commands {
-            let before: Vec<(TaskId, Epoch)> = machine.tasks().map(|t| (t.id, t.epoch)).collect();
-            let revision = machine.revision();
-            machine.apply(command);
-            prop_assert!(machine.revision() >= revision);
+            let before: Vec<(TaskId, Epoch)> = state.tasks().map(|t| (t.id, t.epoch)).collect();
+            let revision = state.revision();
+            state.apply(command);
+            prop_assert!(state.revision() >= revision);
             for (id, epoch) in before {
-                prop_assert!(machine.task(id).is_none_or(|task| task.epoch >= epoch));
+                prop_assert!(state.task(id).is_none_or(|task| task.epoch >= epoch));
             }
-            for (key, worker) in machine.workers() {
-                let sum = machine
+            for (key, worker) in state.workers() {
+                let sum = state
                     .tasks()
                     .filter(|task| task.worker() == Some(key))
                     .try_fold(Resources::ZERO, |sum, task| sum.plus(task.need));
                 prop_assert_eq!(sum, Some(worker.committed));
                 prop_assert!(worker.spec.capacity.covers(worker.committed));
-                prop_assert_eq!(machine.tasks_on_worker(key).count(), worker.tasks as usize);
+                prop_assert_eq!(state.tasks_on_worker(key).count(), worker.tasks as usize);
             }
-            let waiting = machine.tasks().filter(|t| t.phase == TaskPhase::Waiting).count();
-            prop_assert_eq!(machine.waiting_len(), waiting);
+            let waiting = state.tasks().filter(|t| t.phase == TaskPhase::Waiting).count();
+            prop_assert_eq!(state.waiting_len(), waiting);
         }
-        let bytes = snapshot::encode(&Meta::default(), &machine).expect("a snapshot");
-        prop_assert_eq!(snapshot::decode(&bytes, "memory").expect("decoded").state, machine);
+        let bytes = snapshot::encode(&Meta::default(), &state).expect("a snapshot");
+        prop_assert_eq!(snapshot::decode(&bytes, "memory").expect("decoded").state, state);
     }
 
     #[test]
--- a/crates/state/tests/store.rs
+++ b/crates/state/tests/store.rs
@@ -51,25 +51,25 @@
 
 fn open(folder: &Path) -> (Store, StateMachine, usize) {
     let (store, found) = Store::open(folder, REPLICA).expect("a store");
-    let mut machine = found.state;
+    let mut state = found.state;
     for record in &found.records {
-        machine.apply(store::decode(&record.bytes).expect("a command"));
+        state.apply(store::decode(&record.bytes).expect("a command"));
     }
-    (store, machine, found.records.len())
+    (store, state, found.records.len())
 }
 
-fn compact(store: &mut Store, machine: &StateMachine) {
+fn compact(store: &mut Store, state: &StateMachine) {
     let meta = Meta { index: store.last(), term: 1, members: [].into() };
-    let bytes = snapshot::encode(&meta, machine).expect("a snapshot");
+    let bytes = snapshot::encode(&meta, state).expect("a snapshot");
     store.compact(meta.index, &bytes).expect("compacted");
 }
 
-fn write(store: &mut Store, machine: &mut StateMachine, commands: &[Command]) {
+fn write(store: &mut Store, state: &mut StateMachine, commands: &[Command]) {
     let records = commands.iter().map(|c| (1, store::encode(c).expect("bytes").into())).collect();
     let hard = TermAndVote { term: 1, vote: REPLICA };
     store.append(&LogFrame { hard, first: store.last() + 1, records }).expect("an append");
     for command in commands {
-        machine.apply(command.clone());
+        state.apply(command.clone());
     }
 }
 
@@ -78,20 +78,20 @@
 #[test]
 fn a_restart_brings_back_every_change() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut machine = StateMachine::new();
+    let mut state = StateMachine::new();
     for round in 0..10u64 {
         let (mut store, found, _) = open(folder.path());
-        assert_eq!(found, machine, "round {round}");
+        assert_eq!(found, state, "round {round}");
         for at in 0..40 {
             let key = round * 100 + at;
-            write(&mut store, &mut machine, &[apply(key + 1), submit(key)]);
+            write(&mut store, &mut state, &[apply(key + 1), submit(key)]);
         }
         if round % 3 == 1 {
-            compact(&mut store, &machine);
+            compact(&mut store, &state);
         }
     }
     let (_, found, replayed) = open(folder.path());
-    assert_eq!(found, machine);
+    assert_eq!(found, state);
     assert!(replayed <= 3 * 80, "replayed {replayed} records");
 }
 
@@ -101,14 +101,14 @@
 fn a_damaged_snapshot_falls_back_to_the_one_before() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _, _) = open(folder.path());
-    let mut machine = StateMachine::new();
+    let mut state = StateMachine::new();
     let mut newest = 0;
     for version in 1..=3 {
-        write(&mut store, &mut machine, &[apply(version), submit(version)]);
+        write(&mut store, &mut state, &[apply(version), submit(version)]);
         newest = store.last();
-        compact(&mut store, &machine);
+        compact(&mut store, &state);
     }
-    write(&mut store, &mut machine, &[apply(4)]);
+    write(&mut store, &mut state, &[apply(4)]);
     drop(store);
     let path = folder.path().join(format!("{newest:020}.snapshot"));
     let mut bytes = fs::read(&path).expect("a snapshot");
@@ -116,7 +116,7 @@
     bytes[last] ^= 1;
     fs::write(&path, bytes).expect("a write");
     let (_, found, _) = open(folder.path());
-    assert_eq!(found, machine);
+    assert_eq!(found, state);
 }
 
 /// Two daemons are started on one data folder by mistake. The second must not
@@ -137,12 +137,12 @@
 fn a_draft_is_no_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _, _) = open(folder.path());
-    let mut machine = StateMachine::new();
-    write(&mut store, &mut machine, &[apply(1)]);
+    let mut state = StateMachine::new();
+    write(&mut store, &mut state, &[apply(1)]);
     drop(store);
     fs::write(folder.path().join("00000000000000000009.draft"), b"half").expect("a write");
     let (_, found, _) = open(folder.path());
-    assert_eq!(found, machine);
+    assert_eq!(found, state);
 }
 
 /// An operator removes the log but not the `replica` file, or the other way round.
@@ -152,8 +152,8 @@
 fn a_folder_with_parts_missing_is_refused() {
     for missing in ["replica", "log"] {
         let folder = tempfile::tempdir().expect("a folder");
-        let (mut store, mut machine, _) = open(folder.path());
-        write(&mut store, &mut machine, &[apply(1)]);
+        let (mut store, mut state, _) = open(folder.path());
+        write(&mut store, &mut state, &[apply(1)]);
         drop(store);
         for entry in fs::read_dir(folder.path()).expect("a folder") {
             let path = entry.expect("an entry").path();
