--- a/crates/coordination/benches/leader.rs
+++ b/crates/coordination/benches/leader.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::ask::QueueAddress;
+use yuccalink_coordination::jobs::messages::QueueAddress;
 use yuccalink_coordination::jobs::{
     CellRequest, CellResponse, Leader, LeaderConfig, Now, RequestToken,
 };
--- a/crates/coordination/src/jobs.rs
+++ b/crates/coordination/src/jobs.rs
@@ -5,37 +5,37 @@
 pub mod account;
 mod admission;
 mod advice;
-pub mod ask;
-mod asks;
+mod colocation;
 mod commits;
 mod copies;
 mod due;
 mod estimate;
+pub mod external;
 mod gangs;
 mod heartbeat;
+mod incarnations;
 pub mod interference;
 mod leader;
-mod lives;
 mod lost;
-mod neighbours;
-pub mod outside;
+pub mod margin_forecast;
+pub mod messages;
 mod pace;
 mod place;
 pub mod policy;
 mod ready;
-mod report;
+mod requests;
 mod room;
 mod routes;
 pub mod runner;
 mod sizes;
 mod suits;
 mod suspects;
-pub mod swing;
+mod telemetry;
 mod waves;
 
-pub use ask::{
+pub use leader::{Leader, LeaderConfig, Now, RequestToken};
+pub use messages::{
     CellRequest, CellResponse, FinishedRun, JobState, ReportedRun, RunnerOrders, RunnerReport,
     RunnerState, StartOrder,
 };
-pub use leader::{Leader, LeaderConfig, Now, RequestToken};
-pub use report::LeaderCounters;
+pub use telemetry::LeaderCounters;
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -1,8 +1,8 @@
 //! Tickets of an outside policy: one question at a time, about the runners with the
 //! most room, asked before a step is to start and kept for as long as they are valid.
 
+use super::external::{ExternalCall, ExternalCallId, ExternalReply};
 use super::leader::{Leader, Now};
-use super::outside::{ExternalCall, ExternalCallId, ExternalReply};
 use super::ready::StepKey;
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/coordination/src/jobs/neighbours.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -1,10 +1,10 @@
 //! Who shares a runner: what serves, what fills, and the room that is really left.
 
 use super::interference::{BackgroundShare, ImageKey, Interference};
+use super::margin_forecast::MarginForecasts;
 use super::policy::Switch;
 use super::ready::{ReadyQueue, StepInfo, StepKey, StepKind};
 use super::runner::{RunView, Runner};
-use super::swing::MarginForecasts;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -1,7 +1,7 @@
 //! What the log is given, and what follows once it has it.
 
-use super::ask::CellResponse;
 use super::leader::{Leader, Now, OnCommit};
+use super::messages::CellResponse;
 use super::routes::Routes;
 use std::collections::BTreeSet;
 use yuccalink_state::jobs::{CellState, JobCommand, JobId, JobOutcome, RunEnd, RunOutcome};
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -1,9 +1,9 @@
 //! What is due as time passes: ranking, leases that have ended, occurrences, forgetting.
 
 use super::account::LOOK_EVERY;
-use super::ask::{CellResponse, RunnerOrders};
 use super::leader::{Leader, Now, OnCommit, startable};
 use super::lost::Why;
+use super::messages::{CellResponse, RunnerOrders};
 use super::ready::StepKey;
 use super::runner::lease_expiry_bound;
 use std::time::Duration;
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -1,9 +1,11 @@
 //! Heartbeats of runners: what they tell is taken in, what is to be started or
 //! stopped goes back with the answer.
 
-use super::ask::{CellResponse, FinishedRun, RunnerOrders, RunnerReport, RunnerState, StartOrder};
 use super::leader::{Leader, Now, OnCommit, PendingHeartbeat, RequestToken};
 use super::lost::Why;
+use super::messages::{
+    CellResponse, FinishedRun, RunnerOrders, RunnerReport, RunnerState, StartOrder,
+};
 use super::policy::{Millis, Switch};
 use super::ready::{StepInfo, StepKey};
 use super::runner::{Runner, lease_expiry_bound};
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -14,8 +14,8 @@
 //! margin is a wave (see [`super::swing`]), a pair's weight is constant; one filter with
 //! a variance for each splits what is seen among them.
 
+use super::margin_forecast::{MarginModel, OwnFigure};
 use super::policy::Switch;
-use super::swing::{MarginModel, OwnFigure};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -142,7 +142,7 @@
     /// ```
     /// use yuccalink_coordination::Moment;
     /// use yuccalink_coordination::jobs::interference::{BackgroundShare, Interference};
-    /// use yuccalink_coordination::jobs::swing::MarginModel;
+    /// use yuccalink_coordination::jobs::margin_forecast::MarginModel;
     /// let mut learnt = Interference::default();
     /// let (serves, fills) = (learnt.image("front"), learnt.image("index"));
     /// let beside = [BackgroundShare { image: fills, share: 0.1 }];
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -2,18 +2,18 @@
 
 use super::account::Accounts;
 use super::advice::Advice;
-use super::ask::{CellRequest, CellResponse, RunnerReport};
+use super::external::{ExternalCall, ExternalCallId, ExternalReply};
+use super::incarnations::Incarnations;
 use super::interference::Interference;
-use super::lives::Incarnations;
-use super::outside::{ExternalCall, ExternalCallId, ExternalReply};
+use super::margin_forecast::MarginForecasts;
+use super::messages::{CellRequest, CellResponse, RunnerReport};
 use super::policy::Policy;
 use super::ready::{ReadyQueue, StepKey};
-use super::report::LeaderCounters;
 use super::room::KeptFree;
 use super::routes::Routes;
 use super::runner::Runner;
 use super::suspects::Suspects;
-use super::swing::MarginForecasts;
+use super::telemetry::LeaderCounters;
 use super::waves::Waves;
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/coordination/src/jobs/swing.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -115,7 +115,7 @@
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
-    /// use yuccalink_coordination::jobs::swing::MarginModel;
+    /// use yuccalink_coordination::jobs::margin_forecast::MarginModel;
     /// let swing = MarginModel::new(Moment::ZERO);
     /// assert!(swing.margin_at(Moment::from_millis(700)) > 1.0);
     /// ```
@@ -258,7 +258,7 @@
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
-    /// use yuccalink_coordination::jobs::swing::{MarginForecasts, OwnFigure};
+    /// use yuccalink_coordination::jobs::margin_forecast::{MarginForecasts, OwnFigure};
     /// let mut loads = MarginForecasts::default();
     /// let before = loads.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
     /// assert!(!loads.judge("watch", OwnFigure { margin: 2.0, noise: 0.1 }, Moment::ZERO));
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -1,13 +1,13 @@
 //! When a serving task's margin runs out: whoever presses on it is slowed by as much
 //! as is needed, or moved away where little would be left of its pace.
 
+use super::colocation::Colocation;
 use super::interference::{BackgroundShare, ImageKey, Interference};
 use super::leader::{Leader, Now};
-use super::neighbours::Colocation;
+use super::margin_forecast::MarginForecasts;
 use super::policy::{Millis, Switch};
 use super::ready::{ReadyQueue, StepKey, StepKind};
 use super::runner::Runner;
-use super::swing::MarginForecasts;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -1,8 +1,8 @@
 //! Which waiting tasks start on a runner that has just reported: its word is then
 //! fresh, and the order reaches it with the answer.
 
+use super::colocation::Colocation;
 use super::leader::{Leader, Now};
-use super::neighbours::Colocation;
 use super::ready::{StepKey, WaitingStep};
 use super::room::saturating_sub;
 use super::runner::{Runner, Trust};
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -4,11 +4,12 @@
 //! what ships; another [`Policy`] comes from a settings file or is built in a program,
 //! so that a mechanism can be switched off, or a figure changed, without a rebuild.
 
+pub use super::colocation::SharingPolicy;
 pub use super::copies::CopiesPolicy;
 pub use super::gangs::GangsPolicy;
 pub use super::heartbeat::LeavingPolicy;
 pub use super::interference::InterferencePolicy;
-pub use super::neighbours::SharingPolicy;
+pub use super::margin_forecast::ForecastPolicy;
 pub use super::pace::{MovingPolicy, PacingPolicy, StandstillPolicy};
 pub use super::ready::{OrderBy, OrderPolicy};
 pub use super::room::KeptFreePolicy;
@@ -16,7 +17,6 @@
 pub use super::sizes::SizesPolicy;
 pub use super::suits::{GatheringPolicy, MatchingPolicy, PatiencePolicy, RacksPolicy};
 pub use super::suspects::SuspectsPolicy;
-pub use super::swing::ForecastPolicy;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/coordination/src/jobs/asks.rs
+++ b/crates/coordination/src/jobs/requests.rs
@@ -1,7 +1,7 @@
 //! What callers and operators ask.
 
-use super::ask::{CellRequest, CellResponse, JobState, QueueAddress};
 use super::leader::{Leader, Now, OnCommit, RequestToken};
+use super::messages::{CellRequest, CellResponse, JobState, QueueAddress};
 use std::sync::Arc;
 use yuccalink_state::jobs::{
     ChangeSet, Job, JobCommand, JobId, JobPhase, JobSpec, JobSubmission, Queue,
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -1,8 +1,8 @@
 //! What a leader knows of one life of a runner: its last report, its lease, and
 //! how well its runs end.
 
-use super::ask::{ReportedRun, RunnerReport, RunnerState};
 use super::interference::ImageKey;
+use super::messages::{ReportedRun, RunnerReport, RunnerState};
 use super::policy::{Millis, Switch};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/jobs/suits.rs
+++ b/crates/coordination/src/jobs/suits.rs
@@ -1,9 +1,9 @@
 //! Which runners suit a step's tasks: racks, neighbours, and what a runner is offered
 //! first.
 
+use super::colocation::Colocation;
 use super::interference::ImageKey;
 use super::leader::{Leader, Now};
-use super::neighbours::Colocation;
 use super::place::Chosen;
 use super::policy::{Millis, Switch};
 use super::ready::{StepInfo, StepKey, StepKind, WaitingStep};
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -1,9 +1,9 @@
 //! Upkeep waves: machines go down for upkeep a few at a time, emptied first so that
 //! no long-running step loses more tasks than its document allows.
 
-use super::ask::CellResponse;
+use super::external::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
 use super::leader::{Leader, Now, OnCommit, RequestToken};
-use super::outside::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
+use super::messages::CellResponse;
 use crate::moment::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/coordination/src/roster.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -59,7 +59,7 @@
 /// ```
 /// use yuccalink_coordination::Moment;
 /// use yuccalink_coordination::raft::ReplicaId;
-/// use yuccalink_coordination::roster::{NodeInfo, PeerTable};
+/// use yuccalink_coordination::peer_table::{NodeInfo, PeerTable};
 /// let me = NodeInfo {
 ///     name: "e1".into(),
 ///     zone: "brno".into(),
--- a/crates/coordination/tests/cell/desk.rs
+++ b/crates/coordination/tests/cell/desk.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalCallId, ExternalReply};
+use yuccalink_coordination::jobs::external::{ExternalCall, ExternalCallId, ExternalReply};
 use yuccalink_coordination::jobs::{
     CellRequest, CellResponse, Leader, LeaderConfig, Now, ReportedRun, RequestToken, RunnerOrders,
 };
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::ask::QueueAddress;
+use yuccalink_coordination::jobs::messages::QueueAddress;
 use yuccalink_coordination::jobs::policy::Policy;
 use yuccalink_coordination::jobs::{
     CellRequest, CellResponse, JobState, Leader, LeaderConfig, Now, RequestToken, RunnerOrders,
--- a/crates/coordination/tests/cell_outside.rs
+++ b/crates/coordination/tests/cell_outside.rs
@@ -11,7 +11,7 @@
 use desk::Desk;
 use std::time::Duration;
 use world::{CAPACITY, step};
-use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply, Machine, MachineState};
+use yuccalink_coordination::jobs::external::{ExternalCall, ExternalReply, Machine, MachineState};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 use yuccalink_fakes::emulator::{EmulatedRunner, TaskBehavior};
 use yuccalink_state::jobs::change::Advisor;
--- a/crates/coordination/tests/interference.rs
+++ b/crates/coordination/tests/interference.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::jobs::interference::{BackgroundShare, ImageKey, Interference};
-use yuccalink_coordination::jobs::swing::MarginModel;
+use yuccalink_coordination::jobs::margin_forecast::MarginModel;
 
 const SERVING: usize = 5;
 const FILLS: usize = 9;
--- a/crates/coordination/tests/swing.rs
+++ b/crates/coordination/tests/margin_forecast.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::jobs::interference::{ImageKey, Interference};
-use yuccalink_coordination::jobs::swing::{MarginForecasts, MarginModel};
+use yuccalink_coordination::jobs::margin_forecast::{MarginForecasts, MarginModel};
 
 const BOUND_TO_SHORTEST: f64 = 6.0;
 const REPORT_MS: u64 = 200;
--- a/crates/coordination/tests/roster.rs
+++ b/crates/coordination/tests/peer_table.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
+use yuccalink_coordination::peer_table::{LEAD_FRESH, LeaderInfo, NodeInfo, PeerTable};
 use yuccalink_coordination::raft::ReplicaId;
-use yuccalink_coordination::roster::{LEAD_FRESH, LeaderInfo, NodeInfo, PeerTable};
 
 const SEEDS: usize = 3;
 
@@ -29,7 +29,7 @@
 }
 
 /// Processes of a new cell, the first of them its seeds.
-fn rosters(disks: &[bool]) -> Vec<PeerTable> {
+fn peer_tables(disks: &[bool]) -> Vec<PeerTable> {
     let peer_table = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
     disks.iter().enumerate().map(peer_table).collect()
 }
@@ -62,7 +62,7 @@
         heard in prop::collection::vec((0usize..8, 0usize..8), 0..60),
     ) {
         let now = Moment::from_millis(1_000);
-        let mut all = rosters(&disks);
+        let mut all = peer_tables(&disks);
         let mut ever = std::collections::BTreeSet::new();
         for (to, from) in heard {
             let (to, from) = (to % disks.len(), from % disks.len());
--- a/crates/daemon/src/cell.rs
+++ b/crates/daemon/src/cell.rs
@@ -5,24 +5,24 @@
 //! threads is a wake-up that is paid for. Any process takes any request; the one
 //! that leads decides, the others pass on.
 
+mod adapter;
 mod config;
 mod connections;
-mod dialect;
 mod disk;
+mod external;
 mod frame;
 mod http;
-mod link;
 mod metrics;
 mod native;
 mod node;
-mod outside;
+mod peer_connection;
 mod peers;
 pub mod policy;
 mod replica;
 mod run;
 mod seats;
 
+pub use adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest, SeedSource};
 pub use config::{CellConfig, CellConfigBuilder};
-pub use dialect::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest, SeedSource};
 pub use native::{Native, common_response, json, number, parse, parse_caller_request, problem};
 pub use run::run;
--- a/crates/daemon/src/cell/dialect.rs
+++ b/crates/daemon/src/cell/adapter.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use std::net::SocketAddr;
-use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply};
+use yuccalink_coordination::jobs::external::{ExternalCall, ExternalReply};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// A request, read whole.
--- a/crates/daemon/src/cell/outside.rs
+++ b/crates/daemon/src/cell/external.rs
@@ -1,6 +1,6 @@
 //! Calls to services outside the cell, on behalf of the leader.
 
-use crate::cell::dialect::{ApiAdapter, ExternalRequest};
+use crate::cell::adapter::{ApiAdapter, ExternalRequest};
 use crate::cell::node::Shared;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalCallId, ExternalReply};
+use yuccalink_coordination::jobs::external::{ExternalCall, ExternalCallId, ExternalReply};
 
 /// Longest wait for a whole answer; an order that got none may have been carried out.
 const ANSWER_MAX: Duration = Duration::from_millis(2_200);
--- a/crates/daemon/src/cell/frame.rs
+++ b/crates/daemon/src/cell/frame.rs
@@ -4,8 +4,8 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
+use yuccalink_coordination::peer_table::{LeaderInfo, NodeInfo};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
-use yuccalink_coordination::roster::{LeaderInfo, NodeInfo};
 
 /// Largest frame in bytes: a chunk of a snapshot or a batch of entries, with room.
 pub(crate) const FRAME_MAX: usize = 16 * 1024 * 1024;
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -1,7 +1,7 @@
 //! HTTP for callers, runners, operators and the balancer.
 
+use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse};
 use crate::cell::connections::{Admission, Connections, Held};
-use crate::cell::dialect::{ApiAdapter, ApiRequest, ApiResponse};
 use crate::cell::native;
 use crate::cell::node::{PassOn, Shared};
 use bytes::Bytes;
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -4,12 +4,12 @@
 //! taken from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
 //! `/leave`. Operators: `PUT` and `GET /v1/change`.
 
-use crate::cell::dialect::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest};
+use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
-use yuccalink_coordination::jobs::ask::QueueAddress;
-use yuccalink_coordination::jobs::outside::{ExternalCall, ExternalReply};
+use yuccalink_coordination::jobs::external::{ExternalCall, ExternalReply};
+use yuccalink_coordination::jobs::messages::QueueAddress;
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, JobState, RunnerReport};
 use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, Wave};
 
--- a/crates/daemon/src/cell/node.rs
+++ b/crates/daemon/src/cell/node.rs
@@ -1,11 +1,11 @@
 //! The state of one process of a cell, and what its parts do with it.
 
+use crate::cell::adapter::ApiAdapter;
 use crate::cell::config::CellConfig;
-use crate::cell::dialect::ApiAdapter;
+use crate::cell::external;
 use crate::cell::frame::PeerMessage;
-use crate::cell::link::PeerConnection;
 use crate::cell::metrics::Metrics;
-use crate::cell::outside;
+use crate::cell::peer_connection::PeerConnection;
 use crate::cell::policy;
 use crate::cell::replica::Replica;
 use crate::clock::{BootClock, unix_ms};
@@ -20,11 +20,11 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, timeout_at};
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::jobs::outside::{ExternalCallId, ExternalReply};
+use yuccalink_coordination::jobs::external::{ExternalCallId, ExternalReply};
 use yuccalink_coordination::jobs::policy::Policy;
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, Now, RequestToken};
+use yuccalink_coordination::peer_table::{LeaderInfo, NodeInfo, PeerTable};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
-use yuccalink_coordination::roster::{LeaderInfo, NodeInfo, PeerTable};
 
 /// Pause before a process asks again who leads.
 const LOOK_AGAIN: Duration = Duration::from_millis(25);
@@ -479,7 +479,7 @@
         };
         for (id, call) in calls {
             let adapter = self.adapter.clone();
-            tokio::task::spawn_local(outside::perform(shared.clone(), adapter, id, call));
+            tokio::task::spawn_local(external::perform(shared.clone(), adapter, id, call));
         }
         if replica.leader.is_none() && !self.waiting.is_empty() {
             self.waiting.clear();
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -1,8 +1,8 @@
 //! Starts and stops all parts of one process of a cell.
 
+use crate::cell::adapter::{ApiAdapter, SeedSource};
 use crate::cell::config::CellConfig;
 use crate::cell::connections::Connections;
-use crate::cell::dialect::{ApiAdapter, SeedSource};
 use crate::cell::http::{self, Port, Site};
 use crate::cell::node::Shared;
 use crate::cell::policy;
@@ -24,8 +24,8 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 use yuccalink_coordination::Moment;
+use yuccalink_coordination::peer_table::NodeInfo;
 use yuccalink_coordination::raft::ReplicaId;
-use yuccalink_coordination::roster::NodeInfo;
 use yuccalink_state::jobs::CellState;
 
 /// How often time is looked at where there is a replica: a quarter of the
--- a/crates/daemon/src/cell/seats.rs
+++ b/crates/daemon/src/cell/seats.rs
@@ -3,8 +3,8 @@
 
 use crate::cell::node::{Node, Shared};
 use std::time::Duration;
+use yuccalink_coordination::peer_table::member_of;
 use yuccalink_coordination::raft::{Members, ReplicaId};
-use yuccalink_coordination::roster::member_of;
 use yuccalink_coordination::voters::{self, MembershipView};
 
 /// How often the voters are looked at.
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -4,7 +4,7 @@
 use crate::entry::Entry;
 use crate::error::{Error, Result};
 use crate::journal::Journal;
-use crate::link::{Backoff, LeaderClient};
+use crate::leader_client::{Backoff, LeaderClient};
 use crate::orders::Sender;
 use crate::peers::PeerService;
 use crate::replica::{self, Replica};
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -1,9 +1,9 @@
 //! The leader: decides what entries ask, proposes commands to the log, and
 //! carries out what follows from committed ones. Knows nothing of sockets.
 
-mod asks;
 mod entries;
 mod orders;
+mod requests;
 mod time;
 
 use crate::clock::{Clock, millis, unix_ms};
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -15,7 +15,7 @@
 mod error;
 mod journal;
 mod leader;
-mod link;
+mod leader_client;
 mod logging;
 mod metrics;
 mod orders;
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,6 +1,6 @@
 //! What other daemons may ask of this one.
 
-use crate::link;
+use crate::leader_client;
 use crate::replica::Replica;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -95,7 +95,7 @@
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
         let state = EntryState::read(params.get()?.get_state()?).map_err(|e| failed(&e))?;
-        let news = link::news(replica, &state).await.ok_or_else(does_not_lead)?;
+        let news = leader_client::news(replica, &state).await.ok_or_else(does_not_lead)?;
         news.fill(results.get().init_news()).map_err(|e| failed(&e))
     }
 
--- a/crates/daemon/src/voters.rs
+++ b/crates/daemon/src/voters.rs
@@ -1,7 +1,7 @@
 //! Talking to the other voters: messages of the consensus, founding a new
 //! system, and joining one with an empty disk.
 
-use crate::link::{CALL_TIMEOUT, CallError, Greeting, LeaderClient, greet};
+use crate::leader_client::{CALL_TIMEOUT, CallError, Greeting, LeaderClient, greet};
 use crate::replica::Replica;
 use crate::shared::Shared;
 use std::cell::RefCell;
