--- /dev/null
+++ b/crates/coordination/src/jobs/requests.rs
@@ -0,0 +1,190 @@
+//! What callers and operators ask.
+
+use super::leader::{Leader, Now, OnCommit, RequestToken};
+use super::messages::{CellRequest, CellResponse, JobState, QueueAddress};
+use std::sync::Arc;
+use yuccalink_state::jobs::{
+    ChangeSet, Job, JobCommand, JobId, JobPhase, JobSpec, JobSubmission, Queue,
+};
+
+/// When to come back to a leader that has no change set yet, in milliseconds: it
+/// comes before traffic begins.
+const NO_CHANGE_YET_MS: u64 = 1_000;
+
+impl Leader {
+    pub(super) fn ask_other(&mut self, now: Now, token: RequestToken, ask: CellRequest) {
+        let answer = match ask {
+            CellRequest::Submit { at, id, spec } => self.submit(now, token, &at, id, &spec),
+            CellRequest::State { at, id } => Some(self.in_queue(&at, |leader, queue| {
+                leader
+                    .job_of(queue, id)
+                    .map_or(CellResponse::Gone, |job| leader.told_state(id, job))
+            })),
+            CellRequest::Cancel { at, id } => self.cancel(now, token, &at, id),
+            CellRequest::Pending { at } => Some(
+                self.in_queue(&at, |leader, queue| CellResponse::Pending(leader.pending(queue))),
+            ),
+            CellRequest::Other { at } => Some(self.in_queue(&at, |_, _| CellResponse::NotTaken)),
+            CellRequest::Leave { runner, started_ms } => {
+                self.leave(now, token, &runner, started_ms);
+                None
+            }
+            CellRequest::Change(change) => self.change(token, &change),
+            CellRequest::Document => Some(self.document()),
+            CellRequest::WaveStart(wave) => self.wave_start(token, wave),
+            CellRequest::WaveState(id) => Some(match self.state.wave(id) {
+                Some(wave) => CellResponse::Wave { done: wave.is_done() },
+                None => CellResponse::Gone,
+            }),
+            // Taken in by the caller of this function.
+            CellRequest::Heartbeat(_) => None,
+        };
+        if let Some(answer) = answer {
+            self.answer(token, answer);
+        }
+    }
+
+    fn in_queue<F>(&self, at: &QueueAddress, then: F) -> CellResponse
+    where
+        F: FnOnce(&Self, &Queue) -> CellResponse,
+    {
+        if !self.routes.in_force() {
+            return CellResponse::NotServing { after_ms: NO_CHANGE_YET_MS };
+        }
+        match self.routes.route(&at.host, &at.path) {
+            Some(queue) => then(self, queue),
+            None => CellResponse::NoQueue,
+        }
+    }
+
+    fn told_state(&self, id: JobId, job: &Job) -> CellResponse {
+        match state(job) {
+            JobState::Failed => CellResponse::Failed(self.why_failed(id, job).into()),
+            other => CellResponse::State(other),
+        }
+    }
+
+    fn why_failed(&self, id: JobId, job: &Job) -> String {
+        let losses = self.state.losses();
+        match losses.of_job(id).find(|(task, _)| self.state.exceeds_loss_limit(*task)) {
+            Some((task, lost)) => format!(
+                "{} runners were lost under task {task}, one after the other; \
+                 correct what it runs, and submit the job under another number",
+                lost.len()
+            ),
+            None => format!(
+                "a task failed {} times; correct it, and submit the job under another number",
+                job.attempts
+            ),
+        }
+    }
+
+    fn job_of(&self, queue: &Queue, id: JobId) -> Option<&Job> {
+        self.state.job(id).filter(|job| job.queue == queue.name)
+    }
+
+    fn submit(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        at: &QueueAddress,
+        id: JobId,
+        spec: &Arc<JobSpec>,
+    ) -> Option<CellResponse> {
+        if !self.routes.in_force() {
+            return Some(CellResponse::NotServing { after_ms: NO_CHANGE_YET_MS });
+        }
+        let Some(queue) = self.routes.route(&at.host, &at.path) else {
+            return Some(CellResponse::NoQueue);
+        };
+        if self.state.job(id).is_some() {
+            // A resend; the first answer may have been lost.
+            return Some(CellResponse::Accepted);
+        }
+        if let Err(bad) = spec.check() {
+            return Some(CellResponse::Invalid(bad.to_string().into()));
+        }
+        if let Some(after_ms) = self.refuse() {
+            log::info!("job={id} queue={} refused after-ms={after_ms}", queue.name);
+            self.counts.refused += 1;
+            return Some(CellResponse::Refused { after_ms });
+        }
+        let submit = JobSubmission {
+            id,
+            queue: queue.name.clone(),
+            pool: queue.pool.clone(),
+            attempts: queue.attempts,
+            at_ms: now.unix_ms,
+            spec: JobSpec::clone(spec),
+        };
+        self.propose(JobCommand::Submit(Box::new(submit)), OnCommit::Submitted { id, token });
+        None
+    }
+
+    fn cancel(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        at: &QueueAddress,
+        id: JobId,
+    ) -> Option<CellResponse> {
+        let found = self.in_queue(at, |leader, queue| {
+            leader
+                .job_of(queue, id)
+                .map_or(CellResponse::Gone, |job| CellResponse::State(state(job)))
+        });
+        match found {
+            CellResponse::State(JobState::Queued | JobState::Running) => {
+                let command = JobCommand::Cancel { id, at_ms: now.unix_ms };
+                self.propose(command, OnCommit::Cancelled { id, token });
+                None
+            }
+            CellResponse::State(_) => Some(CellResponse::Ok),
+            other => Some(other),
+        }
+    }
+
+    fn pending(&self, queue: &Queue) -> u64 {
+        let waits =
+            |job: &Job| job.phase == JobPhase::Active && !job.begun && job.queue == queue.name;
+        self.state.all().filter(|(_, job)| waits(job)).count() as u64
+    }
+
+    fn document(&self) -> CellResponse {
+        let Some(change) = self.state.change_set() else {
+            return CellResponse::NotServing { after_ms: NO_CHANGE_YET_MS };
+        };
+        log::info!("change version={} read bytes={}", change.version, change.text.len());
+        CellResponse::Document(Arc::from(&*change.text))
+    }
+
+    fn change(&mut self, token: RequestToken, change: &Arc<ChangeSet>) -> Option<CellResponse> {
+        if let Err(bad) = change.check() {
+            log::info!("change version={} refused: {bad}", change.version);
+            return Some(CellResponse::Invalid(bad.to_string().into()));
+        }
+        let version = change.version;
+        // An equal or lower one is acknowledged and changes nothing; the highest
+        // is already agreed on.
+        if let Some(current) = self.state.change_set()
+            && current.version >= version
+        {
+            log::info!("change version={version} in-force=false current={}", current.version);
+            return Some(CellResponse::Ok);
+        }
+        log::info!("change version={version} proposed queues={}", change.queues.len());
+        let command = JobCommand::Change(Box::new(ChangeSet::clone(change)));
+        self.propose(command, OnCommit::Changed { version, token });
+        None
+    }
+}
+
+fn state(job: &Job) -> JobState {
+    match job.phase {
+        JobPhase::Active if job.begun => JobState::Running,
+        JobPhase::Active => JobState::Queued,
+        JobPhase::Completed => JobState::Completed,
+        JobPhase::Failed => JobState::Failed,
+        JobPhase::Cancelled => JobState::Cancelled,
+    }
+}
--- a/crates/daemon/src/leader/orders.rs
+++ b/crates/daemon/src/leader/orders.rs
@@ -11,16 +11,16 @@
         let mut batches = Vec::new();
         for key in ready {
             self.dirty.remove(&key);
-            let mut due = self.dispatch.due(now, &self.machine, key);
+            let mut due = self.dispatch.due(now, &self.state, key);
             for (task, epoch) in self.strays.remove(&key).unwrap_or_default() {
-                due.push(Due { task, epoch, order: Order::Stop });
+                due.push(DueOrder { task, epoch, order: Order::Stop });
             }
             // Not repeated when lost: the next heartbeat brings them again.
             let throttles = self.throttles.remove(&key).unwrap_or_default();
             if due.is_empty() && throttles.is_empty() {
                 continue;
             }
-            let worker = &self.machine.worker_at(key).spec;
+            let worker = &self.state.worker_at(key).spec;
             batches.push(OrderBatch {
                 worker: key,
                 name: worker.name.clone(),
@@ -37,18 +37,18 @@
         batches
     }
 
-    pub(super) fn order(&self, due: &Due) -> Option<OrderTask> {
-        let held = Held { task: due.task, epoch: due.epoch };
+    pub(super) fn order(&self, due: &DueOrder) -> Option<OrderTask> {
+        let held = ReportedTask { task: due.task, epoch: due.epoch };
         match due.order {
             Order::Stop => Some(OrderTask::Stop(held)),
             Order::Checkpoint => Some(OrderTask::Checkpoint(held)),
             Order::Start => {
-                let task = self.machine.task(due.task)?;
-                let kind = self.machine.kind_of(task);
-                Some(OrderTask::Start(Start {
+                let task = self.state.task(due.task)?;
+                let kind = self.state.kind_of(task);
+                Some(OrderTask::Start(TaskStart {
                     task: task.id,
                     epoch: task.epoch,
-                    service: self.machine.document_of(task).service.clone(),
+                    service: self.state.document_of(task).service.clone(),
                     kind: task.kind.clone(),
                     need: task.need,
                     duration_ms: kind.map_or(0, |kind| kind.duration_ms),
@@ -61,7 +61,7 @@
     }
 
     /// Orders could not be delivered: they are due again at the next sweep.
-    pub(crate) fn orders_failed(&mut self, due: &[Due]) {
+    pub(crate) fn orders_failed(&mut self, due: &[DueOrder]) {
         for due in due {
             self.dispatch.failed(due);
         }
@@ -72,7 +72,7 @@
     OrderTask::Throttle {
         task: throttle.task,
         epoch: throttle.epoch,
-        share: pressure::SHARE,
-        for_ms: millis(pressure::LASTS),
+        share: pressure::THROTTLED_SHARE_PERMILLE,
+        for_ms: millis(pressure::THROTTLE_DURATION),
     }
 }
