--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -117,7 +117,7 @@
             && self.may_have_copy(task)
             && !step.gang
             && !step.opportunistic
-            && chosen.free.covers(step.committed())
+            && chosen.free.covers(step.reserved())
             && self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
             && step.data_rack.as_ref().is_none_or(|rack| *rack == runner.rack)
--- a/crates/coordination/src/jobs/gangs.rs
+++ b/crates/coordination/src/jobs/gangs.rs
@@ -126,7 +126,7 @@
 }
 
 fn seats_among(spec: &StepSpec, runners: &[&Runner]) -> Option<Vec<IncarnationKey>> {
-    let need = spec.committed();
+    let need = spec.reserved();
     let wanted = spec.count as usize;
     let mut seats = Vec::with_capacity(wanted);
     for runner in runners {
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -11,7 +11,7 @@
 //! below it. A server's tail grows as `1 / (1 - load)`, so its margin falls in a
 //! straight line with its load and with whatever presses on it:
 //! `margin = own - sum(weight * share of the runner in use)`. The serving job's own
-//! margin is a wave (see [`super::swing`]), a pair's weight is constant; one filter with
+//! margin is a wave (see [`super::margin_forecast`]), a pair's weight is constant; one filter with
 //! a variance for each splits what is seen among them.
 
 use super::margin_forecast::{MarginModel, OwnFigure};
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -143,7 +143,7 @@
     fn of(step: &StepSpec, learnt: &mut Interference) -> Self {
         Self {
             need: step.need,
-            reserved: step.committed(),
+            reserved: step.reserved(),
             kind: if step.tail_bound_ms > 0 { StepKind::Serving } else { StepKind::Background },
             image: step.image.as_deref().map(|image| learnt.image(image)),
             opportunistic: step.opportunistic,
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -109,7 +109,7 @@
         self.state.served.load(Ordering::SeqCst)
     }
 
-    /// Reports what it does to `watch`; requests are named by `fake-name`.
+    /// Reports what it does to `checker`; requests are named by `fake-name`.
     pub fn set_checker(&self, checker: Arc<Mutex<RequestChecker>>) {
         *self.state.checker.lock().unwrap_or_else(PoisonError::into_inner) = Some(checker);
     }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -145,7 +145,7 @@
         self.address
     }
 
-    /// Reports what it does to `watch`.
+    /// Reports what it does to `checker`.
     pub fn set_checker(&self, checker: Arc<Mutex<TaskChecker>>) {
         lock(&self.state.tasks).checker = Some(checker);
     }
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -140,9 +140,9 @@
     /// use yuccalink_state::{Resources, jobs::StepSpec};
     /// let need = Resources { millicores: 500, memory_mib: 64, accelerators: 0 };
     /// let step = StepSpec { need, opportunistic: true, ..StepSpec::default() };
-    /// assert_eq!(step.committed().millicores, 0);
+    /// assert_eq!(step.reserved().millicores, 0);
     /// ```
-    pub fn committed(&self) -> Resources {
+    pub fn reserved(&self) -> Resources {
         match self.opportunistic {
             true => Resources { millicores: 0, ..self.need },
             false => self.need,
