--- a/crates/state/src/command.rs
+++ b/crates/state/src/command.rs
@@ -1,5 +1,6 @@
-//! Commands: the only way the replicated state changes. Each is decided from
-//! the state alone, so that every replica comes to the same outcome.
+//! Commands, which are the only way to change the replicated state of services.
+//! The outcome of a command depends on the state alone, so every replica computes
+//! the same one.
 
 use crate::document::{Digest, Document};
 use crate::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
@@ -11,106 +12,106 @@
 /// A change to the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Put a service document in force.
+    /// Put a service document into force.
     Apply(Box<Apply>),
     /// Add tasks.
     Submit(TaskSubmission),
     /// Cancel tasks.
     Cancel(Box<[TaskId]>),
-    /// Commit tasks to workers.
+    /// Place tasks on workers.
     Place(Box<[Placement]>),
-    /// Order running tasks to make room.
+    /// Stop placed or running tasks to free resources; they are requeued.
     Evict(Box<[TaskId]>),
-    /// What workers say of their tasks.
+    /// Apply what workers reported of their tasks.
     Report(Box<[TaskReport]>),
-    /// A worker announced itself.
+    /// Register a worker that announced itself.
     WorkerUp(Box<WorkerSpec>),
-    /// A worker finishes what it has and takes nothing new.
+    /// Give a worker no new tasks; it finishes the ones that it has.
     WorkerLeaving(Name, Incarnation),
-    /// A worker's lease has surely ended.
+    /// Requeue the tasks of a worker whose lease has expired for certain.
     WorkerGone(Name, Incarnation),
-    /// A request is about to be sent that must run at most once.
+    /// Record an at-most-once request before it is sent.
     RequestBegin(RequestBegin),
-    /// Such a request ended.
+    /// Record how an at-most-once request ended.
     RequestEnd(RequestEnd),
 }
 
 /// See [`Command::Apply`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Apply {
-    /// The checked document.
+    /// The validated document.
     pub document: Document,
-    /// The text it was read from.
+    /// The text that the document was parsed from.
     pub text: Box<str>,
     /// Digest of the text.
     pub digest: Digest,
-    /// Who applies it.
+    /// The person or tool that applies the document.
     pub author: Box<str>,
 }
 
 /// See [`Command::Submit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSubmission {
-    /// Chosen by the sender; the same key again gets the same answer.
+    /// Chosen by the sender; a resend with the same key gets the first answer.
     pub key: Box<str>,
-    /// The service whose document describes the kind.
+    /// The service whose document defines the kind.
     pub service: Name,
     /// The kind of task.
     pub kind: Name,
     /// How many tasks to add.
     pub count: u32,
-    /// Place before all others.
+    /// Place these tasks before all that are not urgent.
     pub urgent: bool,
-    /// Given to the workers as it is.
+    /// Passed to the workers unchanged.
     pub payload: Box<str>,
-    /// Unix milliseconds.
+    /// Time of the submission, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// One task committed to one worker.
+/// A task to place on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// A waiting task.
+    /// The task, which must be waiting.
     pub task: TaskId,
-    /// A live worker.
+    /// The worker, which must be live.
     pub worker: WorkerKey,
 }
 
-/// One worker's word on one task.
+/// A worker's report of one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TaskReport {
     /// The task.
     pub task: TaskId,
-    /// The epoch that the worker holds.
+    /// The task's epoch as the worker knows it.
     pub epoch: Epoch,
     /// What happened.
     pub event: TaskEvent,
 }
 
-/// What a worker reports of a task.
+/// An event in a worker's report of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskEvent {
-    /// It runs.
+    /// The task runs.
     Started,
-    /// It saved its state after this much work, in milliseconds.
+    /// The task saved its state.
     Checkpointed {
-        /// Work done in all epochs so far.
+        /// Work done in all epochs so far, in milliseconds.
         done_ms: u64,
     },
-    /// It ran to its end.
+    /// The task ran to its end.
     Finished,
-    /// It failed.
+    /// The task failed.
     Failed {
-        /// For people.
+        /// Explanation for people.
         reason: Box<str>,
     },
-    /// It was stopped before its end.
+    /// The task was stopped before its end.
     Stopped,
-    /// The worker did not start it.
+    /// The worker did not start the task.
     Refused {
-        /// For people.
+        /// Explanation for people.
         reason: Box<str>,
     },
 }
@@ -118,109 +119,110 @@
 /// See [`Command::RequestBegin`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestBegin {
-    /// The request.
+    /// The service and idempotency key of the request.
     pub key: RequestKey,
     /// Digest of method, path and body.
     pub digest: Digest,
-    /// Drawn once by the entry: the same attempt asked again gets the same verdict.
+    /// Random number that the entry VM draws once per attempt, so that the same
+    /// attempt sent to the leader again gets the same verdict.
     pub attempt: u64,
-    /// Unix milliseconds.
+    /// Time of this command, in Unix milliseconds.
     pub at_ms: u64,
-    /// When the request is over at the latest, in Unix milliseconds.
+    /// Latest time at which the request can still be running, in Unix milliseconds.
     pub until_ms: u64,
 }
 
 /// See [`Command::RequestEnd`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestEnd {
-    /// The request.
+    /// The service and idempotency key of the request.
     pub key: RequestKey,
-    /// The attempt that ended; another one's fate is not touched.
+    /// The attempt that ended; if another attempt is recorded, nothing changes.
     pub attempt: u64,
-    /// How it ended.
+    /// How the request ended.
     pub ended: RequestOutcome,
 }
 
-/// What a command came to.
+/// The result of a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The document is accepted, now or when it was first sent.
     Accepted {
-        /// Its place in the order of changes.
+        /// The document's position in the order of all document changes.
         revision: Revision,
-        /// Whether this is the answer to a resend.
+        /// Whether this document was accepted before.
         resent: bool,
     },
     /// Another document with this or a higher version is in force.
     Conflict {
         /// The version in force.
         version: u64,
-        /// Who applied it.
+        /// The person or tool that applied that version.
         author: Box<str>,
-        /// Its place in the order of changes.
+        /// That version's position in the order of all document changes.
         revision: Revision,
     },
-    /// Tasks were added, now or when first sent.
+    /// Tasks were added, now or when the submission was first sent.
     Submitted {
-        /// The first task; the others follow it.
+        /// The first task; the others have the numbers after it.
         first: TaskId,
-        /// How many.
+        /// Number of tasks.
         count: u32,
-        /// Whether this is the answer to a resend.
+        /// Whether these tasks were added by an earlier submission.
         resent: bool,
     },
     /// The command names something that does not exist.
     Unknown(Missing),
-    /// What each cancelled task came to, in the order asked.
+    /// The result for each task, in the order of the command.
     Cancelled(Box<[CancelOutcome]>),
     /// The placements that were committed.
     Placed(Box<[Committed]>),
-    /// The tasks now ordered to stop.
+    /// The tasks that are now being stopped.
     Stopping(Box<[TaskId]>),
-    /// Tasks that left their worker through this command.
+    /// Tasks that left their worker because of this command.
     Freed(Box<[TaskId]>),
-    /// A worker's record was made or renewed.
+    /// A worker's record was created or updated.
     WorkerUp(WorkerKey),
-    /// The worker still holds tasks of an earlier run.
+    /// The worker still has tasks of an earlier incarnation, or more than it now offers.
     WorkerBusy,
-    /// What the ledger says.
+    /// The ledger's verdict on a request.
     Request(Verdict),
-    /// Done, with nothing to say.
+    /// Applied, without a result.
     Done,
 }
 
-/// What a command named that does not exist.
+/// An object that a command named and that does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Missing {
-    /// No such service.
+    /// There is no service of this name.
     Service(Name),
-    /// The service has no such kind of task.
+    /// The service has no kind of task of this name.
     Kind(Name),
-    /// No such worker, or another run of it.
+    /// There is no live worker of this name, or only another incarnation of it.
     Worker(Name),
 }
 
-/// What cancelling one task came to.
+/// The result of cancelling one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CancelOutcome {
-    /// It had not started and never will.
+    /// The task was never placed and never will be.
     NotRun,
-    /// It is being stopped.
+    /// The task is being stopped.
     Stopping,
-    /// It had ended before.
+    /// The task has ended.
     Ended(TaskOutcome),
-    /// No such task, or forgotten since it ended.
+    /// There is no such task, or its record was removed after it ended.
     Unknown,
 }
 
-/// A committed placement.
+/// A placement that was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Committed {
     /// The task.
     pub task: TaskId,
-    /// Its worker.
+    /// The worker that the task was placed on.
     pub worker: WorkerKey,
-    /// The epoch that every message about it carries.
+    /// The task's new epoch, which every message about this placement carries.
     pub epoch: Epoch,
 }
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,32 +1,32 @@
-//! The service document: what a service needs and what it may give up. Its
-//! text form is read by the protocol layer; these are the checked values.
+//! The service document: what a service needs and which disruptions it tolerates.
+//! The protocol layer parses its text form; these are the validated values.
 
 use crate::id::{Name, Revision};
 use crate::resources::Resources;
 use serde::{Deserialize, Serialize};
 
-/// One service's document, checked.
+/// A service's validated document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Document {
-    /// The service; also the first segment of its requests' paths.
+    /// The service's name, which is also the first segment of its requests' paths.
     pub service: Name,
     /// The team that owns the document.
     pub team: Name,
-    /// Chosen by the team; only a higher one replaces what is in force.
+    /// Chosen by the team; only a higher version replaces the document in force.
     pub version: u64,
-    /// When the service's people are busiest.
+    /// The time of day at which the service's users are busiest.
     pub peak: Option<Peak>,
-    /// The kinds of request, in the order they are matched.
+    /// The kinds of request, in the order in which they are matched.
     pub requests: Box<[RequestKind]>,
     /// The kinds of task.
     pub tasks: Box<[TaskKind]>,
-    /// What the service may give up under pressure.
+    /// The disruptions that the service tolerates when resources are scarce.
     #[serde(rename = "gives-up")]
     pub disruption_tolerance: DisruptionTolerance,
 }
 
-/// The daily peak by the wall clock of the people who cause it.
+/// A service's daily peak, in the local time of its users.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Peak {
@@ -50,9 +50,9 @@
     pub path: Box<str>,
     /// Whether a request may safely run more than once.
     pub idempotent: bool,
-    /// How long a caller waits, in milliseconds.
+    /// How long a caller waits for the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// What a correct answer is worth against other kinds.
+    /// Value of a correct answer relative to the other kinds.
     pub worth: u32,
 }
 
@@ -60,23 +60,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskClass {
-    /// Serves people who wait: placed first, disturbed last.
+    /// Users wait for these tasks: they are placed first and disturbed last.
     LatencyCritical,
-    /// May wait and may be moved.
+    /// These tasks may wait and may be moved.
     #[default]
     Batch,
 }
 
-/// What a service's tasks of one kind must not share.
+/// How a service's tasks of one kind are spread over failure domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Spread {
-    /// Tasks may sit anywhere.
+    /// Tasks may be placed anywhere.
     #[default]
     None,
-    /// Prefer the rack that holds the fewest of this kind.
+    /// Prefer the rack with the fewest tasks of this kind.
     Racks,
-    /// Prefer the availability zone that holds the fewest of this kind.
+    /// Prefer the availability zone with the fewest tasks of this kind.
     Zones,
 }
 
@@ -86,29 +86,29 @@
 pub struct TaskKind {
     /// Unique within the document.
     pub name: Name,
-    /// Declared need of one task; often far off.
+    /// Declared resource need of one task; often inaccurate.
     pub need: Resources,
-    /// Declared run time, in milliseconds; often far off.
+    /// Declared run time, in milliseconds; often inaccurate.
     pub duration_ms: u64,
     /// How urgent the kind is.
     pub class: TaskClass,
-    /// How its tasks are spread.
+    /// How tasks of this kind are spread.
     pub spread: Spread,
 }
 
-/// What a service may give up, mildest first.
+/// The disruptions that a service tolerates, the mildest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DisruptionTolerance {
-    /// Its tasks may be slowed.
+    /// Tasks may be slowed down.
     pub throttle: bool,
-    /// Its tasks may be saved and resumed elsewhere.
+    /// Tasks may be checkpointed and resumed on another worker.
     pub checkpoint: bool,
-    /// Its tasks may be stopped and begun again.
+    /// Tasks may be stopped and started again from the beginning.
     pub stop: bool,
-    /// Most evictions one task may suffer.
+    /// Maximum number of evictions of one task.
     pub evictions: u32,
-    /// Longest a batch task may wait for a place, in milliseconds.
+    /// Maximum time for which a batch task may wait to be placed, in milliseconds.
     pub batch_wait_ms: u64,
 }
 
@@ -129,32 +129,32 @@
     }
 }
 
-/// SHA-256 of a document's text: tells a resend from a different change.
+/// SHA-256 of a document's text, which distinguishes a resend from a different change.
 pub type Digest = [u8; 32];
 
-/// An accepted document with what an operator needs to trace it.
+/// An accepted document, with its origin for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Accepted {
-    /// The checked document.
+    /// The validated document.
     pub document: Document,
     /// The exact text that was accepted.
     pub text: Box<str>,
-    /// Position in the order of changes.
+    /// The document's position in the order of all document changes.
     pub revision: Revision,
-    /// Who applied it.
+    /// The person or tool that applied the document.
     pub author: Box<str>,
 }
 
-/// What is remembered of each accepted version, so that a resend gets its first answer.
+/// Record of an accepted version, kept so that a resend gets the first answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastVersion {
-    /// The version that the document stated.
+    /// The document's version.
     pub version: u64,
     /// Digest of the accepted text.
     pub digest: Digest,
-    /// Revision given at acceptance.
+    /// Revision assigned when the version was accepted.
     pub revision: Revision,
-    /// Who applied it.
+    /// The person or tool that applied this version.
     pub author: Box<str>,
 }
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the state layer; each message names the remedy.
+//! Errors of the state layer; each message says how to fix the problem.
 
 use std::io;
 use std::path::Path;
@@ -6,12 +6,12 @@
 /// Result of the state layer.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// What can go wrong with files and encodings.
+/// An error of files or encodings.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// cannot {doing} {path}: {source}; check that the data folder exists, is writable and has room
+    /// cannot {doing} {path}: {source}; check that the data folder exists, is writable and has free space
     Io {
-        /// What was attempted.
+        /// The operation that failed, as a verb.
         doing: &'static str,
         /// The file or folder.
         path: Box<str>,
@@ -24,7 +24,7 @@
     DamagedMiddle {
         /// The log file.
         path: Box<str>,
-        /// Where the first bad byte may be.
+        /// Offset in the file at or after which the first damaged byte is.
         offset: u64,
     },
     /// the log lacks records {from} to {to}; nothing was changed. Restore this data folder from a snapshot, or replace this replica by an empty one
@@ -40,7 +40,7 @@
         path: Box<str>,
         /// Version in the file.
         found: u32,
-        /// Version of this program.
+        /// The version that this program reads.
         known: u32,
     },
     /// no snapshot in {0} is intact, and the log does not reach back to the start; restore this data folder from a saved snapshot
--- a/crates/state/src/id.rs
+++ b/crates/state/src/id.rs
@@ -1,5 +1,5 @@
-//! Identifiers: short checked names for what people name, small `Copy` numbers
-//! for what the system numbers.
+//! Identifiers: short validated names for objects that people name, small `Copy`
+//! numbers for objects that the system numbers.
 
 use derive_more::{AsRef, Display, From, Into};
 use serde::{Deserialize, Serialize};
@@ -29,10 +29,10 @@
 impl std::error::Error for BadName {}
 
 impl Name {
-    /// Checks `text` and makes a name of it.
+    /// Validates `text` as a name.
     ///
     /// # Errors
-    /// [`BadName`] when a character or the length is not accepted.
+    /// [`BadName`] if a character or the length is not accepted.
     ///
     /// ```
     /// # use yuccalink_state::id::Name;
@@ -77,7 +77,7 @@
     }
 }
 
-/// A task's number, given once and never reused.
+/// A task's number, which is never reused.
 #[derive(
     Clone,
     Copy,
@@ -97,13 +97,13 @@
 #[serde(transparent)]
 pub struct TaskId(pub u64);
 
-/// `{0}` is no task number; write one such as 7 or t7
+/// `{0}` is not a task number; write one such as 7 or t7
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub struct BadTaskId(pub Box<str>);
 
 impl std::error::Error for BadTaskId {}
 
-/// Reads `7` or `t7`.
+/// Parses `7` or `t7`.
 ///
 /// ```
 /// # use yuccalink_state::id::TaskId;
@@ -119,8 +119,8 @@
     }
 }
 
-/// How many times a task has been placed; an order or report that carries an
-/// older epoch is refused.
+/// How many times a task has been placed. An order or report with an older epoch
+/// is ignored.
 #[derive(
     Clone,
     Copy,
@@ -153,7 +153,7 @@
     }
 }
 
-/// Position of an accepted document change in the one order of all of them.
+/// Position of an accepted document change in the total order of these changes.
 #[derive(
     Clone,
     Copy,
@@ -173,17 +173,17 @@
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// Key of a service in the machine's arena.
+/// Index of a service in the state machine's list of services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceKey(pub u32);
 
-/// Key of a worker in the machine's arena.
+/// Index of a worker in the state machine's list of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkerKey(pub u32);
 
-/// One run of a target's program: a target that restarts draws a new one.
+/// Number of one run of a target's process; a target that restarts draws a new one.
 #[derive(
     Clone,
     Copy,
--- a/crates/state/src/jobs.rs
+++ b/crates/state/src/jobs.rs
@@ -1,9 +1,10 @@
-//! Jobs: what callers submit, what became of each task, and where tasks may be
-//! running. [`CellState::apply`] is deterministic and never fails half way.
+//! The replicated state of a job cell: the submitted jobs, the state of each task,
+//! and where tasks may be running. [`CellState::apply`] is deterministic and applies
+//! a command as a whole.
 //!
-//! Every start is a command, so that a new leader knows all tasks that may be
-//! running, and every end is one, so that an end that a runner was told to forget
-//! is never lost.
+//! The start of a run is a command, so a new leader knows all tasks that may be
+//! running. The end of a run is a command too, so an end that was acknowledged to
+//! its runner is never lost.
 
 pub mod change;
 pub mod command;
--- a/crates/state/src/jobs/change.rs
+++ b/crates/state/src/jobs/change.rs
@@ -1,22 +1,22 @@
-//! A change set: every queue and pool as one document with one version, put in
-//! force whole or not at all.
+//! The change set: all queues, pools and limits under one version, which are put
+//! into force together or not at all.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Everything that operators decide, at one version.
+/// All queues, pools and limits that operators configure, under one version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct ChangeSet {
-    /// The highest one accepted is in force.
+    /// The change set with the highest accepted version is in force.
     pub version: u64,
-    /// Where jobs come in.
+    /// Queues that callers submit jobs to.
     pub queues: Vec<Queue>,
     /// Groups of runners.
     pub pools: Vec<Pool>,
     /// Bounds on callers' requests.
     pub limits: Limits,
-    /// As the operator sent it, given back unchanged.
+    /// The text that the operator sent, returned unchanged.
     pub text: Box<[u8]>,
 }
 
@@ -26,36 +26,36 @@
 pub struct Queue {
     /// Unique among the queues.
     pub name: Box<str>,
-    /// Host that callers name.
+    /// Host name in the callers' requests.
     pub host: Box<str>,
-    /// Start of the path; of several that match the longest counts.
+    /// Prefix of the requests' paths; the longest matching prefix wins.
     pub prefix: Box<str>,
-    /// Whose runners run its tasks.
+    /// Name of the pool whose runners run the queue's tasks.
     pub pool: Box<str>,
-    /// Longest time for one call, in milliseconds; at least 1.
+    /// Maximum duration of one call, in milliseconds; at least 1.
     pub timeout_ms: u64,
-    /// Time that a job may take beyond its own work and still count as prompt, in
+    /// Time that a job may take in addition to its own work and still be on time, in
     /// milliseconds.
     pub objective_ms: u64,
-    /// How many times its own work a prompt job may take.
+    /// Multiple of its own work that a job may take and still be on time.
     pub slack: f64,
-    /// 0 comes first and may take room from others.
+    /// Queues with a lower number come first; 0 may also preempt tasks of others.
     pub priority: u32,
-    /// Runs of one task that may fail before its job has failed.
+    /// Number of failed runs of one task at which its job fails.
     pub attempts: u32,
-    /// Asks an outside policy which runners may run a step.
+    /// The external policy that decides which runners may run a step, if any.
     pub advisor: Option<Advisor>,
 }
 
-/// How the outside policy answers, as far as its owner says.
+/// Timing of the external policy, as its owner states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct Advisor {
-    /// Time for one answer, in milliseconds.
+    /// Time that the policy takes for one answer, in milliseconds.
     pub decision_ms: u64,
-    /// Added for each runner that is asked about, in milliseconds.
+    /// Additional time per runner in the request, in milliseconds.
     pub per_runner_ms: u64,
-    /// How long a ticket is valid, in milliseconds.
+    /// How long an answer's ticket is valid, in milliseconds.
     pub validity_ms: u64,
 }
 
@@ -65,13 +65,13 @@
 pub struct Pool {
     /// Unique among the pools.
     pub name: Box<str>,
-    /// Where its runners say whether they are healthy.
+    /// Path of the health check on the pool's runners.
     pub health_path: Box<str>,
-    /// Most connections to one runner.
+    /// Maximum number of connections to one runner.
     pub connections_max: u32,
-    /// Its runners refuse tasks that do not fit.
+    /// The pool's runners refuse tasks that exceed their free capacity.
     pub guarded: bool,
-    /// Its machines are off, and not paid for.
+    /// The pool's machines are off, and not paid for, until they are needed.
     pub standby: bool,
 }
 
@@ -79,13 +79,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct Limits {
-    /// Largest request head in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: u64,
-    /// Largest request body in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// Longest time for a request's head, in milliseconds.
+    /// Maximum time to receive a request's head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest silence on an open connection, in milliseconds.
+    /// Time without data after which an open connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// Why a change set cannot be put in force.
+/// Why a change set cannot be put into force.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BadChange {
     /// queue {0} names pool {1}, which is not among the pools; add the pool or correct the name
@@ -118,10 +118,10 @@
 impl std::error::Error for BadChange {}
 
 impl ChangeSet {
-    /// Checks the parts against each other.
+    /// Validates the queues and pools and the references between them.
     ///
     /// # Errors
-    /// The first fault that is found.
+    /// The first problem that is found.
     ///
     /// ```
     /// use yuccalink_state::jobs::{ChangeSet, Queue, change::BadChange};
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// The queue for a path, the one with the longest matching prefix.
+    /// The queue with the longest prefix that matches the host and path.
     ///
     /// ```
     /// use yuccalink_state::jobs::{ChangeSet, Queue};
--- a/crates/state/src/jobs/command.rs
+++ b/crates/state/src/jobs/command.rs
@@ -1,4 +1,4 @@
-//! What may change the state of jobs, and what each change came to.
+//! Commands that change the state of a job cell, and their outcomes.
 
 use super::change::ChangeSet;
 use super::loss::LossEvidence;
@@ -6,149 +6,152 @@
 use super::task::{IncarnationKey, JobId, TaskKey};
 use serde::{Deserialize, Serialize};
 
-/// One change, agreed on by the voters before it is applied.
+/// A command, which is applied after a majority of voters has committed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JobCommand {
-    /// Put this in force if its version is the highest so far.
+    /// Put a change set into force if its version is the highest so far.
     Change(Box<ChangeSet>),
     /// Add a job.
     Submit(Box<JobSubmission>),
     /// Cancel a job.
     Cancel {
-        /// Which.
+        /// The job to cancel.
         id: JobId,
-        /// When, in Unix milliseconds.
+        /// Time of the cancellation, in Unix milliseconds.
         at_ms: u64,
     },
-    /// A runner's life is heard of for the first time.
+    /// Register a runner incarnation that reports for the first time.
     Meet(RunnerIncarnation),
-    /// Runs that have ended, or surely run no more.
+    /// Record runs that have ended, or that certainly run no longer.
     End {
-        /// Each of them.
+        /// The ended runs.
         ends: Vec<RunEnd>,
-        /// When, in Unix milliseconds.
+        /// Time at which the leader recorded the ends, in Unix milliseconds.
         at_ms: u64,
     },
-    /// Runs that runners are about to be told to start.
+    /// Record runs before their runners are ordered to start them.
     Start(Vec<RunStart>),
-    /// Jobs that ended long ago.
+    /// Remove jobs that ended long ago.
     Forget(Vec<JobId>),
-    /// What was learnt of pairs of images, for a later leader to begin with.
+    /// Store the learnt interference of pairs of images, with which a later leader
+    /// begins.
     Learn(Vec<PairWeight>),
-    /// Machines to take down for upkeep.
+    /// Add a maintenance wave.
     Wave(Wave),
-    /// A machine has begun its upkeep.
+    /// Record that a machine's maintenance has begun.
     UpkeepBegun {
-        /// Of this wave.
+        /// Number of the maintenance wave.
         wave: u64,
-        /// Which.
+        /// The machine.
         machine: Box<str>,
-        /// The runner that was on it, which is over.
+        /// The runner that was on the machine and has ended, if there was one.
         runner: Option<Box<str>>,
     },
-    /// A machine is up again after its upkeep, or has left for good.
+    /// Record that a machine is up again after its maintenance, or was removed for
+    /// good.
     UpkeepDone {
-        /// Of this wave.
+        /// Number of the maintenance wave.
         wave: u64,
-        /// Which.
+        /// The machine.
         machine: Box<str>,
     },
-    /// A runner whose runs were given up reports again: it was only cut off.
+    /// Remove the losses of a runner that reports again: it had not crashed but was
+    /// partitioned.
     Alive(IncarnationKey),
 }
 
-/// A wave of upkeep, as its operator ordered it.
+/// A maintenance wave, as its operator ordered it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct Wave {
-    /// Its number: the same number is the same wave.
+    /// The wave's number; a resend with the same number is ignored.
     pub id: u64,
-    /// The machines.
+    /// Machines to take down for maintenance.
     pub machines: Vec<Box<str>>,
-    /// When all are to be done, in Unix milliseconds.
+    /// Time by which all machines are to be done, in Unix milliseconds.
     pub until_ms: u64,
-    /// Most machines down at once.
+    /// Maximum number of machines that are down at once.
     pub at_once: u32,
 }
 
-/// How hard tasks of one image press on those of another.
+/// How much background tasks of one image slow serving tasks of another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PairWeight {
-    /// The image that serves.
+    /// Image of the serving tasks.
     pub serving: Box<str>,
-    /// The image that fills.
+    /// Image of the background tasks.
     pub filling: Box<str>,
-    /// Margin that a whole runner of the latter would take.
+    /// Margin that a serving task would lose if background tasks filled its runner.
     pub mean: f32,
-    /// How sure that is.
+    /// Variance of the estimate of `mean`.
     pub variance: f32,
 }
 
 /// A job to add.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// Its number: the same number is the same job.
+    /// The job's number; a resend with the same number adds nothing.
     pub id: JobId,
-    /// Name of its queue.
+    /// Name of the job's queue.
     pub queue: Box<str>,
-    /// The queue's pool at that time, for when the queue is gone.
+    /// The queue's pool at submission, used after the queue has been removed.
     pub pool: Box<str>,
-    /// Runs of one task that may fail.
+    /// Number of failed runs of one task at which the job fails.
     pub attempts: u32,
-    /// When it came in, in Unix milliseconds.
+    /// Time of the submission, in Unix milliseconds.
     pub at_ms: u64,
-    /// What to do.
+    /// The steps to run.
     pub spec: JobSpec,
 }
 
-/// One life of a runner.
+/// One run of a runner process from start to exit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerIncarnation {
-    /// The runner's name, which its next life may carry too.
+    /// The runner's name, which later incarnations may share.
     pub id: Box<str>,
-    /// When this life began, in Unix milliseconds by the runner's own clock.
+    /// Start of the process, in Unix milliseconds by the runner's own clock.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
-    /// Where it listens; two lives never listen there at once.
+    /// Address that the runner listens on; two incarnations never listen on it at once.
     pub address: Box<str>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// It did its work.
+    /// The run did its work.
     Done,
-    /// Through its own fault or its runner's.
+    /// The run failed, through its own fault or its runner's.
     Failed,
-    /// It was told to.
+    /// The run was ordered to stop.
     Stopped,
-    /// Its lease ended, as its runner tells.
+    /// The run's lease expired, as reported by its runner.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the run's gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of the run's gang did not start.
     Alone,
-    /// The runner did not start it.
+    /// The runner refused to start the run.
     Refused,
-    /// It was never started, or its runner left as it had said.
+    /// The run was never started, or its runner left as announced.
     Gone,
-    /// Its runner's life is over, though it did not say that it leaves.
+    /// The runner incarnation ended without announcing that it leaves.
     Crashed(LossEvidence),
-    /// Its lease has surely ended, and nothing was heard of its runner.
+    /// The run's lease has expired for certain, without a report from its runner.
     Silent(LossEvidence),
 }
 
 /// The end of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEnd {
-    /// Whose run.
+    /// The task that ran.
     pub task: TaskKey,
-    /// Which run.
+    /// Number of the run.
     pub run: u32,
-    /// Where.
+    /// The runner incarnation that it was assigned to.
     #[serde(rename = "life")]
     pub incarnation: IncarnationKey,
-    /// How.
+    /// How the run ended.
     #[serde(rename = "how")]
     pub outcome: RunOutcome,
     /// The newest checkpoint, empty for none.
@@ -159,31 +162,31 @@
 /// A run to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunStart {
-    /// Whose run.
+    /// The task to run.
     pub task: TaskKey,
-    /// Which run.
+    /// Number of the run.
     pub run: u32,
-    /// Where.
+    /// The runner incarnation to assign it to.
     #[serde(rename = "life")]
     pub incarnation: IncarnationKey,
 }
 
-/// What a command came to.
+/// The result of a [`JobCommand`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Nothing to tell.
+    /// Applied, without a result.
     Done,
-    /// The job is there; `new` unless it was before.
+    /// The job is in the table.
     Accepted {
         /// Whether this command added it.
         new: bool,
     },
-    /// Whether a job of that number was there.
+    /// Whether a job of that number exists.
     Cancelled(bool),
-    /// The key of the life.
+    /// The key of the registered runner incarnation.
     Met(IncarnationKey),
-    /// The starts that hold, of those asked for.
+    /// The starts of the command that were made; the others were rejected.
     Started(Vec<RunStart>),
-    /// Whether the change is in force now; otherwise a higher version is.
+    /// Whether the change set is in force now; if not, an equal or higher version is.
     Changed(bool),
 }
--- a/crates/state/src/jobs/loss.rs
+++ b/crates/state/src/jobs/loss.rs
@@ -1,82 +1,83 @@
-//! Runs that ended with their runners, by task, and what they say of the task.
+//! Losses: runs that ended because their runner was lost, by task.
 //!
-//! A runner that crashes takes all that it runs along, and one task of them may be the
-//! cause, or none. A task is given up once it has lost so many runners that chance does not
-//! explain it; until then it is a suspect.
+//! When a runner crashes, all its runs end, and one of their tasks may be the cause, or none.
+//! A task is a suspect after its first losses. It fails its job once it has lost more runners
+//! than chance explains.
 
 use super::task::{IncarnationKey, JobId, TaskKey};
 use derive_more::Display;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Crashes right after the order to start a task after which it is given up.
+/// Crashes of runners right after they were ordered to start a task, at which the task's job
+/// fails.
 pub const CRASHES_AT_START_MAX: usize = 3;
-/// Crashes under a task after which it is given up, whatever was seen of its runs.
+/// Crashes of runners under a task at which its job fails, whatever was reported of its runs.
 pub const CRASHES_MAX: usize = 4;
-/// Crashes after which a task has only so many more runs.
+/// Crashes after which the number of further runs of a task is limited.
 const CRASHES_BORNE: usize = 3;
-/// Runs of a task after its third crash, however they end, after which it is given up.
+/// Runs of a task after its third crash, however they end, at which its job fails.
 pub const RUNS_AFTER_MAX: u32 = 2;
-/// Runners lost under a task after which it is given up, whether they are known to have
-/// crashed or not.
+/// Runners lost under a task at which its job fails, whether or not they are known to have
+/// crashed.
 pub const LOSSES_MAX: usize = 5;
 
-/// What was seen of a run before its runner was lost.
+/// The last thing that was reported of a run before its runner was lost.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LossEvidence {
-    /// Nothing: its runner has never reported to the leader at work.
+    /// The runner never reported to the leader that recorded the loss.
     #[display("nothing")]
     Nothing,
-    /// It was ordered, and its runner has not reported since.
+    /// The run was ordered, and its runner has not reported since.
     #[display("ordered")]
     Ordered,
-    /// Its runner listed it.
+    /// The runner listed the run in a report.
     #[display("working")]
     Working,
-    /// Its runner listed it for so long that it is no cause of the loss.
+    /// The runner listed the run for so long that the run is not the cause of the loss.
     #[display("proven")]
     Proven,
 }
 
-/// What became of a runner that was lost.
+/// Whether a lost runner is known to have crashed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerFate {
-    /// Nothing was heard of it since: it may be cut off.
+    /// The runner has not reported since; it may be partitioned.
     #[display("unknown")]
     Unknown,
-    /// A later life of it has come, or another runner at its address.
+    /// A later incarnation of the runner has reported, or another runner at its address.
     #[display("crashed")]
     Crashed,
 }
 
-/// A run that ended with its runner.
+/// A run that ended because its runner was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// Which run.
+    /// Number of the run.
     pub run: u32,
-    /// Where.
+    /// The lost runner incarnation.
     #[serde(rename = "life")]
     pub incarnation: IncarnationKey,
-    /// What was seen of it.
+    /// The last thing that was reported of the run.
     #[serde(rename = "seen")]
     pub evidence: LossEvidence,
-    /// What became of the runner.
+    /// Whether the runner is known to have crashed.
     pub fate: RunnerFate,
-    /// When it was given up, in Unix milliseconds.
+    /// Time at which the leader recorded the end of the run, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// Runners known to have crashed under one task.
+/// Numbers of runners known to have crashed under one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Crashes {
-    /// All of them.
+    /// All crashed runners.
     pub all: usize,
-    /// Those that had not reported since they were told to start it.
+    /// Crashed runners that had not reported since they were ordered to start the task.
     pub at_start: usize,
 }
 
 impl Crashes {
-    /// Whether `more` crashes at the start would be too many.
+    /// Whether the task reaches a crash limit if `more` runners crash at its start.
     ///
     /// ```
     /// use yuccalink_state::jobs::Crashes;
@@ -88,7 +89,7 @@
     }
 }
 
-/// The losses of tasks that are not done. Most tasks have none, and no entry.
+/// The losses of tasks that are not done. Only tasks with losses have an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Losses {
@@ -96,7 +97,7 @@
 }
 
 impl Losses {
-    /// Those of a task, the oldest first.
+    /// The losses of a task, oldest first.
     ///
     /// ```
     /// use yuccalink_state::jobs::{JobId, Losses, TaskKey};
@@ -107,24 +108,24 @@
         self.by_task.get(&task).map_or(&[], Vec::as_slice)
     }
 
-    /// Tasks with losses.
+    /// All tasks with losses.
     pub fn tasks(&self) -> impl Iterator<Item = (TaskKey, &[Loss])> {
         self.by_task.iter().map(|(task, losses)| (*task, losses.as_slice()))
     }
 
-    /// Tasks of a job with losses.
+    /// Tasks of one job with losses.
     pub fn of_job(&self, job: JobId) -> impl Iterator<Item = (TaskKey, &[Loss])> {
         let first = TaskKey { job, occurrence: 0, step: 0, index: 0 };
         let of_job = self.by_task.range(first..).take_while(move |(task, _)| task.job == job);
         of_job.map(|(task, losses)| (*task, losses.as_slice()))
     }
 
-    /// Whether no task has any.
+    /// Whether no task has losses.
     pub fn is_empty(&self) -> bool {
         self.by_task.is_empty()
     }
 
-    /// Runners known to have crashed under a task.
+    /// Counts the runners known to have crashed under a task.
     ///
     /// ```
     /// use yuccalink_state::jobs::{JobId, Losses, TaskKey};
@@ -138,8 +139,8 @@
         Crashes { all: crashed.count(), at_start }
     }
 
-    /// Whether a task, whose newest run is `last_run`, has lost runners too often to be
-    /// started again.
+    /// Whether a task has lost too many runners to be started again; `last_run` is the
+    /// number of its newest run.
     pub(crate) fn are_too_many(&self, task: TaskKey, last_run: u32) -> bool {
         let losses = self.of(task);
         let third =
@@ -149,13 +150,13 @@
             || third.is_some_and(|third| last_run >= third.run + RUNS_AFTER_MAX)
     }
 
-    /// Whether it is not known of a life with losses whether it crashed.
+    /// Whether a runner incarnation has losses and is not known to have crashed.
     pub fn has_unknown(&self, incarnation: IncarnationKey) -> bool {
         let mut losses = self.by_task.values().flatten();
         losses.any(|loss| loss.incarnation == incarnation && loss.fate == RunnerFate::Unknown)
     }
 
-    /// Lives of which it is not known whether they crashed.
+    /// Runner incarnations with losses that are not known to have crashed.
     pub fn unknown(&self) -> BTreeSet<IncarnationKey> {
         let losses = self.by_task.values().flatten();
         losses
@@ -164,16 +165,16 @@
             .collect()
     }
 
-    /// Jobs with a runner of which it is not known whether it crashed.
+    /// Jobs with losses on runners that are not known to have crashed.
     pub fn open_jobs(&self) -> BTreeSet<JobId> {
         let open = |losses: &[Loss]| losses.iter().any(|loss| loss.fate == RunnerFate::Unknown);
         self.tasks().filter(|(_, losses)| open(losses)).map(|(task, _)| task.job).collect()
     }
 
-    /// A run ended with its runner.
+    /// Records a loss of a task.
     pub(crate) fn add(&mut self, task: TaskKey, loss: Loss) {
         match loss.evidence {
-            // It has worked for long enough to clear what was suspected before.
+            // The run lasted long enough to clear the task of earlier suspicion.
             LossEvidence::Proven => self.remove(task),
             LossEvidence::Nothing | LossEvidence::Ordered | LossEvidence::Working => {
                 self.by_task.entry(task).or_default().push(loss);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// These lives are over. Names the tasks that lost them.
+    /// Marks lost runner incarnations as crashed and returns the tasks with losses on them.
     pub(crate) fn crashed(&mut self, incarnations: &BTreeSet<IncarnationKey>) -> Vec<TaskKey> {
         let mut tasks = Vec::new();
         for (task, losses) in &mut self.by_task {
@@ -195,7 +196,7 @@
         tasks
     }
 
-    /// A life was only cut off.
+    /// Removes the losses on a runner incarnation that was only partitioned.
     pub(crate) fn alive(&mut self, incarnation: IncarnationKey) {
         for losses in self.by_task.values_mut() {
             losses
@@ -204,12 +205,12 @@
         self.by_task.retain(|_, losses| !losses.is_empty());
     }
 
-    /// A task is done, or proven to be sound.
+    /// Removes the losses of a task that is done or no longer suspected.
     pub(crate) fn remove(&mut self, task: TaskKey) {
         self.by_task.remove(&task);
     }
 
-    /// A job is forgotten.
+    /// Removes the losses of all tasks of a job.
     pub(crate) fn remove_job(&mut self, job: JobId) {
         let tasks: Vec<TaskKey> = self.of_job(job).map(|(task, _)| task).collect();
         for task in tasks {
@@ -218,8 +219,9 @@
     }
 }
 
-/// Reads what an earlier release did not write as nothing. Only for the last part of a state
-/// whose checksum holds: there an end of the bytes can mean nothing else.
+/// Reads losses, or none if the bytes end before them because an earlier release wrote the
+/// state. Only for the last field of a state whose checksum was verified: there, missing bytes
+/// cannot mean a truncated file.
 pub(crate) fn or_none<'de, D>(from: D) -> Result<Losses, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -1,24 +1,24 @@
-//! What a caller asks for: a job of one or more steps.
+//! The specification of a job: one or more steps, as its caller submits them.
 
 use crate::Resources;
 use serde::{Deserialize, Serialize};
 
-/// Most steps in one job.
+/// Maximum number of steps in one job.
 pub const STEPS_MAX: usize = 64;
-/// Most tasks in one step; a wider step cannot be described in one order.
+/// Maximum number of tasks in one step; a larger step cannot be described in one order.
 pub const TASKS_MAX: u32 = 4_096;
-/// Longest payload in bytes, the longest that runners take.
+/// Maximum size of a payload in bytes, which is the limit of the runners.
 pub const PAYLOAD_MAX: usize = 4_000;
 
-/// A job as its caller described it.
+/// A job as its caller specified it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct JobSpec {
-    /// Handed to runners with each start, unread.
+    /// Passed to the runner unchanged with each start.
     pub payload: Box<str>,
-    /// In the order of their numbers.
+    /// The steps, in the order of their numbers.
     pub steps: Vec<StepSpec>,
-    /// Runs once, at once, without one.
+    /// When the job runs; without a schedule it runs once, immediately.
     #[serde(default)]
     pub schedule: Option<Schedule>,
 }
@@ -27,55 +27,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Schedule {
-    /// The first, in Unix milliseconds.
+    /// Due time of the first occurrence, in Unix milliseconds.
     pub first_ms: u64,
-    /// Between one and the next, in milliseconds.
+    /// Time from one occurrence to the next, in milliseconds.
     pub interval_ms: u64,
-    /// How many there are.
+    /// Number of occurrences.
     pub count: u32,
 }
 
-/// One step: tasks that are alike.
+/// A step: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default, deny_unknown_fields)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What one task takes of a runner.
+    /// Resources that one task needs.
     pub need: Resources,
-    /// The team's guess of one task's time, in milliseconds; often far off.
+    /// The team's estimate of one task's run time, in milliseconds; often inaccurate.
     pub estimate_ms: u64,
-    /// Steps whose tasks must all be done first.
+    /// Steps whose tasks must all be done before this step starts.
     #[serde(rename = "after")]
     pub depends_on: Vec<u16>,
-    /// Resumes from checkpoints.
+    /// The tasks resume from checkpoints.
     pub checkpointing: bool,
-    /// All tasks run together or not at all.
+    /// The tasks form a gang: all run together or none does.
     pub gang: bool,
-    /// Slower when its tasks are spread over racks.
+    /// The tasks run slower when they are spread over several racks.
     pub rack_affinity: bool,
-    /// The runner must carry this label.
+    /// Label that the runner must have.
     pub required_label: Option<Box<str>>,
-    /// The rack that holds its data; slower elsewhere.
+    /// Rack that holds the step's data; the tasks run slower elsewhere.
     pub data_rack: Option<Box<str>>,
-    /// Most tasks of this step on one runner; 0 for no limit.
+    /// Maximum number of tasks of this step on one runner; 0 for no limit.
     pub per_runner_max: u32,
-    /// Two runs of one task may run at once.
+    /// Two runs of the same task may be active at once.
     pub speculative: bool,
-    /// Runs until the job is cancelled, and is started again however it ends.
+    /// The tasks run until the job is cancelled, and are started again however they end.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Box<str>>,
-    /// Bound on the tail of the task's own response times in milliseconds; 0 for none.
+    /// Bound on the tasks' own tail latency, in milliseconds; 0 for none.
     #[serde(rename = "target-ms")]
     pub tail_bound_ms: u64,
-    /// Uses the processors that others leave; its processors are not committed.
+    /// The tasks use processor time that others leave idle; none is reserved for them.
     pub opportunistic: bool,
-    /// Tasks that the system itself may take away at once; none where unset.
+    /// Maximum number of tasks that the scheduler may interrupt at once; no limit if unset.
     pub disruptions_max: Option<u32>,
 }
 
-/// What is wrong with a job.
+/// Why a job specification is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BadJob {
     /// a job needs at least one step; add one
@@ -93,10 +93,10 @@
 impl std::error::Error for BadJob {}
 
 impl JobSpec {
-    /// Checks the parts against each other.
+    /// Validates the steps and the payload.
     ///
     /// # Errors
-    /// The first fault that is found.
+    /// The first problem that is found.
     ///
     /// ```
     /// use yuccalink_state::jobs::{JobSpec, StepSpec, spec::BadJob};
@@ -126,15 +126,16 @@
         Ok(())
     }
 
-    /// Occurrences: one without a schedule.
+    /// Number of occurrences, which is 1 without a schedule.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.count.max(1))
     }
 }
 
 impl StepSpec {
-    /// What one task is committed of a runner: opportunistic tasks take only
-    /// memory and accelerators, their processors are those that others leave.
+    /// Resources that are reserved for one task. For opportunistic tasks these are
+    /// only memory and accelerators, since they use processor time that others leave
+    /// idle.
     ///
     /// ```
     /// use yuccalink_state::{Resources, jobs::StepSpec};
--- a/crates/state/src/jobs/table.rs
+++ b/crates/state/src/jobs/table.rs
@@ -1,4 +1,4 @@
-//! The table of jobs and runners' lives.
+//! The table of jobs and runner incarnations.
 
 use super::change::ChangeSet;
 use super::command::{
@@ -12,65 +12,66 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Runs of one speculative task that may run at once.
+/// Maximum number of runs of one speculative task that may be active at once.
 pub const COPIES_MAX: usize = 2;
 
-/// How far a job has come.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// Its tasks wait or run.
+    /// The job has tasks that are waiting, running or not yet due.
     #[default]
     Active,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Completed,
-    /// A task failed too often.
+    /// A task of the job failed, or lost runners, too often.
     Failed,
-    /// Its caller cancelled it.
+    /// The job's caller cancelled it.
     Cancelled,
 }
 
-/// A job and what became of it.
+/// A job and its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Name of its queue.
+    /// Name of the job's queue.
     pub queue: Box<str>,
-    /// The queue's pool when the job came in.
+    /// The queue's pool at submission.
     pub pool: Box<str>,
-    /// Runs of one task that may fail.
+    /// Number of failed runs of one task at which the job fails.
     pub attempts: u32,
-    /// When it came in, in Unix milliseconds.
+    /// Time of the submission, in Unix milliseconds.
     pub at_ms: u64,
-    /// What to do.
+    /// The steps to run.
     pub spec: JobSpec,
-    /// How far it is.
+    /// The job's phase.
     pub phase: JobPhase,
-    /// When it ended, in Unix milliseconds.
+    /// Time at which the job ended, in Unix milliseconds; 0 while it is active.
     pub ended_ms: u64,
-    /// Whether any task was ever started.
+    /// Whether any task of the job was ever started.
     pub begun: bool,
-    /// Occurrences with a start, from the first on.
+    /// Occurrences that were opened, from the first on.
     pub occurrences: Vec<Occurrence>,
-    /// Occurrences that are done.
+    /// Number of occurrences that are done.
     pub finished: u32,
 }
 
-/// One time that a job runs.
+/// One of the times that a job runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// As in the job's description.
+    /// The steps, in the order of the job's specification.
     pub steps: Vec<Step>,
 }
 
 /// The tasks of one step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub left: u32,
-    /// In the order of their numbers.
+    /// The tasks, in the order of their numbers.
     pub tasks: Vec<Task>,
 }
 
-/// All jobs, the change set in force, and the lives of runners.
+/// The replicated state of a job cell: its jobs, its runner incarnations, the change set in
+/// force, the learnt interference of images and the maintenance waves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CellState {
     #[serde(rename = "change")]
@@ -82,13 +83,13 @@
     waves: BTreeMap<u64, WaveState>,
     #[serde(skip)]
     assigned_runs: Vec<BTreeMap<TaskKey, u32>>,
-    /// Written last, so that states of earlier releases can be read.
+    /// The last field, so that states of earlier releases, which lack it, can be read.
     #[serde(deserialize_with = "loss::or_none")]
     losses: Losses,
 }
 
 impl CellState {
-    /// An empty table.
+    /// An empty state.
     ///
     /// ```
     /// assert!(yuccalink_state::jobs::CellState::new().change_set().is_none());
@@ -107,28 +108,28 @@
         self.jobs.get(&id)
     }
 
-    /// Whether a job is known and has not ended.
+    /// Whether a job exists and has not ended.
     pub fn is_active(&self, id: JobId) -> bool {
         self.job(id).is_some_and(|job| job.phase == JobPhase::Active)
     }
 
-    /// All jobs, in order of their numbers.
+    /// All jobs, in the order of their numbers.
     pub fn all(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// A task, if its occurrence has begun.
+    /// The task with this key, if its occurrence was opened.
     pub fn task(&self, key: TaskKey) -> Option<&Task> {
         let occurrence = self.jobs.get(&key.job)?.occurrences.get(key.occurrence as usize)?;
         occurrence.steps.get(usize::from(key.step))?.tasks.get(usize::from(key.index))
     }
 
-    /// A task's step as its caller described it.
+    /// The specification of a task's step.
     pub fn step_spec(&self, key: TaskKey) -> Option<&StepSpec> {
         self.jobs.get(&key.job)?.spec.steps.get(usize::from(key.step))
     }
 
-    /// Lives of runners, oldest first.
+    /// All runner incarnations, in the order in which they were registered.
     pub fn incarnations(&self) -> impl Iterator<Item = (IncarnationKey, &RunnerIncarnation)> {
         self.incarnations
             .iter()
@@ -136,12 +137,12 @@
             .map(|(at, incarnation)| (incarnation_key(at), incarnation))
     }
 
-    /// A life, if there is one with this key.
+    /// The runner incarnation with this key.
     pub fn incarnation(&self, key: IncarnationKey) -> Option<&RunnerIncarnation> {
         self.incarnations.get(key.0 as usize)
     }
 
-    /// Runs that may be running in a life.
+    /// Runs that are assigned to a runner incarnation and may still be running there.
     pub fn assigned_runs(&self, key: IncarnationKey) -> impl Iterator<Item = (TaskKey, u32)> {
         self.assigned_runs
             .get(key.0 as usize)
@@ -150,12 +151,12 @@
             .map(|(task, run)| (*task, *run))
     }
 
-    /// Runs that ended with their runners.
+    /// Runs that ended because their runner was lost.
     pub fn losses(&self) -> &Losses {
         &self.losses
     }
 
-    /// Whether a task has lost runners too often to be started again.
+    /// Whether a task has lost too many runners to be started again.
     ///
     /// ```
     /// use yuccalink_state::jobs::{JobId, CellState, TaskKey};
@@ -167,12 +168,12 @@
         self.losses.are_too_many(key, last_run)
     }
 
-    /// Whether a run may be running in a life.
+    /// Whether a run is assigned to a runner incarnation and may still be running there.
     pub fn is_assigned(&self, key: IncarnationKey, task: TaskKey, run: u32) -> bool {
         self.assigned_runs.get(key.0 as usize).is_some_and(|held| held.get(&task) == Some(&run))
     }
 
-    /// Makes the change that `command` describes and says what it came to.
+    /// Applies `command` and returns its outcome.
     ///
     /// ```
     /// use yuccalink_state::jobs::{JobCommand, JobOutcome, CellState};
@@ -226,22 +227,22 @@
         }
     }
 
-    /// All waves, in order of their numbers.
+    /// All maintenance waves, in the order of their numbers.
     pub fn waves(&self) -> impl Iterator<Item = &WaveState> {
         self.waves.values()
     }
 
-    /// A wave.
+    /// The maintenance wave with this number.
     pub fn wave(&self, id: u64) -> Option<&WaveState> {
         self.waves.get(&id)
     }
 
-    /// What an earlier leader learnt of pairs of images.
+    /// The interference of pairs of images, as learnt by earlier leaders.
     pub fn learnt(&self) -> &[PairWeight] {
         &self.learnt
     }
 
-    /// Rebuilds what is derived and so not written to snapshots.
+    /// Rebuilds the indexes, which are not written to snapshots.
     pub(crate) fn reindex(&mut self) {
         self.assigned_runs = vec![BTreeMap::new(); self.incarnations.len()];
         let mut found = Vec::new();
@@ -254,8 +255,8 @@
     }
 
     fn put(&mut self, change: Box<ChangeSet>) -> bool {
-        // An equal version is a resend, or another text that came too late: the
-        // first one committed stays, whoever asks.
+        // An equal version is a resend, or a different text that came later: the
+        // first one committed stays.
         if self.change_set.as_ref().is_some_and(|current| current.version >= change.version) {
             return false;
         }
@@ -312,8 +313,8 @@
         incarnation_key(self.incarnations.len() - 1)
     }
 
-    /// Lives with runs that were given up and that are surely over now: an older one of the
-    /// same name, or at the same address.
+    /// Lost runner incarnations that are now known to have crashed: older ones with the same
+    /// name or the same address as `newer`.
     fn ended_by(&self, newer: &RunnerIncarnation) -> BTreeSet<IncarnationKey> {
         let over = |incarnation: &RunnerIncarnation| {
             incarnation.started_ms < newer.started_ms
@@ -324,7 +325,7 @@
         incarnations
     }
 
-    /// Fails the job of a task that has lost too many runners.
+    /// Fails the job of a task if the task has lost too many runners.
     fn give_up(&mut self, task: TaskKey) {
         if !self.exceeds_loss_limit(task) {
             return;
@@ -419,13 +420,14 @@
         }
     }
 
-    /// Jobs that ended before `before_ms` and have nothing running.
+    /// Up to `most` jobs that ended before `before_ms`. [`JobCommand::Forget`] removes those
+    /// without runs that may still be running.
     pub fn forgettable(&self, before_ms: u64, most: usize) -> Vec<JobId> {
         let old = |job: &Job| job.phase != JobPhase::Active && job.ended_ms < before_ms;
         self.jobs.iter().filter(|(_, job)| old(job)).map(|(id, _)| *id).take(most).collect()
     }
 
-    /// Lives that may still run something.
+    /// Runner incarnations with runs that may still be running.
     pub fn incarnations_with_runs(&self) -> BTreeSet<IncarnationKey> {
         let any = |(at, held): (usize, &BTreeMap<TaskKey, u32>)| {
             (!held.is_empty()).then(|| incarnation_key(at))
@@ -435,7 +437,7 @@
 }
 
 impl Job {
-    /// Makes room for the first `count` occurrences.
+    /// Opens the first `count` occurrences: adds their steps and tasks.
     fn open(&mut self, count: u32) {
         while self.occurrences.len() < count as usize {
             let steps = self.spec.steps.iter().map(|spec| Step {
@@ -451,7 +453,7 @@
         occurrence.steps.get_mut(usize::from(key.step))?.tasks.get_mut(usize::from(key.index))
     }
 
-    /// Whether all steps that come before `step` are done.
+    /// Whether all steps that `step` depends on are done.
     ///
     /// ```
     /// use yuccalink_state::jobs::*;
@@ -475,14 +477,15 @@
         spec.depends_on.iter().all(done)
     }
 
-    /// A gang fails as one, whichever member did.
+    /// Sums the failures of all tasks of a step, because a gang fails as a whole.
     fn failures_of_step(&self, key: TaskKey) -> u32 {
         let occurrence = self.occurrences.get(key.occurrence as usize);
         let step = occurrence.and_then(|found| found.steps.get(usize::from(key.step)));
         step.into_iter().flat_map(|step| &step.tasks).map(|task| task.failures).sum()
     }
 
-    /// Members of a gang resume from one checkpoint, that of the first that has one.
+    /// Gives all members of a gang the checkpoint of the first member that has one, because
+    /// they must resume from the same checkpoint.
     fn share_checkpoint(&mut self, key: TaskKey) {
         let occurrence = self.occurrences.get_mut(key.occurrence as usize);
         let Some(step) = occurrence.and_then(|found| found.steps.get_mut(usize::from(key.step)))
@@ -499,7 +502,7 @@
     fn mark_done(&mut self, key: TaskKey, gang: bool, at_ms: u64) {
         let Some(occurrence) = self.occurrences.get_mut(key.occurrence as usize) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(key.step)) else { return };
-        // One member's end as done stands for its whole gang.
+        // When one member of a gang is done, the whole gang is done.
         let through = if gang { step.tasks.len() } else { 0 };
         for (at, task) in step.tasks.iter_mut().enumerate() {
             if (at < through || at == usize::from(key.index)) && !task.done {
@@ -521,7 +524,7 @@
     }
 }
 
-/// What an end says of its runner.
+/// The loss that a run's end stands for, if its runner was lost.
 fn loss_of(end: &RunEnd, at_ms: u64) -> Option<Loss> {
     let (seen, fate): (LossEvidence, RunnerFate) = match end.outcome {
         RunOutcome::Crashed(seen) => (seen, RunnerFate::Crashed),
--- a/crates/state/src/jobs/task.rs
+++ b/crates/state/src/jobs/task.rs
@@ -1,4 +1,4 @@
-//! Keys of jobs, tasks and runners' lives, and the state of one task.
+//! Keys of jobs, tasks and runner incarnations, and the state of one task.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -11,12 +11,12 @@
 #[serde(transparent)]
 pub struct JobId(pub u64);
 
-/// Digits in a job's number.
+/// Number of digits in a job's number.
 const DIGITS: usize = 16;
 
 impl JobId {
-    /// Reads 16 lower-case hexadecimal digits; nothing else is a job's number, since
-    /// it is given back in the same form.
+    /// Parses 16 lower-case hexadecimal digits. No other form is accepted, so that the
+    /// printed number always equals the text that the caller sent.
     ///
     /// ```
     /// use yuccalink_state::jobs::JobId;
@@ -32,24 +32,24 @@
     }
 }
 
-/// One task: `JOB.OCCURRENCE.STEP.INDEX`.
+/// Key of a task, printed as `JOB.OCCURRENCE.STEP.INDEX`.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{job}.{occurrence}.{step}.{index}")]
 pub struct TaskKey {
-    /// Its job.
+    /// The task's job.
     pub job: JobId,
-    /// Which time the job runs, from 0.
+    /// Number of the occurrence, from 0.
     pub occurrence: u32,
-    /// Which step, from 0.
+    /// Number of the step, from 0.
     pub step: u16,
-    /// Which task of the step, from 0.
+    /// Number of the task within the step, from 0.
     pub index: u16,
 }
 
 impl TaskKey {
-    /// Reads what [`Display`] writes.
+    /// Parses the form that [`Display`] writes.
     ///
     /// ```
     /// use yuccalink_state::jobs::TaskKey;
@@ -67,7 +67,7 @@
     }
 }
 
-/// One life of a runner, in the order in which lives were first heard of.
+/// Key of a runner incarnation; keys are numbered in the order of registration.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -75,31 +75,31 @@
 #[serde(transparent)]
 pub struct IncarnationKey(pub u32);
 
-/// A run of a task that may be running.
+/// A run that is assigned to a runner incarnation and may still be running there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunAssignment {
     /// Number of the run.
     pub run: u32,
-    /// Where it may be running.
+    /// The runner incarnation.
     #[serde(rename = "life")]
     pub incarnation: IncarnationKey,
 }
 
-/// What became of one task.
+/// The state of one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// One of its runs has ended as done.
+    /// Whether one of the task's runs has done its work.
     pub done: bool,
-    /// The newest run's number; the next is higher.
+    /// Number of the newest run; the next run has a higher one.
     pub last_run: u32,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failures: u32,
     /// The newest checkpoint, empty for none.
     #[serde(rename = "saved")]
     pub checkpoint: Box<str>,
-    /// Runs that may be running: one, or two of a speculative step.
+    /// Runs that may be running: at most one, or two in a speculative step.
     #[serde(rename = "holds")]
     pub assignments: Vec<RunAssignment>,
-    /// Where it failed before; another try goes elsewhere.
+    /// Runner incarnations on which the task failed; later runs avoid them.
     pub failed_on: Vec<IncarnationKey>,
 }
--- a/crates/state/src/jobs/wave.rs
+++ b/crates/state/src/jobs/wave.rs
@@ -1,22 +1,22 @@
-//! How far a wave of upkeep is.
+//! The progress of a maintenance wave.
 
 use super::command::Wave;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A wave and its machines.
+/// A maintenance wave and the progress of its machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveState {
-    /// As it was ordered.
+    /// The wave as it was ordered.
     pub wave: Wave,
-    /// Machines that have begun, each with the runner that was on it.
+    /// Machines whose maintenance has begun, each with the runner that was on it.
     begun: BTreeMap<Box<str>, Option<Box<str>>>,
-    /// Machines that are up again.
+    /// Machines that are up again or were removed.
     done: BTreeSet<Box<str>>,
 }
 
 impl WaveState {
-    /// A wave that no machine has begun.
+    /// A wave in which no machine has begun its maintenance.
     ///
     /// ```
     /// use yuccalink_state::jobs::{Wave, WaveState};
@@ -30,12 +30,12 @@
         Self { wave, ..Self::default() }
     }
 
-    /// A machine has begun.
+    /// Records that a machine's maintenance has begun.
     pub fn begin(&mut self, machine: Box<str>, runner: Option<Box<str>>) {
         self.begun.insert(machine, runner);
     }
 
-    /// A machine is up again, or has left.
+    /// Records that a machine is up again or was removed.
     pub fn finish(&mut self, machine: Box<str>) {
         self.done.insert(machine);
     }
@@ -45,18 +45,18 @@
         self.wave.machines.iter().all(|machine| self.done.contains(machine))
     }
 
-    /// Machines that have not begun.
+    /// Machines whose maintenance has not begun.
     pub fn waiting(&self) -> impl Iterator<Item = &str> {
         let waits = |m: &&str| !self.begun.contains_key(*m) && !self.done.contains(*m);
         self.wave.machines.iter().map(|machine| &**machine).filter(waits)
     }
 
-    /// Machines that have begun and are not up again.
+    /// Machines whose maintenance has begun and that are not up again.
     pub fn away(&self) -> impl Iterator<Item = &str> {
         self.begun.keys().filter(|machine| !self.done.contains(*machine)).map(|m| &**m)
     }
 
-    /// The runner that was on a machine before its upkeep.
+    /// The runner that was on a machine before its maintenance.
     pub fn runner_before(&self, machine: &str) -> Option<&str> {
         self.begun.get(machine).and_then(|runner| runner.as_deref())
     }
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The request ledger: what is known of each request that must run at most
-//! once, keyed by service and idempotency key. Bounded by age and by bytes.
+//! The request ledger: the status of each at-most-once request, by service and
+//! idempotency key. Its entries are bounded by age and by bytes.
 
 use crate::command::RequestBegin;
 use crate::document::Digest;
@@ -7,72 +7,72 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Longest time an outcome is kept, in milliseconds: one day.
+/// Time after its start for which a request is kept, in milliseconds: one day.
 pub const KEEP_MS: u64 = 24 * 60 * 60 * 1000;
-/// Most bytes that all kept outcomes may take.
+/// Maximum size of all entries, in bytes.
 pub const KEEP_BYTES: usize = 64 * 1024 * 1024;
-/// Largest answer body that is kept, in bytes.
+/// Maximum size of a response body that is kept, in bytes.
 pub const ANSWER_MAX: usize = 256 * 1024;
-/// Bytes counted for an entry besides its key and answer.
+/// Bytes that are counted for an entry in addition to its key and response.
 const ENTRY_OVERHEAD: usize = 160;
 
-/// A service and the key that a caller chose for one request.
+/// A service and the idempotency key that a caller chose for one request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The service asked.
+    /// The service that the request is for.
     pub service: Name,
-    /// The caller's `Idempotency-Key`.
+    /// Value of the caller's `Idempotency-Key` header.
     pub key: Box<str>,
 }
 
-/// One kept header of an answer.
+/// A header of a stored response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Lower-case name.
+    /// Name in lower case.
     pub name: Box<str>,
     /// Value as sent.
     pub value: Box<[u8]>,
 }
 
-/// A whole answer, kept to be given again.
+/// A whole HTTP response, kept for replay under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// End-to-end headers.
     pub headers: Box<[Header]>,
-    /// The whole body.
+    /// Whole body.
     pub body: Box<[u8]>,
 }
 
-/// What is known of a request that was let go.
+/// The recorded status of a request that was allowed to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// Under way, at the latest until `until_ms`; after that nobody knows.
+    /// The request is running, at the latest until `until_ms`; later its outcome is unknown.
     Running {
-        /// Unix milliseconds.
+        /// Latest end of the request, in Unix milliseconds.
         until_ms: u64,
     },
-    /// It ran and this was its answer.
+    /// The request ran, with this response.
     Answered(StoredResponse),
-    /// It ran, but its answer was too large to keep.
+    /// The request ran, but its response was too large to keep.
     AnsweredTooLarge,
-    /// It may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     Unknown,
 }
 
-/// What a caller's request is told by the ledger.
+/// The ledger's decision on a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// First of its key: it may run now.
+    /// The request is the first with its key and may run now.
     Go,
-    /// The same request is under way.
+    /// The same request is running.
     Running,
-    /// It ran; its answer again.
+    /// The request ran, with this response.
     Answered(StoredResponse),
-    /// It ran; its answer was too large to keep.
+    /// The request ran, but its response was too large to keep.
     AnsweredTooLarge,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
     /// The key was used for a different request.
     KeyReused,
@@ -80,16 +80,16 @@
     Full,
 }
 
-/// How a request that was let go ended.
+/// How a request that was allowed to run ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// With a whole answer.
+    /// With a whole response.
     Answered(StoredResponse),
-    /// With an answer over [`ANSWER_MAX`].
+    /// With a response over [`ANSWER_MAX`].
     AnsweredTooLarge,
-    /// It surely did not run; its key is free again.
+    /// Without having run, which is certain; its key may be used again.
     NotRun,
-    /// Nobody knows.
+    /// With an unknown outcome: the request may have run.
     Unknown,
 }
 
@@ -108,7 +108,7 @@
     key: RequestKey,
 }
 
-/// All kept requests.
+/// The table of recorded requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     entries: BTreeMap<RequestKey, Entry>,
@@ -130,7 +130,7 @@
 }
 
 impl Ledger {
-    /// Bytes that the kept requests take, as counted against [`KEEP_BYTES`].
+    /// Size of all entries in bytes, as counted against [`KEEP_BYTES`].
     ///
     /// ```
     /// assert_eq!(yuccalink_state::ledger::Ledger::default().bytes(), 0);
@@ -139,7 +139,7 @@
         self.bytes
     }
 
-    /// How many requests are kept.
+    /// Number of recorded requests.
     ///
     /// ```
     /// assert_eq!(yuccalink_state::ledger::Ledger::default().len(), 0);
@@ -148,7 +148,7 @@
         self.entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no request is recorded.
     ///
     /// ```
     /// assert!(yuccalink_state::ledger::Ledger::default().is_empty());
@@ -157,7 +157,8 @@
         self.entries.is_empty()
     }
 
-    /// Records the intent to run a request, or says what became of the first of its key.
+    /// Records that a request is about to run, or returns the status of the first
+    /// request with its key.
     pub(crate) fn begin(&mut self, begin: &RequestBegin) -> Verdict {
         let RequestBegin { key, digest, attempt, at_ms: now_ms, until_ms } = begin;
         let (digest, attempt, now_ms, until_ms) = (*digest, *attempt, *now_ms, *until_ms);
@@ -166,8 +167,8 @@
             return entry.verdict(digest, attempt, now_ms);
         }
         let fate = Fate::Running { until_ms };
-        // Room for the largest answer is set aside now: a request that ran must
-        // never find the ledger full when its answer is to be kept.
+        // Reserves space for the largest response, so that the ledger is never too
+        // full to keep the response of a request that ran.
         let cost = size(key, &fate);
         if self.bytes + cost + ANSWER_MAX > KEEP_BYTES {
             return Verdict::Full;
@@ -180,11 +181,12 @@
         Verdict::Go
     }
 
-    /// Records how a request ended; only the first ending counts.
+    /// Records how a request ended; only the first outcome counts.
     pub(crate) fn finish(&mut self, key: &RequestKey, attempt: u64, ended: RequestOutcome) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        // A resend through another entry that came to nothing says "not run" of its
-        // own attempt only: freeing the key of the one under way would let it run twice.
+        // A resend through another entry VM that was not sent ends as "not run", which
+        // is true of its own attempt only. Freeing the key while the first attempt is
+        // running would let the request run twice.
         if entry.attempt != attempt || !matches!(entry.fate, Fate::Running { .. }) {
             return;
         }
@@ -226,8 +228,8 @@
             return Verdict::KeyReused;
         }
         match &self.fate {
-            // The entry lost the answer to its first asking and asks again: it has
-            // sent nothing yet, so its own intent must not stand in its way.
+            // The entry VM lost the leader's first verdict and asks again for the same
+            // attempt. It has not sent the request yet, so it may send it now.
             Fate::Running { .. } if attempt == self.attempt => Verdict::Go,
             Fate::Running { until_ms } if now_ms > *until_ms => Verdict::Unknown,
             Fate::Running { .. } => Verdict::Running,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
 //! The state layer: domain types, the deterministic state machine that every
 //! replica applies, and the files that make it durable.
 //!
-//! Nothing here does network input or output, reads a clock or draws random
-//! numbers; instants come in as milliseconds inside commands.
+//! Nothing here uses the network, reads a clock or draws random numbers; times
+//! are passed in as milliseconds inside commands.
 
 pub mod command;
 pub mod document;
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -1,11 +1,11 @@
-//! The append-only log: one frame a group commit, in a few files.
+//! The append-only log: one frame per group commit, in several segment files.
 //!
-//! A frame is written whole and synced before the next one is begun, so a bad
-//! frame at the very end is a write that a crash tore, and is cut off; a bad
-//! frame that an intact one follows is damage, and is refused.
+//! A frame is written and synced before the next one is begun. An invalid frame at
+//! the very end is therefore a torn write of a crash and is cut off. An invalid
+//! frame that an intact one follows is damage, and the log is refused.
 //!
-//! A frame says from which index on it replaces what was there: a replica may
-//! have to give up records that were never agreed on.
+//! A frame states the index from which on it replaces earlier records, since a
+//! replica may have to drop records that were never committed.
 //!
 //! Frame: magic (4 bytes), payload length (4), CRC-32 of all that follows (4),
 //! term (8), vote (8), index of the first record (8), number of records (4),
@@ -18,9 +18,9 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Version in the header of each segment.
+/// Format version in the header of each segment.
 pub const FORMAT: u32 = 2;
-/// Largest record, in bytes.
+/// Maximum size of a record, in bytes.
 pub const RECORD_MAX: usize = 8 * 1024 * 1024;
 
 const SEGMENT_MAGIC: &[u8; 8] = b"YUCCALOG";
@@ -31,41 +31,41 @@
 const RECORD_HEAD: usize = 12;
 const SUFFIX: &str = ".log";
 
-/// A record; the first ever written has index 1.
+/// A log record; the first one ever written has index 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Position in the log.
+    /// The record's position in the log.
     pub index: u64,
-    /// The leader's term when it was made.
+    /// Term of the leader that created the record.
     pub term: u64,
-    /// What was appended.
+    /// The content.
     pub bytes: Box<[u8]>,
 }
 
-/// What a replica must remember of elections.
+/// A replica's Raft term and vote, which must survive a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TermAndVote {
-    /// The newest term seen.
+    /// The highest term that the replica has seen.
     pub term: u64,
-    /// Whom it voted for in that term, 0 for nobody.
+    /// The replica that it voted for in that term; 0 for none.
     pub vote: u64,
 }
 
-/// One write, made durable by one sync.
+/// One write to the log, made durable by one sync.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogFrame {
-    /// Replaces the one before.
+    /// The term and vote, which replace those of the previous frame.
     pub hard: TermAndVote,
-    /// Index of the first record; from it on the log is replaced.
+    /// Index of the first record; all earlier records from this index on are replaced.
     pub first: u64,
-    /// Terms and contents, possibly none.
+    /// Terms and contents of the records, of which there may be none.
     pub records: Vec<(u64, Box<[u8]>)>,
 }
 
-/// Counts since the log was opened.
+/// Counters since the log was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogCounters {
-    /// Group commits, each with one sync of the file.
+    /// Group commits, each with one sync of the segment file.
     pub syncs: u64,
     /// Records appended.
     pub records: u64,
@@ -84,18 +84,18 @@
     counts: LogCounters,
 }
 
-/// What was found in the files of a log.
+/// A log and the content that was recovered from its files.
 #[derive(Debug)]
 pub struct Opened {
-    /// The log, ready to be appended to.
+    /// The log, ready for appending.
     pub log: Log,
-    /// All records that follow the one asked for, in order.
+    /// All records after the requested index, in order.
     pub records: Vec<Record>,
-    /// The newest hard state.
+    /// The newest term and vote.
     pub hard: TermAndVote,
 }
 
-/// A file and the index that was next when it was made.
+/// A segment file, with the index that was next when it was created.
 struct Segment {
     number: u64,
     first: u64,
@@ -103,12 +103,12 @@
 }
 
 impl Log {
-    /// Opens the log in `folder` and reads what follows record `after`, which a
-    /// snapshot contains and which had term `after_term`.
+    /// Opens the log in `folder` and reads the records after index `after`, which
+    /// is the last record in the snapshot and has term `after_term`.
     ///
     /// # Errors
-    /// [`Error::DamagedMiddle`] and [`Error::Gap`] when records are missing or
-    /// damaged before intact ones; nothing is changed then.
+    /// [`Error::DamagedMiddle`] and [`Error::Gap`] if records are damaged or
+    /// missing before intact ones; the files are not changed then.
     ///
     /// ```
     /// # use yuccalink_state::log::{LogFrame, TermAndVote, Log};
@@ -140,21 +140,22 @@
         Ok(Opened { log, records, hard: replay.hard })
     }
 
-    /// Index of the last record, 0 when there is none.
+    /// Index of the last record; 0 if there is none.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Counts since opening.
+    /// Counters since opening.
     pub fn counts(&self) -> LogCounters {
         self.counts
     }
 
-    /// Writes a frame and syncs once. When this returns it survives any crash.
+    /// Writes a frame and syncs once. After a successful return it survives any crash.
     ///
     /// # Errors
-    /// [`Error::TooLarge`] changes nothing. After [`Error::Io`] the log must be
-    /// opened anew: what reached the disk is not known.
+    /// [`Error::TooLarge`] if a record is too large; nothing is written then. After
+    /// [`Error::Io`] the log must be opened again, because it is not known what
+    /// reached the disk.
     pub fn append(&mut self, frame: &LogFrame) -> Result<()> {
         let bytes = encode(frame)?;
         self.file.write_all(&bytes).map_err(|e| Error::io("append to", &self.path, e))?;
@@ -166,10 +167,10 @@
         Ok(())
     }
 
-    /// Begins a new segment, so that older ones can be removed whole.
+    /// Begins a new segment, so that older ones can be removed as whole files.
     ///
     /// # Errors
-    /// [`Error::Io`] when the file cannot be made.
+    /// [`Error::Io`] if the file cannot be created.
     pub fn roll(&mut self) -> Result<()> {
         self.next_segment += 1;
         (self.file, self.path) = create_segment(&self.folder, self.next_segment, self.last + 1)?;
@@ -179,7 +180,7 @@
     /// Removes segments whose records are all at or below `index`.
     ///
     /// # Errors
-    /// [`Error::Io`] when a file cannot be removed.
+    /// [`Error::Io`] if a file cannot be removed.
     pub fn forget(&mut self, index: u64) -> Result<()> {
         let segments = segments(&self.folder)?;
         for pair in segments.windows(2) {
@@ -193,14 +194,14 @@
     }
 }
 
-/// Syncs a folder, so that names made or removed in it survive a crash.
+/// Syncs a folder, so that the creation or removal of files in it survives a crash.
 pub(crate) fn sync_folder(folder: &Path) -> Result<()> {
     File::open(folder)
         .and_then(|f| f.sync_all())
         .map_err(|e| Error::io("sync the folder", folder, e))
 }
 
-/// Records as the frames make and replace them.
+/// Rebuilds the records from frames, which append and replace them.
 struct Replay {
     records: VecDeque<Record>,
     next: Option<u64>,
@@ -213,7 +214,7 @@
         Self { records: VecDeque::new(), next: None, after, hard: TermAndVote::default() }
     }
 
-    /// A segment begins where the one before it ended, unless one is missing.
+    /// Checks that a segment begins where the previous one ended, so that none is missing.
     fn begin(&mut self, first: u64) -> Result<()> {
         match self.next {
             Some(next) if first > next && first > self.after + 1 => {
@@ -226,7 +227,7 @@
     fn take(&mut self, frame: LogFrame) -> Result<()> {
         let next = self.next.unwrap_or(frame.first);
         if frame.first > next {
-            // Only a snapshot that was taken over from the leader may lie between.
+            // Only a snapshot that was installed from the leader may fill the gap.
             if frame.first > self.after + 1 {
                 return Err(Error::Gap { from: next, to: frame.first - 1 });
             }
@@ -247,8 +248,9 @@
 
     fn finish(&mut self, after: u64, after_term: u64) -> Result<(Vec<Record>, u64)> {
         let conflicts = |record: &Record| record.index == after && record.term != after_term;
-        // The snapshot was taken over while the log held a branch that was given
-        // up; the crash came before that was written. What follows is of the branch.
+        // A snapshot from the leader was installed while the log still had records
+        // that conflict with it, and a crash came before the log was replaced. The
+        // records after the snapshot's index belong to the conflicting branch.
         if self.records.iter().any(conflicts) {
             self.records.clear();
             self.next = None;
@@ -291,7 +293,7 @@
     u32::try_from(size).map_err(|_| Error::TooLarge { size, limit: u32::MAX as usize })
 }
 
-/// Segments in the order in which they were made.
+/// Segments in the order of their creation.
 fn segments(folder: &Path) -> Result<Vec<Segment>> {
     let mut found = Vec::new();
     let entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
@@ -311,8 +313,8 @@
 fn create_segment(folder: &Path, number: u64, first: u64) -> Result<(File, PathBuf)> {
     let path = folder.join(format!("{number:010}-{first:020}{SUFFIX}"));
     write_head(&path)?;
-    // First the file, then the name in the folder: the other order could leave
-    // a name without a header after a crash.
+    // Syncs the file before the folder: the reverse order could leave a file
+    // without a header after a crash.
     sync_folder(folder)?;
     open_at_end(&path)
 }
@@ -332,7 +334,7 @@
     Ok((file, path.into()))
 }
 
-/// Opens the last segment, without the torn frame at its end.
+/// Opens the last segment after it cut off the torn frame at its end, if there is one.
 fn open_tail(segment: &Segment, cut: Option<u64>) -> Result<(File, PathBuf)> {
     let path = &segment.path;
     let fail = |e| Error::io("open", path, e);
@@ -348,7 +350,7 @@
     open_at_end(path)
 }
 
-/// Reads a segment; returns where its torn end begins, if it has one.
+/// Reads a segment; returns the offset of the torn frame at its end, if there is one.
 fn read_segment(segment: &Segment, is_last: bool, replay: &mut Replay) -> Result<Option<u64>> {
     let path = &segment.path;
     replay.begin(segment.first)?;
@@ -385,7 +387,7 @@
     Ok(None)
 }
 
-/// Where an intact frame begins at or after `start`.
+/// Offset of the first intact frame at or after `start`.
 fn find_frame(buf: &[u8], start: usize) -> Option<usize> {
     let end = buf.len().saturating_sub(FRAME_HEAD + FRAME_FIXED - 1);
     (start..end).find(|at| parse_frame(&buf[*at..]).is_some())
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -1,5 +1,5 @@
 //! The replicated state machine: documents, workers, tasks and the request
-//! ledger. [`StateMachine::apply`] is deterministic and never fails half way.
+//! ledger. [`StateMachine::apply`] is deterministic and applies a command as a whole.
 
 mod documents;
 mod queries;
@@ -19,35 +19,35 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Versions remembered per service for resends.
+/// Number of accepted versions that are kept per service, to recognize resends.
 pub const PAST_VERSIONS: usize = 1024;
-/// Submissions remembered for resends.
+/// Number of submissions that are kept, to recognize resends.
 pub const PAST_SUBMISSIONS: usize = 10_000;
-/// Ended tasks remembered.
+/// Number of ended tasks that are kept.
 pub const PAST_TASKS: usize = 20_000;
-/// How far numbers jump when a snapshot is restored; more than can have been used
-/// since it was taken.
+/// How far revisions, task numbers and epochs are advanced when a snapshot is
+/// restored; more than can have been used since the snapshot was taken.
 pub const RESTORE_JUMP: u64 = 1 << 32;
-/// Failures after which a task is given up.
+/// Number of failures at which a task ends as failed.
 pub const FAILURES_MAX: u32 = 3;
 
 /// A service and its document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// What is in force.
+    /// The document in force.
     pub accepted: Accepted,
     /// Accepted versions, oldest first, the one in force last.
     pub past: VecDeque<PastVersion>,
 }
 
-/// The order in which waiting tasks are considered.
+/// The order in which waiting tasks are placed, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// Marked urgent when submitted.
+    /// The task was marked urgent when it was submitted.
     Urgent,
-    /// Of a latency-critical kind.
+    /// The task is of a latency-critical kind.
     LatencyCritical,
-    /// All others.
+    /// All other tasks.
     Batch,
 }
 
@@ -57,7 +57,7 @@
     count: u32,
 }
 
-/// All replicated state.
+/// The replicated state of services, workers, tasks and at-most-once requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateMachine {
     revision: Revision,
@@ -88,7 +88,7 @@
         Self::default()
     }
 
-    /// Makes the change that `command` describes and says what it came to.
+    /// Applies `command` and returns its outcome.
     ///
     /// ```
     /// use yuccalink_state::{Command, StateMachine, Outcome};
@@ -122,11 +122,11 @@
         }
     }
 
-    /// Makes this older state the newest one again, after everything since was
-    /// lost: numbers that others may have seen higher are moved beyond them.
+    /// Prepares an older state for use after all later changes were lost: advances
+    /// its revisions, task numbers and epochs by [`RESTORE_JUMP`].
     ///
-    /// Entries hold later revisions, workers remember later epochs and tasks;
-    /// without the jump they would take what is restored for old news.
+    /// Entry VMs may have seen later revisions, and workers later epochs and tasks.
+    /// Without the jump they would ignore the restored state as outdated.
     ///
     /// ```
     /// # use yuccalink_state::{StateMachine, id::Revision, machine::RESTORE_JUMP};
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Rebuilds what is derived and so not written to snapshots.
+    /// Rebuilds the indexes, which are not written to snapshots.
     pub(crate) fn reindex(&mut self) {
         self.held = vec![BTreeSet::new(); self.workers.len()];
         self.waiting.clear();
@@ -193,8 +193,8 @@
         }
     }
 
-    /// The only place where a task leaves a worker, so that commitments and
-    /// indexes always match the phases.
+    /// Changes a task's phase. A task leaves its worker only here, so that reserved
+    /// resources and indexes always match the phases.
     fn set_phase(&mut self, id: TaskId, phase: TaskPhase) {
         let Some(task) = self.tasks.get_mut(&id) else { return };
         let before = task.worker();
--- a/crates/state/src/machine/documents.rs
+++ b/crates/state/src/machine/documents.rs
@@ -1,4 +1,4 @@
-//! Commands on documents.
+//! Application of document commands.
 
 use super::*;
 impl StateMachine {
@@ -21,8 +21,9 @@
         }
         let current = &service.accepted;
         if version <= current.document.version {
-            // Of two texts with one version the first committed wins; the other is
-            // told which, so that nobody believes that a lost change is in force.
+            // Of two texts with the same version, the first committed one wins. The
+            // sender of the other is told the winner, so that nobody believes that a
+            // rejected change is in force.
             let winner = seen
                 .map_or((current.document.version, &current.author, current.revision), |p| {
                     (p.version, &p.author, p.revision)
@@ -52,7 +53,7 @@
         Service { accepted: Accepted { document, text, revision: self.revision, author }, past }
     }
 
-    /// Waiting tasks are kept by rank, which a new document may change.
+    /// Sorts a service's waiting tasks again, since a new document may change their rank.
     pub(super) fn rerank(&mut self, key: ServiceKey) {
         let moved: Vec<(Rank, TaskId)> = self
             .waiting
--- a/crates/state/src/machine/queries.rs
+++ b/crates/state/src/machine/queries.rs
@@ -1,4 +1,4 @@
-//! What can be read of the state.
+//! Read access to the state.
 
 use super::*;
 impl StateMachine {
@@ -33,10 +33,10 @@
         self.service_keys.get(name).map(|key| self.service_at(*key))
     }
 
-    /// The service with `key`, which came from this machine.
+    /// The service with this key.
     ///
     /// # Panics
-    /// With a key of another machine.
+    /// If the key is not from this state machine.
     pub fn service_at(&self, key: ServiceKey) -> &Service {
         &self.services[key.0 as usize]
     }
@@ -44,28 +44,28 @@
     /// The document of a task's service.
     ///
     /// # Panics
-    /// With a task of another machine.
+    /// If the task is not from this state machine.
     pub fn document_of(&self, task: &Task) -> &Document {
         &self.service_at(task.service).accepted.document
     }
 
-    /// A task's kind, unless the document in force has none of that name any more.
+    /// A task's kind; `None` if the document in force no longer has a kind of that name.
     ///
     /// # Panics
-    /// With a task of another machine.
+    /// If the task is not from this state machine.
     pub fn kind_of(&self, task: &Task) -> Option<&TaskKind> {
         self.document_of(task).task_kind(&task.kind)
     }
 
-    /// A task's class; batch when its kind is gone from the document.
+    /// A task's class; batch if the document in force no longer has its kind.
     ///
     /// # Panics
-    /// With a task of another machine.
+    /// If the task is not from this state machine.
     pub fn class_of(&self, task: &Task) -> TaskClass {
         self.kind_of(task).map_or(TaskClass::Batch, |kind| kind.class)
     }
 
-    /// All worker records, gone ones included.
+    /// All worker records, including those of workers that are gone.
     ///
     /// ```
     /// # use yuccalink_state::StateMachine;
@@ -75,10 +75,10 @@
         self.workers.iter().enumerate().map(|(at, worker)| (worker_key(at), worker))
     }
 
-    /// The worker with `key`, which came from this machine.
+    /// The worker with this key.
     ///
     /// # Panics
-    /// With a key of another machine.
+    /// If the key is not from this state machine.
     pub fn worker_at(&self, key: WorkerKey) -> &Worker {
         &self.workers[key.0 as usize]
     }
@@ -95,7 +95,7 @@
         Some((key, self.worker_at(key)))
     }
 
-    /// The tasks committed to a worker, in order of their numbers.
+    /// The tasks placed on a worker, in the order of their numbers.
     ///
     /// ```
     /// # use yuccalink_state::{StateMachine, id::WorkerKey};
@@ -105,7 +105,7 @@
         self.held.get(key.0 as usize).into_iter().flatten().filter_map(|id| self.tasks.get(id))
     }
 
-    /// All remembered tasks, in order of their numbers.
+    /// All tasks with a record, in the order of their numbers.
     ///
     /// ```
     /// # use yuccalink_state::StateMachine;
@@ -115,7 +115,7 @@
         self.tasks.values()
     }
 
-    /// Remembered tasks numbered above `after`, in order of their numbers.
+    /// Tasks with a record and a number above `after`, in the order of their numbers.
     ///
     /// ```
     /// # use yuccalink_state::{StateMachine, id::TaskId};
@@ -125,7 +125,7 @@
         self.tasks.range(TaskId(after.0.saturating_add(1))..).map(|(_, task)| task)
     }
 
-    /// The task numbered `id`.
+    /// The task with this number.
     ///
     /// ```
     /// # use yuccalink_state::{StateMachine, id::TaskId};
@@ -135,7 +135,7 @@
         self.tasks.get(&id)
     }
 
-    /// Waiting tasks, the first to be placed first.
+    /// Waiting tasks, in the order in which they are placed.
     ///
     /// ```
     /// # use yuccalink_state::StateMachine;
@@ -145,7 +145,7 @@
         self.waiting.iter().filter_map(|(_, id)| self.tasks.get(id))
     }
 
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     ///
     /// ```
     /// # use yuccalink_state::StateMachine;
--- a/crates/state/src/machine/tasks.rs
+++ b/crates/state/src/machine/tasks.rs
@@ -1,4 +1,4 @@
-//! Commands on tasks: submitted, placed, reported, evicted, cancelled.
+//! Application of task commands: submit, cancel, place, evict and report.
 
 use super::*;
 impl StateMachine {
@@ -54,7 +54,7 @@
         match task.phase.clone() {
             TaskPhase::Ended(outcome) => CancelOutcome::Ended(outcome),
             TaskPhase::Waiting => {
-                // Only a task that never ran may be called "not run".
+                // Only a task that was never placed certainly did not run.
                 let ran = task.epoch > Epoch(0);
                 self.end(id, TaskOutcome::Cancelled);
                 if ran {
@@ -77,8 +77,9 @@
         }
         let worker = self.workers.get_mut(placement.worker.0 as usize)?;
         let committed = worker.committed.plus(task.need)?;
-        // The last guard of "never committed beyond what it holds": whatever a
-        // leader proposed from older knowledge is checked against exact sums here.
+        // The final check that a worker's capacity is never exceeded. A leader may
+        // have planned the placement from an older state, so it is checked here
+        // against the exact sum.
         if worker.phase != WorkerPhase::Live || !worker.spec.capacity.covers(committed) {
             return None;
         }
@@ -104,13 +105,13 @@
         }
     }
 
-    /// Returns the task if it left its worker.
+    /// Applies a report; returns the task if it left its worker.
     pub(super) fn report(&mut self, report: &TaskReport) -> Option<TaskId> {
         let id = report.task;
         let task = self.tasks.get_mut(&id)?;
         let worker = task.worker()?;
-        // A report of an earlier placement comes late or from a worker that was cut
-        // off: acting on it would free or end work that runs elsewhere now.
+        // A report of an earlier placement is late, or from a worker that was
+        // partitioned. Applying it would end or free a task that now runs elsewhere.
         if task.epoch != report.epoch {
             return None;
         }
--- a/crates/state/src/machine/workers.rs
+++ b/crates/state/src/machine/workers.rs
@@ -1,4 +1,4 @@
-//! Commands on workers: up, leaving, gone.
+//! Application of worker commands: up, leaving and gone.
 
 use super::*;
 impl StateMachine {
--- a/crates/state/src/resources.rs
+++ b/crates/state/src/resources.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of a worker's resources, in whole units so that sums are exact.
+/// An amount of resources, in whole units so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Resources {
@@ -10,16 +10,16 @@
     pub millicores: u64,
     /// Memory in MiB.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Nothing at all.
+    /// No resources.
     pub const ZERO: Self = Self { millicores: 0, memory_mib: 0, accelerators: 0 };
 
-    /// Whether `self` holds at least `need` of each resource.
+    /// Whether `self` is at least `need` in each resource.
     ///
     /// ```
     /// use yuccalink_state::Resources;
@@ -33,7 +33,7 @@
             && self.accelerators >= need.accelerators
     }
 
-    /// `self + other`, or `None` where a sum would overflow.
+    /// `self + other`, or `None` if a sum would overflow.
     ///
     /// ```
     /// use yuccalink_state::Resources;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// `self - other`, or `None` where `other` is more than there is.
+    /// `self - other`, or `None` if `other` is more than `self` in any resource.
     ///
     /// ```
     /// use yuccalink_state::Resources;
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots: the whole machine in one file, written beside the log and put
-//! in place by a rename, so that a crash leaves either the old or the new.
+//! Snapshots: the whole replicated state in one file next to the log. The file is
+//! put in place by a rename, so a crash leaves either the old or the new snapshot.
 
 use crate::error::{Error, Result};
 use crate::jobs::CellState;
@@ -11,27 +11,27 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Version in the header of each snapshot.
+/// Format version in the header of each snapshot.
 pub const FORMAT: u32 = 2;
 
 const MAGIC: &[u8; 8] = b"YUCCASNP";
 const HEAD: usize = 8 + 4 + 4;
 const SUFFIX: &str = ".snapshot";
 
-/// What a snapshot stands for.
+/// Metadata of a snapshot: the log position and the members that it represents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Meta {
-    /// Index of the last record applied.
+    /// Index of the last applied record.
     pub index: u64,
-    /// That record's term.
+    /// Term of that record.
     pub term: u64,
-    /// The members after it, encoded by the layer above.
+    /// The members after that record, encoded by the coordination layer.
     pub members: Box<[u8]>,
 }
 
-/// State that snapshots can hold: that of services, or that of jobs.
+/// Replicated state that can be stored in a snapshot: that of services or of a job cell.
 pub trait Replicated: Default + Serialize + DeserializeOwned {
-    /// Rebuilds what is derived and so not written to snapshots.
+    /// Rebuilds the indexes, which are not written to snapshots.
     fn reindex(&mut self);
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// A machine and what it stands for.
+/// A replicated state and its metadata.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot<S = StateMachine> {
-    /// The last record applied, and the members.
+    /// The log position and the members.
     pub meta: Meta,
-    /// The state after it.
+    /// The state after the last applied record.
     pub state: S,
 }
 
 /// Encodes a snapshot: header, CRC-32 and state.
 ///
 /// # Errors
-/// [`Error::Decode`] when the codec refuses, which it has no cause to.
+/// [`Error::Decode`] if the codec fails, which is not expected for these types.
 ///
 /// ```
 /// # use yuccalink_state::{snapshot::{self, Meta}, StateMachine};
@@ -82,19 +82,19 @@
     Ok(buf)
 }
 
-/// Reads a snapshot back; `shown` names it in errors.
+/// Decodes a snapshot; `shown` is its name in errors.
 ///
 /// # Errors
-/// [`Error::DamagedMiddle`] when it is not whole, [`Error::Version`] when
-/// another release wrote it.
+/// [`Error::DamagedMiddle`] if the snapshot is damaged or incomplete,
+/// [`Error::Version`] if it has the format of another release.
 pub fn decode(buf: &[u8], shown: &str) -> Result<Snapshot> {
     decode_as(buf, shown)
 }
 
-/// As [`decode`], for any state.
+/// Same as [`decode`], for any replicated state.
 ///
 /// # Errors
-/// As [`decode`].
+/// The same as of [`decode`].
 pub fn decode_as<S>(buf: &[u8], shown: &str) -> Result<Snapshot<S>>
 where
     S: Replicated,
@@ -121,7 +121,7 @@
 /// Writes `bytes` as the snapshot of record `index`; it is durable on return.
 ///
 /// # Errors
-/// [`Error::Io`]; the snapshots there before are untouched.
+/// [`Error::Io`]; existing snapshots are not changed.
 pub fn write(folder: &Path, index: u64, bytes: &[u8]) -> Result<()> {
     let path = folder.join(format!("{index:020}{SUFFIX}"));
     let draft = folder.join(format!("{index:020}.draft"));
@@ -132,10 +132,11 @@
     sync_folder(folder)
 }
 
-/// The newest intact snapshot, if there is any file at all.
+/// The newest intact snapshot, or `None` if there is no snapshot file.
 ///
 /// # Errors
-/// [`Error::NoSnapshot`] when files are there but none is intact.
+/// [`Error::NoSnapshot`] if there are snapshot files but none is intact, and
+/// [`Error::Version`] if one of another release's format comes before an intact one.
 pub fn newest<S>(folder: &Path) -> Result<Option<Snapshot<S>>>
 where
     S: Replicated,
@@ -161,7 +162,7 @@
 /// Keeps the `keep` newest snapshots and returns the index of the oldest kept.
 ///
 /// # Errors
-/// [`Error::Io`] when a file cannot be removed.
+/// [`Error::Io`] if a file cannot be removed.
 pub(crate) fn prune(folder: &Path, keep: usize) -> Result<Option<u64>> {
     let found = list(folder)?;
     let drop = found.len().saturating_sub(keep);
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -1,4 +1,4 @@
-//! One data folder: its lock, its identity, its log and its snapshots.
+//! A data folder: its lock, its identity, its log and its snapshots.
 
 use crate::command::Command;
 use crate::error::{Error, Result};
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Snapshots kept: the newest, and one before it in case the newest is damaged.
+/// Number of snapshots kept: the newest, and the previous one in case the newest is damaged.
 pub const SNAPSHOTS_KEPT: usize = 2;
 
 const LOCK: &str = "lock";
@@ -23,29 +23,29 @@
     _lock: File,
 }
 
-/// What was found in a data folder.
+/// The content that was recovered from a data folder.
 #[derive(Debug)]
 pub struct Recovered<S = StateMachine> {
-    /// This disk's identity, drawn at its first use.
+    /// Identity of the replica on this disk, drawn at the first use.
     pub replica: u64,
-    /// What the snapshot stands for.
+    /// Metadata of the snapshot.
     pub meta: Meta,
     /// The state in the snapshot.
     pub state: S,
-    /// The records after it, which may or may not be agreed on.
+    /// The records after the snapshot, which may not be committed yet.
     pub records: Vec<Record>,
-    /// The newest hard state.
+    /// The newest term and vote.
     pub hard: TermAndVote,
 }
 
 impl Store {
-    /// Opens or makes the data folder and recovers what is in it; `draw` is the
-    /// identity of the disk if this is its first use.
+    /// Opens or creates the data folder and recovers its content; `draw` is the
+    /// identity of the replica if this is the folder's first use.
     ///
     /// # Errors
-    /// [`Error::Locked`] when another daemon has it open; [`Error::Identity`]
-    /// when files are missing; the errors of [`Log::open`] and
-    /// [`snapshot::newest`] when files are damaged.
+    /// [`Error::Locked`] if another daemon has the folder open; [`Error::Identity`]
+    /// if files are missing; the errors of [`Log::open`] and [`snapshot::newest`]
+    /// if files are damaged.
     ///
     /// ```
     /// # use yuccalink_state::{Store, log::LogFrame};
@@ -59,10 +59,10 @@
         Self::open_as(folder, draw)
     }
 
-    /// As [`Store::open`], for any state.
+    /// Same as [`Store::open`], for any replicated state.
     ///
     /// # Errors
-    /// As [`Store::open`].
+    /// The same as of [`Store::open`].
     pub fn open_as<S>(folder: &Path, draw: u64) -> Result<(Self, Recovered<S>)>
     where
         S: Replicated,
@@ -80,7 +80,8 @@
         let used = meta.index > 0 || !records.is_empty() || hard != TermAndVote::default();
         let replica = match known {
             Some(replica) => replica,
-            // Without its name a used disk could be taken for one that never voted.
+            // Without its identity, a used disk could be mistaken for a new replica
+            // that never voted.
             None if used => return Err(Error::Identity(folder.display().to_string().into())),
             None => write_identity(folder, draw)?,
         };
@@ -88,11 +89,11 @@
         Ok((store, Recovered { replica, meta, state, records, hard }))
     }
 
-    /// Makes a data folder that begins with this snapshot, for a replica that
-    /// founds the system anew from it.
+    /// Creates a data folder with this state as its snapshot, for a replica that
+    /// bootstraps a new system from it.
     ///
     /// # Errors
-    /// [`Error::NotEmpty`] when the folder holds anything; then nothing is changed.
+    /// [`Error::NotEmpty`] if the folder is not empty; nothing is changed then.
     pub fn restore(folder: &Path, replica: u64, meta: &Meta, state: &StateMachine) -> Result<()> {
         fs::create_dir_all(folder).map_err(|e| Error::io("create", folder, e))?;
         let mut entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
@@ -104,17 +105,17 @@
         let mut log = Log::open(folder, meta.index, meta.term)?.log;
         let hard = TermAndVote { term: meta.term, vote: 0 };
         log.append(&LogFrame { hard, first: meta.index + 1, records: Vec::new() })?;
-        // The identity comes last: a folder without it is refused, so a restore
-        // that broke off is never taken for a whole one.
+        // The identity is written last. A folder without it is refused, so an
+        // interrupted restore is never mistaken for a complete one.
         write_identity(folder, replica)?;
         drop(lock);
         Ok(())
     }
 
-    /// Makes a frame durable with one sync.
+    /// Appends a frame to the log and makes it durable with one sync.
     ///
     /// # Errors
-    /// As [`Log::append`].
+    /// The same as of [`Log::append`].
     pub fn append(&mut self, frame: &LogFrame) -> Result<()> {
         self.log.append(frame)
     }
@@ -124,13 +125,13 @@
         self.log.last()
     }
 
-    /// Counts since opening.
+    /// Counters of the log since opening.
     pub fn counts(&self) -> LogCounters {
         self.log.counts()
     }
 
-    /// Writes an encoded snapshot of the state after record `index`, then
-    /// removes the segments and snapshots that it makes needless.
+    /// Writes an encoded snapshot of the state after record `index`, then removes
+    /// the log segments and snapshots that are no longer needed.
     ///
     /// # Errors
     /// [`Error::Io`]; the state on disk stays whole.
@@ -143,8 +144,8 @@
         Ok(())
     }
 
-    /// Puts a snapshot that came from the leader in place; the log follows with
-    /// the next frame.
+    /// Writes a snapshot that came from the leader; the log is replaced by the next
+    /// frame.
     ///
     /// # Errors
     /// [`Error::Io`]; the state on disk stays whole.
@@ -153,10 +154,10 @@
     }
 }
 
-/// Encodes a command for the log and the wire.
+/// Encodes a command for the log and for messages between replicas.
 ///
 /// # Errors
-/// [`Error::Decode`] when the codec refuses, which it has no cause to.
+/// [`Error::Decode`] if the codec fails, which is not expected for these types.
 ///
 /// ```
 /// # use yuccalink_state::{store, Command};
@@ -171,7 +172,7 @@
 /// Decodes a command.
 ///
 /// # Errors
-/// [`Error::Decode`] when the bytes are no command of this release.
+/// [`Error::Decode`] if the bytes are not a command of this release.
 pub fn decode(bytes: &[u8]) -> Result<Command> {
     postcard::from_bytes(bytes).map_err(|source| Error::Decode { what: "a command", source })
 }
--- a/crates/state/src/target.rs
+++ b/crates/state/src/target.rs
@@ -1,37 +1,37 @@
 //! Targets: runners, which answer requests, and workers, which run tasks. Both
-//! announce themselves; nothing of this system runs on them.
+//! announce themselves; no part of this system runs on them.
 
 use crate::id::{Incarnation, Name};
 use crate::worker::WorkerSpec;
 use serde::{Deserialize, Serialize};
 
-/// What a runner says of itself when it announces.
+/// A runner's description of itself in its announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RunnerSpec {
     /// Unique among all targets.
     pub name: Name,
-    /// This run of the runner's program.
+    /// Number of this run of the runner's process.
     pub incarnation: Incarnation,
     /// The service whose requests it answers.
     pub service: Name,
-    /// Where it takes requests, as `ip:port`.
+    /// Address that the runner takes requests on, as `ip:port`.
     pub address: Box<str>,
-    /// Requests it may be given at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections it accepts at once.
+    /// Maximum number of concurrent connections.
     pub connections: u32,
-    /// Its availability zone.
+    /// The runner's availability zone.
     pub zone: Name,
 }
 
-/// Either kind of target.
+/// The description of a target of either kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetSpec {
-    /// Answers requests.
+    /// A target that answers requests.
     Runner(RunnerSpec),
-    /// Runs tasks.
+    /// A target that runs tasks.
     Worker(WorkerSpec),
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The run of the target's program that announced.
+    /// Number of the run of the target's process that announced itself.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Self::Runner(spec) => spec.incarnation,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Where the target takes requests or orders.
+    /// Address that the target takes requests or orders on.
     pub fn address(&self) -> &str {
         match self {
             Self::Runner(spec) => &spec.address,
--- a/crates/state/src/task.rs
+++ b/crates/state/src/task.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
-    /// It ran to its end.
+    /// The task ran to its end.
     Finished,
-    /// It failed more often than allowed; the last reason.
+    /// The task failed too often; the reason is that of the last failure.
     Failed(Box<str>),
-    /// An operator cancelled it.
+    /// An operator cancelled the task.
     Cancelled,
 }
 
@@ -20,70 +20,71 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopReason {
-    /// An operator cancelled it.
+    /// An operator cancelled the task.
     Cancel,
-    /// It makes room; it will resume elsewhere.
+    /// The task frees resources for others and waits to be placed again.
     Evict,
 }
 
-/// Where a task is in its life.
+/// The phase of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskPhase {
-    /// Waits for a place.
+    /// The task waits to be placed.
     Waiting,
-    /// Committed to a worker, which has not yet said that it runs.
+    /// The task is placed on a worker, which has not yet reported its start.
     Placed(WorkerKey),
-    /// The worker said that it runs.
+    /// The worker reported that the task runs.
     Running(WorkerKey),
-    /// Ordered to stop; still counted on the worker until the worker says so.
+    /// The task was ordered to stop; its resources stay reserved until the worker
+    /// reports that it stopped.
     Stopping(WorkerKey, StopReason),
-    /// Over.
+    /// The task has ended.
     Ended(TaskOutcome),
 }
 
-/// The last state that a task saved.
+/// The newest checkpoint of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Checkpoint {
-    /// The epoch that saved it.
+    /// The epoch in which the checkpoint was saved.
     pub epoch: Epoch,
-    /// Work done up to it, in milliseconds of run time.
+    /// Work done up to the checkpoint, in milliseconds of run time.
     pub done_ms: u64,
 }
 
-/// A task's record.
+/// The record of a task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Task {
-    /// Its number.
+    /// The task's number.
     pub id: TaskId,
-    /// The service it belongs to.
+    /// The service that the task belongs to.
     pub service: ServiceKey,
-    /// Its kind within the service's document.
+    /// The task's kind in the service's document.
     pub kind: Name,
-    /// What is committed for it, fixed at submission.
+    /// Resources to reserve for the task, fixed at submission.
     pub need: Resources,
-    /// Urgent tasks are placed before all others.
+    /// Whether the task is placed before all that are not urgent.
     pub urgent: bool,
-    /// Given to the worker as it is.
+    /// Passed to the worker unchanged.
     pub payload: Box<str>,
-    /// Where it is in its life.
+    /// The task's phase.
     pub phase: TaskPhase,
-    /// Number of its last placement.
+    /// Number of the task's newest placement.
     pub epoch: Epoch,
-    /// Its last saved state.
+    /// The task's newest checkpoint.
     pub checkpoint: Option<Checkpoint>,
-    /// How often it was evicted.
+    /// Number of evictions.
     pub evictions: u32,
-    /// How often it failed.
+    /// Number of failures.
     pub failures: u32,
-    /// When it was submitted, in Unix milliseconds.
+    /// Time of the submission, in Unix milliseconds.
     pub submitted_ms: u64,
 }
 
 impl Task {
-    /// The worker that its resources are committed on, if any.
+    /// The worker on which the task's resources are reserved, if any.
     ///
     /// ```
     /// # use yuccalink_state::{Resources, task::*, id::*};
--- a/crates/state/src/worker.rs
+++ b/crates/state/src/worker.rs
@@ -1,25 +1,25 @@
-//! Workers as the replicated state knows them: capacity, place, and what is
-//! committed to tasks.
+//! Workers in the replicated state: their capacity, location and the resources
+//! that are reserved for tasks.
 
 use crate::id::{Incarnation, Name};
 use crate::resources::Resources;
 use serde::{Deserialize, Serialize};
 
-/// What a worker says of itself when it announces.
+/// A worker's description of itself in its announcement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct WorkerSpec {
     /// Unique among all targets.
     pub name: Name,
-    /// This run of the worker's program.
+    /// Number of this run of the worker's process.
     pub incarnation: Incarnation,
-    /// Where the worker takes orders, as `ip:port`.
+    /// Address that the worker takes orders on, as `ip:port`.
     pub address: Box<str>,
-    /// All that it has.
+    /// The worker's whole capacity.
     pub capacity: Resources,
-    /// Its rack.
+    /// The worker's rack.
     pub rack: Name,
-    /// Its availability zone.
+    /// The worker's availability zone.
     pub zone: Name,
 }
 
@@ -27,30 +27,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkerPhase {
-    /// Takes tasks.
+    /// The worker takes tasks.
     Live,
-    /// Finishes what it holds, takes nothing new.
+    /// The worker finishes the tasks that it has and takes no new ones.
     Leaving,
-    /// Its lease has surely ended; it holds nothing.
+    /// The worker's lease has expired for certain; it has no tasks.
     Gone,
 }
 
-/// A worker's record.
+/// The record of a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Worker {
-    /// What it announced.
+    /// The worker's announcement.
     pub spec: WorkerSpec,
     /// Whether it may be given tasks.
     pub phase: WorkerPhase,
-    /// Sum of the needs of all tasks placed on it.
+    /// Resources that are reserved for the tasks placed on the worker.
     pub committed: Resources,
-    /// How many tasks are placed on it.
+    /// Number of tasks placed on the worker.
     pub tasks: u32,
 }
 
 impl Worker {
-    /// What is not committed.
+    /// The worker's free capacity.
     ///
     /// ```
     /// # use yuccalink_state::{Resources, worker::*, id::*};
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The table of jobs: what each command may and may not change.
+//! Tests of the state of a job cell: what each command may and may not change.
 
 use proptest::prelude::*;
 use yuccalink_state::Resources;
@@ -119,7 +119,7 @@
 const SEEN: [LossEvidence; 3] =
     [LossEvidence::Nothing, LossEvidence::Ordered, LossEvidence::Working];
 
-/// Another life of the runner that life `of` is one of.
+/// Registers a later incarnation of the runner that incarnation `of` belongs to.
 fn reborn(jobs: &mut CellState, of: u32) -> IncarnationKey {
     let known = jobs.incarnation(IncarnationKey(of)).expect("a life").clone();
     let incarnation = RunnerIncarnation { started_ms: known.started_ms + 1, ..known };
@@ -129,7 +129,7 @@
     }
 }
 
-/// Crashes under a task were forgotten with each run.
+/// Guards against crashes under a task being forgotten when its next run starts.
 #[test]
 fn a_task_under_which_too_many_runners_crashed_fails_its_job() {
     for (seen, most) in
@@ -146,7 +146,8 @@
     }
 }
 
-/// Runs that failed between crashes let a task be started three times after the third.
+/// Guards against unlimited starts after the third crash: runs that ended otherwise than by a
+/// crash let a task be started a third time after it.
 #[test]
 fn runs_that_end_otherwise_after_three_crashes_are_bounded() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
@@ -162,7 +163,8 @@
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
 
-/// A lease that ended and the next life after it were two marks for one crash.
+/// Guards against counting a crash twice: once for the expired lease, and again for the
+/// runner's next incarnation.
 #[test]
 fn one_crash_counts_once_however_it_is_learnt() {
     for seen in SEEN {
@@ -180,7 +182,8 @@
     }
 }
 
-/// News of three crashed runners that came after the task was started elsewhere was lost.
+/// Guards against the loss of crashes that become known only after the task was started
+/// elsewhere.
 #[test]
 fn late_news_of_crashed_runners_counts_against_the_task() {
     let mut jobs = table(vec![step(1)]);
@@ -195,7 +198,7 @@
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
 
-/// Tasks on runners that were cut off, and reported again, were taken for guilty.
+/// Guards against suspecting tasks whose runners were only partitioned and report again.
 #[test]
 fn a_runner_that_reports_again_is_no_mark() {
     let mut jobs = table(vec![step(1)]);
@@ -208,7 +211,7 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-/// A task that lasts and loses a runner now and then would be given up in the end.
+/// Guards against failing a long-running task that loses a runner from time to time.
 #[test]
 fn a_long_run_clears_a_task_of_what_was_before() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
@@ -220,7 +223,7 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-/// Runners that are never heard of again left no bound on the starts of a task.
+/// Guards against unlimited starts of a task whose runners are lost and never report again.
 #[test]
 fn runners_that_never_return_bound_the_starts_as_well() {
     let mut jobs = table(vec![step(1)]);
@@ -238,7 +241,7 @@
     assert_eq!(starts, 5);
 }
 
-/// A state written before losses were kept could not be read.
+/// Guards against failing to read a state of an earlier release, which has no losses.
 #[test]
 fn a_state_without_losses_is_read_as_one_with_none() {
     let jobs = table(vec![step(1)]);
@@ -251,7 +254,7 @@
     assert_eq!(back.state, jobs);
 }
 
-/// A long-running task fails as often as it likes; it is started again.
+/// A long-running task is started again however often it fails.
 #[test]
 fn long_running_tasks_never_fail_their_job() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
@@ -306,7 +309,7 @@
     assert!(jobs.job(JobId(1)).is_none());
 }
 
-/// The same number is the same job, whatever the resend says.
+/// A submission with a known job number is a resend, whatever else it contains.
 #[test]
 fn a_resent_submission_adds_nothing() {
     let mut jobs = table(vec![step(1)]);
@@ -320,8 +323,8 @@
     assert_eq!(&*jobs.job(JobId(1)).expect("it").spec.payload, "p");
 }
 
-/// Of two texts with one version the first committed stays; a lower one never
-/// comes back.
+/// Of two texts with the same version, the first committed one stays; a lower version
+/// never replaces a higher one.
 #[test]
 fn the_highest_version_stays_in_force() {
     let mut jobs = CellState::new();
@@ -360,7 +363,7 @@
 }
 
 proptest! {
-    /// Whatever happened, a snapshot brings back the same state, derived parts too.
+    /// After any history, a snapshot restores the same state, including the indexes.
     #[test]
     fn a_snapshot_brings_everything_back(moves in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
         let mut jobs = table(vec![step(2), StepSpec { depends_on: vec![0], ..step(2) }]);
@@ -393,7 +396,7 @@
     #[test]
     fn other_texts_are_no_names_of_tasks(text in "[0-9a-fA-F.]{0,30}") {
         if let Some(key) = TaskKey::parse(&text) {
-            // Only leading zeros may differ.
+            // Accepted texts may differ from the printed form in leading zeros.
             prop_assert_eq!(TaskKey::parse(&key.to_string()), Some(key));
         }
     }
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log against torn writes, damage, gaps and restarts.
+//! Tests of the log with torn writes, damage, gaps and restarts.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -44,9 +44,9 @@
 
 const BATCHES: [&[&[u8]]; 3] = [&[b"one", b"two"], &[b"three"], &[b"four", b"five", b"six"]];
 
-/// The machine loses power while a batch is written. The caller was told nothing
-/// of it; whatever part of it reached the disk, every earlier batch is there and
-/// the log takes new records. Cause: a write is not atomic.
+/// A power failure during a write leaves any part of the batch on the disk, since a
+/// write is not atomic. The batch was not acknowledged; all earlier batches must
+/// survive, and the log must accept new records.
 #[test]
 fn a_torn_tail_is_cut_off_at_any_byte() {
     let whole = tempfile::tempdir().expect("a folder");
@@ -70,9 +70,9 @@
     append(&mut log, batch).expect("an append");
 }
 
-/// A disk returns wrong bytes in the middle of the log. Were the rest cut off as
-/// a torn tail, acknowledged changes would be lost without a word; the log says
-/// where the damage is, and changes nothing. Cause: bit rot, or an operator's edit.
+/// Bit rot or an operator's edit damages the middle of the log. Cutting it off as a
+/// torn tail would silently lose acknowledged changes, so the log must report the
+/// damage and leave the file unchanged.
 #[test]
 fn a_damaged_middle_is_refused_and_left_alone() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -90,8 +90,8 @@
     }
 }
 
-/// A whole segment file is missing. The log must not go on as if its records had
-/// never been. Cause: an operator removed the wrong file.
+/// An operator removed the wrong segment file. The log must not open as if its
+/// records had never existed.
 #[test]
 fn a_missing_segment_is_refused() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -115,8 +115,8 @@
     assert_eq!((log.counts().syncs, log.counts().records), (1, 10_000));
 }
 
-/// A new leader replaces records that were never agreed on. After a restart only
-/// its own are there; were the old ones to come back, two replicas would differ.
+/// A new leader replaces uncommitted records. If the old ones came back after a
+/// restart, two replicas would differ.
 #[test]
 fn records_that_were_replaced_stay_replaced() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -135,9 +135,9 @@
     assert_eq!(opened.hard, TermAndVote { term: 9, vote: 4 });
 }
 
-/// A replica took over the leader's snapshot while its log held a branch that was
-/// given up, and crashed before the log was cut. Nothing of the branch may be
-/// taken for what follows the snapshot.
+/// A replica installed the leader's snapshot while its log had conflicting records,
+/// and crashed before the log was replaced. None of these records may be read as
+/// following the snapshot.
 #[test]
 fn a_branch_that_a_snapshot_overtook_is_dropped() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -187,8 +187,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever bytes are damaged, what is recovered is a prefix of what was
-    /// written, or nothing at all with an error: never anything else.
+    /// Whatever bytes are damaged, opening the log fails or recovers a prefix of the
+    /// written records.
     #[test]
     fn damage_never_makes_up_records(
         sizes in proptest::collection::vec(0usize..40, 1..12),
--- a/crates/state/tests/machine.rs
+++ b/crates/state/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: races of operators, placements, evictions, the ledger.
+//! Tests of the state machine: concurrent operators, placements, evictions, the ledger.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -89,8 +89,8 @@
     state.task(TaskId(task)).expect("a task").phase.clone()
 }
 
-/// Two operators apply different texts with the same version number at the same
-/// moment. Exactly one is in force, and the other is told who won.
+/// Two operators apply different texts with the same version at the same time.
+/// Exactly one may come into force, and the other operator must be told who won.
 #[test]
 fn of_two_texts_with_one_version_the_first_wins() {
     let mut state = StateMachine::new();
@@ -102,8 +102,8 @@
     assert_eq!(&*state.service(&name("s")).expect("a service").accepted.text, "a");
 }
 
-/// An operator loses the answer and sends the change again, after others have
-/// applied hundreds more. It gets its first answer, and nothing reverts.
+/// An operator misses the answer and resends the change after others have applied
+/// hundreds more. The resend must get the first answer and revert nothing.
 #[test]
 fn a_resend_gets_its_first_answer_and_reverts_nothing() {
     let mut state = state((1..=300).map(|v| apply(v, &v.to_string(), "anna")));
@@ -123,8 +123,8 @@
     assert_eq!(state.tasks().count(), 3);
 }
 
-/// Two placements planned from the same old state name one worker. The second
-/// would commit it beyond what it has, and is dropped.
+/// Two placements that were planned from the same older state name the same worker.
+/// The second would exceed the worker's capacity and must be dropped.
 #[test]
 fn a_placement_beyond_capacity_is_dropped() {
     let mut state = state([apply(1, "a", "a"), submit("large", 2), worker("w", 1)]);
@@ -133,8 +133,8 @@
     assert_eq!(phase(&state, 2), TaskPhase::Waiting);
 }
 
-/// A worker that was cut off reports the end of a task that was placed again
-/// elsewhere since. The late word must not end or free the new placement.
+/// A partitioned worker reports the end of a task that has since been placed on
+/// another worker. The late report must not end or free the new placement.
 #[test]
 fn a_late_report_of_an_old_epoch_changes_nothing() {
     let mut state = state([
@@ -174,7 +174,7 @@
     assert_eq!(state.task(TaskId(1)).expect("a task").epoch, Epoch(2));
 }
 
-/// "Not run" is only said of a task that never was on a worker.
+/// A cancelled task may be reported as "not run" only if it was never on a worker.
 #[test]
 fn a_cancelled_task_is_called_not_run_only_if_it_never_ran() {
     let mut state = state([apply(1, "a", "a"), submit("small", 2), worker("w", 1), place(1, 0)]);
@@ -220,8 +220,8 @@
     StoredResponse { status: 200, headers: [].into(), body: vec![7; size].into() }
 }
 
-/// A caller resends an invoice through another entry while the first is under
-/// way, after it was answered, and after its answer was lost. It runs once.
+/// A caller resends a request through another entry VM while the first is running,
+/// after it was answered, and after its answer was lost. It must run only once.
 #[test]
 fn a_request_with_a_key_is_let_go_once() {
     let mut state = StateMachine::new();
@@ -242,9 +242,9 @@
     assert_eq!(state.apply(begin("a", 2, 10)), Outcome::Request(Verdict::Go));
 }
 
-/// A request is under way at one entry. Its caller sends it again through another,
-/// whose asking the leader comes to nothing; that entry knows that it sent nothing
-/// and says so. Were the key freed by that word, the third sending would run again.
+/// A request is running through one entry VM, and its caller resends it through
+/// another, which cannot reach the leader and records its own attempt as "not run".
+/// If that freed the key, a third attempt would run the request again.
 #[test]
 fn one_attempts_end_does_not_free_anothers_key() {
     let mut state = state([begin("a", 1, 0)]);
@@ -265,8 +265,8 @@
     assert_eq!(outcome, Outcome::Request(Verdict::KeyReused));
 }
 
-/// Callers send keys faster than they age. The ledger refuses new ones as "not
-/// run" before one that ran could find no room for its answer.
+/// Callers send new keys faster than old ones expire. The ledger must refuse new
+/// requests before it has too little space to keep the response of one that ran.
 #[test]
 fn a_full_ledger_refuses_before_it_loses_an_answer() {
     let mut state = StateMachine::new();
@@ -321,9 +321,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever commands come in whatever order: no worker is committed beyond
-    /// what it has, sums match the tasks, epochs and revisions never go back, and
-    /// a snapshot brings back the same state.
+    /// After any sequence of commands, no worker's capacity is exceeded, reserved
+    /// sums match the tasks, epochs and revisions never decrease, and a snapshot
+    /// restores the same state.
     #[test]
     fn any_history_keeps_the_sums(commands in proptest::collection::vec(any_command(), 0..120)) {
         let mut state = StateMachine::new();
--- a/crates/state/tests/store.rs
+++ b/crates/state/tests/store.rs
@@ -1,4 +1,4 @@
-//! One data folder through crashes, compaction and damage.
+//! Tests of a data folder with crashes, compaction and damage.
 
 use std::fs;
 use std::path::Path;
@@ -74,7 +74,7 @@
 }
 
 /// The daemon is killed after hundreds of changes, with and without snapshots in
-/// between. After a restart the state is what was acknowledged, to the last one.
+/// between. After a restart no acknowledged change may be missing.
 #[test]
 fn a_restart_brings_back_every_change() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -95,8 +95,9 @@
     assert!(replayed <= 3 * 80, "replayed {replayed} records");
 }
 
-/// The newest snapshot is damaged. The one before it and the log after it still
-/// hold everything; were the log cut at the newest one, changes would be lost.
+/// The newest snapshot is damaged. The previous one and the log after it must still
+/// contain everything; if the log were compacted up to the newest snapshot, changes
+/// would be lost.
 #[test]
 fn a_damaged_snapshot_falls_back_to_the_one_before() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -119,8 +120,8 @@
     assert_eq!(found, state);
 }
 
-/// Two daemons are started on one data folder by mistake. The second must not
-/// touch it: two writers would tear the log.
+/// Two daemons are started on the same data folder by mistake. The second must be
+/// refused, since two writers would corrupt the log.
 #[test]
 fn a_second_daemon_is_kept_out() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -131,8 +132,8 @@
     open(folder.path());
 }
 
-/// A crash leaves a half-written snapshot under its draft name. It is not taken
-/// for a snapshot.
+/// A crash leaves a half-written snapshot under its temporary name. It must not be
+/// read as a snapshot.
 #[test]
 fn a_draft_is_no_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -145,9 +146,9 @@
     assert_eq!(found, state);
 }
 
-/// An operator removes the log but not the `replica` file, or the other way round.
-/// A disk that kept its name but forgot its votes could vote twice, so the folder
-/// is refused as it is; emptied whole it is a new replica.
+/// An operator removes the log but not the `replica` file, or the reverse. A replica
+/// that keeps its identity but loses its votes could vote twice, so the folder must
+/// be refused. An empty folder becomes a new replica.
 #[test]
 fn a_folder_with_parts_missing_is_refused() {
     for missing in ["replica", "log"] {
