--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -50,7 +50,7 @@
     pub depends_on: Vec<u16>,
     /// The tasks resume from checkpoints.
     pub checkpointing: bool,
-    /// The tasks form a gang: all run together or none does.
+    /// The tasks form a gang, so all run together or none does.
     pub gang: bool,
     /// The tasks run slower when they are spread over several racks.
     pub rack_affinity: bool,
