--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -9,10 +9,10 @@
 /// An error of files or encodings.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// cannot {doing} {path}: {source}; check that the data folder exists, is writable and has free space
+    /// cannot {operation} {path}: {source}; check that the data folder exists, is writable and has free space
     Io {
         /// The operation that failed, as a verb.
-        doing: &'static str,
+        operation: &'static str,
         /// The file or folder.
         path: Box<str>,
         /// The system's error.
@@ -76,7 +76,7 @@
 }
 
 impl Error {
-    pub(crate) fn io(doing: &'static str, path: &Path, source: io::Error) -> Self {
-        Self::Io { doing, path: path.display().to_string().into(), source }
+    pub(crate) fn io(operation: &'static str, path: &Path, source: io::Error) -> Self {
+        Self::Io { operation, path: path.display().to_string().into(), source }
     }
 }
--- a/crates/state/src/jobs/loss.rs
+++ b/crates/state/src/jobs/loss.rs
@@ -15,9 +15,9 @@
 /// Crashes of runners under a task at which its job fails, whatever was reported of its runs.
 pub const CRASHES_MAX: usize = 4;
 /// Crashes after which the number of further runs of a task is limited.
-const CRASHES_BORNE: usize = 3;
+const CRASHES_BEFORE_RUN_LIMIT: usize = 3;
 /// Runs of a task after its third crash, however they end, at which its job fails.
-pub const RUNS_AFTER_MAX: u32 = 2;
+pub const RUNS_AFTER_THIRD_CRASH_MAX: u32 = 2;
 /// Runners lost under a task at which its job fails, whether or not they are known to have
 /// crashed.
 pub const LOSSES_MAX: usize = 5;
@@ -141,13 +141,15 @@
 
     /// Whether a task has lost too many runners to be started again; `last_run` is the
     /// number of its newest run.
-    pub(crate) fn are_too_many(&self, task: TaskKey, last_run: u32) -> bool {
+    pub(crate) fn exceed_limit(&self, task: TaskKey, last_run: u32) -> bool {
         let losses = self.of(task);
-        let third =
-            losses.iter().filter(|loss| loss.fate == RunnerFate::Crashed).nth(CRASHES_BORNE - 1);
+        let third_crash = losses
+            .iter()
+            .filter(|loss| loss.fate == RunnerFate::Crashed)
+            .nth(CRASHES_BEFORE_RUN_LIMIT - 1);
         self.crashes(task).reach_bound_with(0)
             || losses.len() >= LOSSES_MAX
-            || third.is_some_and(|third| last_run >= third.run + RUNS_AFTER_MAX)
+            || third_crash.is_some_and(|loss| last_run >= loss.run + RUNS_AFTER_THIRD_CRASH_MAX)
     }
 
     /// Whether a runner incarnation has losses and is not known to have crashed.
@@ -183,7 +185,7 @@
     }
 
     /// Marks lost runner incarnations as crashed and returns the tasks with losses on them.
-    pub(crate) fn crashed(&mut self, incarnations: &BTreeSet<IncarnationKey>) -> Vec<TaskKey> {
+    pub(crate) fn mark_crashed(&mut self, incarnations: &BTreeSet<IncarnationKey>) -> Vec<TaskKey> {
         let mut tasks = Vec::new();
         for (task, losses) in &mut self.by_task {
             for loss in losses {
@@ -197,7 +199,7 @@
     }
 
     /// Removes the losses on a runner incarnation that was only partitioned.
-    pub(crate) fn alive(&mut self, incarnation: IncarnationKey) {
+    pub(crate) fn remove_unconfirmed(&mut self, incarnation: IncarnationKey) {
         for losses in self.by_task.values_mut() {
             losses
                 .retain(|loss| loss.incarnation != incarnation || loss.fate != RunnerFate::Unknown);
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -119,8 +119,8 @@
             if step.count == 0 || step.count > TASKS_MAX {
                 return Err(BadJob::Tasks(at, step.count));
             }
-            if let Some(wrong) = step.depends_on.iter().find(|after| usize::from(**after) >= at) {
-                return Err(BadJob::Order(at, *wrong));
+            if let Some(later) = step.depends_on.iter().find(|step| usize::from(**step) >= at) {
+                return Err(BadJob::Order(at, *later));
             }
         }
         Ok(())
--- a/crates/state/src/jobs/table.rs
+++ b/crates/state/src/jobs/table.rs
@@ -165,12 +165,12 @@
     /// ```
     pub fn exceeds_loss_limit(&self, key: TaskKey) -> bool {
         let last_run = self.task(key).map_or(0, |task| task.last_run);
-        self.losses.are_too_many(key, last_run)
+        self.losses.exceed_limit(key, last_run)
     }
 
     /// Whether a run is assigned to a runner incarnation and may still be running there.
     pub fn is_assigned(&self, key: IncarnationKey, task: TaskKey, run: u32) -> bool {
-        self.assigned_runs.get(key.0 as usize).is_some_and(|held| held.get(&task) == Some(&run))
+        self.assigned_runs.get(key.0 as usize).is_some_and(|runs| runs.get(&task) == Some(&run))
     }
 
     /// Applies `command` and returns its outcome.
@@ -181,10 +181,10 @@
     /// ```
     pub fn apply(&mut self, command: JobCommand) -> JobOutcome {
         match command {
-            JobCommand::Change(change) => JobOutcome::Changed(self.put(change)),
-            JobCommand::Submit(submit) => JobOutcome::Accepted { new: self.submit(*submit) },
+            JobCommand::Change(change) => JobOutcome::Changed(self.set_change_set(change)),
+            JobCommand::Submit(job) => JobOutcome::Accepted { new: self.submit(*job) },
             JobCommand::Cancel { id, at_ms } => JobOutcome::Cancelled(self.cancel(id, at_ms)),
-            JobCommand::Meet(incarnation) => JobOutcome::Met(self.meet(incarnation)),
+            JobCommand::Meet(incarnation) => JobOutcome::Met(self.register(incarnation)),
             JobCommand::End { ends, at_ms } => {
                 for end in ends {
                     self.end(&end, at_ms);
@@ -221,7 +221,7 @@
                 JobOutcome::Done
             }
             JobCommand::Alive(incarnation) => {
-                self.losses.alive(incarnation);
+                self.losses.remove_unconfirmed(incarnation);
                 JobOutcome::Done
             }
         }
@@ -254,7 +254,7 @@
         }
     }
 
-    fn put(&mut self, change: Box<ChangeSet>) -> bool {
+    fn set_change_set(&mut self, change: Box<ChangeSet>) -> bool {
         // An equal version is a resend, or a different text that came later: the
         // first one committed stays.
         if self.change_set.as_ref().is_some_and(|current| current.version >= change.version) {
@@ -264,8 +264,8 @@
         true
     }
 
-    fn submit(&mut self, submit: JobSubmission) -> bool {
-        let JobSubmission { id, queue, pool, attempts, at_ms, spec } = submit;
+    fn submit(&mut self, submission: JobSubmission) -> bool {
+        let JobSubmission { id, queue, pool, attempts, at_ms, spec } = submission;
         if self.jobs.contains_key(&id) {
             return false;
         }
@@ -282,7 +282,7 @@
             finished: 0,
         };
         if job.spec.schedule.is_none() {
-            job.open(1);
+            job.open_occurrences(1);
         }
         self.jobs.insert(id, job);
         true
@@ -297,16 +297,16 @@
         true
     }
 
-    fn meet(&mut self, incarnation: RunnerIncarnation) -> IncarnationKey {
+    fn register(&mut self, incarnation: RunnerIncarnation) -> IncarnationKey {
         let same = |known: &RunnerIncarnation| {
             known.id == incarnation.id && known.started_ms == incarnation.started_ms
         };
         if let Some(at) = self.incarnations.iter().position(same) {
             return incarnation_key(at);
         }
-        let over = self.ended_by(&incarnation);
-        for task in self.losses.crashed(&over) {
-            self.give_up(task);
+        let crashed = self.crashed_before(&incarnation);
+        for task in self.losses.mark_crashed(&crashed) {
+            self.fail_if_over_loss_limit(task);
         }
         self.incarnations.push(incarnation);
         self.assigned_runs.push(BTreeMap::new());
@@ -315,18 +315,18 @@
 
     /// Lost runner incarnations that are now known to have crashed: older ones with the same
     /// name or the same address as `newer`.
-    fn ended_by(&self, newer: &RunnerIncarnation) -> BTreeSet<IncarnationKey> {
-        let over = |incarnation: &RunnerIncarnation| {
+    fn crashed_before(&self, newer: &RunnerIncarnation) -> BTreeSet<IncarnationKey> {
+        let has_ended = |incarnation: &RunnerIncarnation| {
             incarnation.started_ms < newer.started_ms
                 && (incarnation.id == newer.id || incarnation.address == newer.address)
         };
         let mut incarnations = self.losses.unknown();
-        incarnations.retain(|key| self.incarnation(*key).is_some_and(over));
+        incarnations.retain(|key| self.incarnation(*key).is_some_and(has_ended));
         incarnations
     }
 
     /// Fails the job of a task if the task has lost too many runners.
-    fn give_up(&mut self, task: TaskKey) {
+    fn fail_if_over_loss_limit(&mut self, task: TaskKey) {
         if !self.exceeds_loss_limit(task) {
             return;
         }
@@ -346,7 +346,7 @@
         if job.phase != JobPhase::Active || key.occurrence >= job.spec.occurrences() {
             return false;
         }
-        job.open(key.occurrence + 1);
+        job.open_occurrences(key.occurrence + 1);
         if !job.may_run(key.occurrence, key.step) {
             return false;
         }
@@ -357,9 +357,9 @@
             job.share_checkpoint(key);
         }
         let Some(task) = job.task_mut(key) else { return false };
-        let twice_here =
+        let already_here =
             task.assignments.iter().any(|assignment| assignment.incarnation == incarnation);
-        if task.done || run <= task.last_run || task.assignments.len() >= copies || twice_here {
+        if task.done || run <= task.last_run || task.assignments.len() >= copies || already_here {
             return false;
         }
         task.last_run = run;
@@ -372,7 +372,7 @@
     fn end(&mut self, end: &RunEnd, at_ms: u64) {
         let Some(job) = self.jobs.get_mut(&end.task.job) else { return };
         let Some(spec) = job.spec.steps.get(usize::from(end.task.step)) else { return };
-        let (lasts, gang) = (spec.long_running, spec.gang);
+        let (long_running, gang) = (spec.long_running, spec.gang);
         let attempts = job.attempts;
         let Some(task) = job.task_mut(end.task) else { return };
         let ended = RunAssignment { run: end.run, incarnation: end.incarnation };
@@ -390,15 +390,15 @@
                 task.failed_on.push(end.incarnation);
             }
             let failures = if gang { job.failures_of_step(end.task) } else { task.failures };
-            failed = !lasts && failures >= attempts;
+            failed = !long_running && failures >= attempts;
         }
-        if let Some(held) = self.assigned_runs.get_mut(end.incarnation.0 as usize) {
-            held.remove(&end.task);
+        if let Some(runs) = self.assigned_runs.get_mut(end.incarnation.0 as usize) {
+            runs.remove(&end.task);
         }
         if job.phase != JobPhase::Active {
             return;
         }
-        if end.outcome == RunOutcome::Done && !lasts {
+        if end.outcome == RunOutcome::Done && !long_running {
             job.mark_done(end.task, gang, at_ms);
             self.losses.remove(end.task);
         } else if failed {
@@ -407,7 +407,7 @@
         if let Some(loss) = loss_of(end, at_ms) {
             self.losses.add(end.task, loss);
         }
-        self.give_up(end.task);
+        self.fail_if_over_loss_limit(end.task);
     }
 
     fn forget(&mut self, id: JobId) {
@@ -420,25 +420,25 @@
         }
     }
 
-    /// Up to `most` jobs that ended before `before_ms`. [`JobCommand::Forget`] removes those
+    /// Up to `limit` jobs that ended before `before_ms`. [`JobCommand::Forget`] removes those
     /// without runs that may still be running.
-    pub fn forgettable(&self, before_ms: u64, most: usize) -> Vec<JobId> {
+    pub fn forgettable(&self, before_ms: u64, limit: usize) -> Vec<JobId> {
         let old = |job: &Job| job.phase != JobPhase::Active && job.ended_ms < before_ms;
-        self.jobs.iter().filter(|(_, job)| old(job)).map(|(id, _)| *id).take(most).collect()
+        self.jobs.iter().filter(|(_, job)| old(job)).map(|(id, _)| *id).take(limit).collect()
     }
 
     /// Runner incarnations with runs that may still be running.
     pub fn incarnations_with_runs(&self) -> BTreeSet<IncarnationKey> {
-        let any = |(at, held): (usize, &BTreeMap<TaskKey, u32>)| {
-            (!held.is_empty()).then(|| incarnation_key(at))
+        let with_runs = |(at, runs): (usize, &BTreeMap<TaskKey, u32>)| {
+            (!runs.is_empty()).then(|| incarnation_key(at))
         };
-        self.assigned_runs.iter().enumerate().filter_map(any).collect()
+        self.assigned_runs.iter().enumerate().filter_map(with_runs).collect()
     }
 }
 
 impl Job {
     /// Opens the first `count` occurrences: adds their steps and tasks.
-    fn open(&mut self, count: u32) {
+    fn open_occurrences(&mut self, count: u32) {
         while self.occurrences.len() < count as usize {
             let steps = self.spec.steps.iter().map(|spec| Step {
                 left: spec.count,
@@ -460,11 +460,11 @@
     /// let one = StepSpec { count: 1, ..StepSpec::default() };
     /// let two = StepSpec { count: 1, depends_on: vec![0], ..StepSpec::default() };
     /// let spec = JobSpec { steps: vec![one, two], ..JobSpec::default() };
-    /// let submit = JobSubmission {
+    /// let submission = JobSubmission {
     ///     id: JobId(1), queue: "q".into(), pool: "p".into(), attempts: 2, at_ms: 0, spec,
     /// };
     /// let mut jobs = CellState::new();
-    /// jobs.apply(JobCommand::Submit(Box::new(submit)));
+    /// jobs.apply(JobCommand::Submit(Box::new(submission)));
     /// let job = jobs.job(JobId(1)).unwrap();
     /// assert!(job.may_run(0, 0) && !job.may_run(0, 1));
     /// ```
@@ -473,7 +473,7 @@
         let Some(found) = self.occurrences.get(occurrence as usize) else {
             return spec.depends_on.is_empty();
         };
-        let done = |after: &u16| found.steps.get(usize::from(*after)).is_some_and(|s| s.left == 0);
+        let done = |step: &u16| found.steps.get(usize::from(*step)).is_some_and(|s| s.left == 0);
         spec.depends_on.iter().all(done)
     }
 
@@ -503,9 +503,9 @@
         let Some(occurrence) = self.occurrences.get_mut(key.occurrence as usize) else { return };
         let Some(step) = occurrence.steps.get_mut(usize::from(key.step)) else { return };
         // When one member of a gang is done, the whole gang is done.
-        let through = if gang { step.tasks.len() } else { 0 };
+        let gang_len = if gang { step.tasks.len() } else { 0 };
         for (at, task) in step.tasks.iter_mut().enumerate() {
-            if (at < through || at == usize::from(key.index)) && !task.done {
+            if (at < gang_len || at == usize::from(key.index)) && !task.done {
                 task.done = true;
                 step.left -= 1;
             }
@@ -526,9 +526,9 @@
 
 /// The loss that a run's end stands for, if its runner was lost.
 fn loss_of(end: &RunEnd, at_ms: u64) -> Option<Loss> {
-    let (seen, fate): (LossEvidence, RunnerFate) = match end.outcome {
-        RunOutcome::Crashed(seen) => (seen, RunnerFate::Crashed),
-        RunOutcome::Silent(seen) => (seen, RunnerFate::Unknown),
+    let (evidence, fate): (LossEvidence, RunnerFate) = match end.outcome {
+        RunOutcome::Crashed(evidence) => (evidence, RunnerFate::Crashed),
+        RunOutcome::Silent(evidence) => (evidence, RunnerFate::Unknown),
         RunOutcome::Done
         | RunOutcome::Failed
         | RunOutcome::Stopped
@@ -538,10 +538,10 @@
         | RunOutcome::Refused
         | RunOutcome::Gone => return None,
     };
-    Some(Loss { run: end.run, incarnation: end.incarnation, evidence: seen, fate, at_ms })
+    Some(Loss { run: end.run, incarnation: end.incarnation, evidence, fate, at_ms })
 }
 
-fn collect_assignments(id: JobId, job: &Job, into: &mut Vec<(TaskKey, RunAssignment)>) {
+fn collect_assignments(id: JobId, job: &Job, found: &mut Vec<(TaskKey, RunAssignment)>) {
     for (k, occurrence) in job.occurrences.iter().enumerate() {
         for (s, step) in occurrence.steps.iter().enumerate() {
             for (i, task) in step.tasks.iter().enumerate() {
@@ -551,7 +551,7 @@
                     step: u16::try_from(s).unwrap_or(u16::MAX),
                     index: u16::try_from(i).unwrap_or(u16::MAX),
                 };
-                into.extend(task.assignments.iter().map(|assignment| (key, *assignment)));
+                found.extend(task.assignments.iter().map(|assignment| (key, *assignment)));
             }
         }
     }
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time after its start for which a request is kept, in milliseconds: one day.
-pub const KEEP_MS: u64 = 24 * 60 * 60 * 1000;
+pub const RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 /// Maximum size of all entries, in bytes.
-pub const KEEP_BYTES: usize = 64 * 1024 * 1024;
+pub const RETAINED_BYTES_MAX: usize = 64 * 1024 * 1024;
 /// Maximum size of a response body that is kept, in bytes.
 pub const ANSWER_MAX: usize = 256 * 1024;
 /// Bytes that are counted for an entry in addition to its key and response.
@@ -47,7 +47,7 @@
 
 /// The recorded status of a request that was allowed to run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum RequestStatus {
     /// The request is running, at the latest until `until_ms`; later its outcome is unknown.
     Running {
         /// Latest end of the request, in Unix milliseconds.
@@ -94,15 +94,16 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Entry {
+struct LedgerEntry {
     digest: Digest,
     attempt: u64,
-    fate: Fate,
+    #[serde(rename = "fate")]
+    status: RequestStatus,
     serial: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Begun {
+struct StartedRequest {
     serial: u64,
     at_ms: u64,
     key: RequestKey,
@@ -111,26 +112,28 @@
 /// The table of recorded requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    entries: BTreeMap<RequestKey, Entry>,
-    by_age: VecDeque<Begun>,
+    entries: BTreeMap<RequestKey, LedgerEntry>,
+    by_age: VecDeque<StartedRequest>,
     bytes: usize,
     serial: u64,
 }
 
-fn size(key: &RequestKey, fate: &Fate) -> usize {
-    let answer = match fate {
-        Fate::Answered(answer) => {
+fn entry_size(key: &RequestKey, status: &RequestStatus) -> usize {
+    let response_size = match status {
+        RequestStatus::Answered(response) => {
             let headers: usize =
-                answer.headers.iter().map(|h| h.name.len() + h.value.len() + 32).sum();
-            answer.body.len() + headers
+                response.headers.iter().map(|h| h.name.len() + h.value.len() + 32).sum();
+            response.body.len() + headers
         }
-        Fate::Running { .. } | Fate::AnsweredTooLarge | Fate::Unknown => 0,
+        RequestStatus::Running { .. }
+        | RequestStatus::AnsweredTooLarge
+        | RequestStatus::Unknown => 0,
     };
-    ENTRY_OVERHEAD + 2 * (key.key.len() + key.service.as_str().len()) + answer
+    ENTRY_OVERHEAD + 2 * (key.key.len() + key.service.as_str().len()) + response_size
 }
 
 impl Ledger {
-    /// Size of all entries in bytes, as counted against [`KEEP_BYTES`].
+    /// Size of all entries in bytes, as counted against [`RETAINED_BYTES_MAX`].
     ///
     /// ```
     /// assert_eq!(yuccalink_state::ledger::Ledger::default().bytes(), 0);
@@ -162,22 +165,22 @@
     pub(crate) fn begin(&mut self, begin: &RequestBegin) -> Verdict {
         let RequestBegin { key, digest, attempt, at_ms: now_ms, until_ms } = begin;
         let (digest, attempt, now_ms, until_ms) = (*digest, *attempt, *now_ms, *until_ms);
-        self.forget_old(now_ms);
+        self.remove_expired(now_ms);
         if let Some(entry) = self.entries.get(key) {
             return entry.verdict(digest, attempt, now_ms);
         }
-        let fate = Fate::Running { until_ms };
+        let status = RequestStatus::Running { until_ms };
         // Reserves space for the largest response, so that the ledger is never too
         // full to keep the response of a request that ran.
-        let cost = size(key, &fate);
-        if self.bytes + cost + ANSWER_MAX > KEEP_BYTES {
+        let cost = entry_size(key, &status);
+        if self.bytes + cost + ANSWER_MAX > RETAINED_BYTES_MAX {
             return Verdict::Full;
         }
         self.serial += 1;
         self.bytes += cost;
         let serial = self.serial;
-        self.by_age.push_back(Begun { serial, at_ms: now_ms, key: key.clone() });
-        self.entries.insert(key.clone(), Entry { digest, attempt, fate, serial });
+        self.by_age.push_back(StartedRequest { serial, at_ms: now_ms, key: key.clone() });
+        self.entries.insert(key.clone(), LedgerEntry { digest, attempt, status, serial });
         Verdict::Go
     }
 
@@ -187,55 +190,55 @@
         // A resend through another entry VM that was not sent ends as "not run", which
         // is true of its own attempt only. Freeing the key while the first attempt is
         // running would let the request run twice.
-        if entry.attempt != attempt || !matches!(entry.fate, Fate::Running { .. }) {
+        if entry.attempt != attempt || !matches!(entry.status, RequestStatus::Running { .. }) {
             return;
         }
-        let before = size(key, &entry.fate);
+        let before = entry_size(key, &entry.status);
         match ended {
             RequestOutcome::NotRun => {
                 self.entries.remove(key);
                 self.bytes -= before;
                 return;
             }
-            RequestOutcome::Answered(answer) if answer.body.len() <= ANSWER_MAX => {
-                entry.fate = Fate::Answered(answer);
+            RequestOutcome::Answered(response) if response.body.len() <= ANSWER_MAX => {
+                entry.status = RequestStatus::Answered(response);
             }
             RequestOutcome::Answered(_) | RequestOutcome::AnsweredTooLarge => {
-                entry.fate = Fate::AnsweredTooLarge
+                entry.status = RequestStatus::AnsweredTooLarge
             }
-            RequestOutcome::Unknown => entry.fate = Fate::Unknown,
+            RequestOutcome::Unknown => entry.status = RequestStatus::Unknown,
         }
-        self.bytes = self.bytes - before + size(key, &entry.fate);
+        self.bytes = self.bytes - before + entry_size(key, &entry.status);
     }
 
-    fn forget_old(&mut self, now_ms: u64) {
+    fn remove_expired(&mut self, now_ms: u64) {
         while let Some(begun) = self.by_age.front() {
-            if now_ms.saturating_sub(begun.at_ms) <= KEEP_MS {
+            if now_ms.saturating_sub(begun.at_ms) <= RETENTION_MS {
                 return;
             }
             let Some(begun) = self.by_age.pop_front() else { return };
-            let same = self.entries.get(&begun.key).is_some_and(|e| e.serial == begun.serial);
-            if same && let Some(entry) = self.entries.remove(&begun.key) {
-                self.bytes -= size(&begun.key, &entry.fate);
+            let is_current = self.entries.get(&begun.key).is_some_and(|e| e.serial == begun.serial);
+            if is_current && let Some(entry) = self.entries.remove(&begun.key) {
+                self.bytes -= entry_size(&begun.key, &entry.status);
             }
         }
     }
 }
 
-impl Entry {
+impl LedgerEntry {
     fn verdict(&self, digest: Digest, attempt: u64, now_ms: u64) -> Verdict {
         if self.digest != digest {
             return Verdict::KeyReused;
         }
-        match &self.fate {
+        match &self.status {
             // The entry VM lost the leader's first verdict and asks again for the same
             // attempt. It has not sent the request yet, so it may send it now.
-            Fate::Running { .. } if attempt == self.attempt => Verdict::Go,
-            Fate::Running { until_ms } if now_ms > *until_ms => Verdict::Unknown,
-            Fate::Running { .. } => Verdict::Running,
-            Fate::Answered(answer) => Verdict::Answered(answer.clone()),
-            Fate::AnsweredTooLarge => Verdict::AnsweredTooLarge,
-            Fate::Unknown => Verdict::Unknown,
+            RequestStatus::Running { .. } if attempt == self.attempt => Verdict::Go,
+            RequestStatus::Running { until_ms } if now_ms > *until_ms => Verdict::Unknown,
+            RequestStatus::Running { .. } => Verdict::Running,
+            RequestStatus::Answered(response) => Verdict::Answered(response.clone()),
+            RequestStatus::AnsweredTooLarge => Verdict::AnsweredTooLarge,
+            RequestStatus::Unknown => Verdict::Unknown,
         }
     }
 }
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -24,11 +24,11 @@
 pub const RECORD_MAX: usize = 8 * 1024 * 1024;
 
 const SEGMENT_MAGIC: &[u8; 8] = b"YUCCALOG";
-const SEGMENT_HEAD: usize = 12;
+const SEGMENT_HEADER_LEN: usize = 12;
 const FRAME_MAGIC: &[u8; 4] = b"YFRM";
-const FRAME_HEAD: usize = 12;
-const FRAME_FIXED: usize = 28;
-const RECORD_HEAD: usize = 12;
+const FRAME_HEADER_LEN: usize = 12;
+const FRAME_BODY_FIXED_LEN: usize = 28;
+const RECORD_HEADER_LEN: usize = 12;
 const SUFFIX: &str = ".log";
 
 /// A log record; the first one ever written has index 1.
@@ -81,12 +81,12 @@
     path: PathBuf,
     next_segment: u64,
     last: u64,
-    counts: LogCounters,
+    counters: LogCounters,
 }
 
 /// A log and the content that was recovered from its files.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedLog {
     /// The log, ready for appending.
     pub log: Log,
     /// All records after the requested index, in order.
@@ -121,23 +121,23 @@
     /// assert_eq!((&*opened.records[0].bytes, opened.hard), (b"first".as_slice(), hard));
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    pub fn open(folder: &Path, after: u64, after_term: u64) -> Result<Opened> {
+    pub fn open(folder: &Path, after: u64, after_term: u64) -> Result<OpenedLog> {
         let segments = segments(folder)?;
         let mut replay = Replay::new(after);
-        let mut cut = None;
+        let mut torn_at = None;
         for (at, segment) in segments.iter().enumerate() {
             let is_last = at + 1 == segments.len();
-            cut = read_segment(segment, is_last, &mut replay)?;
+            torn_at = read_segment(segment, is_last, &mut replay)?;
         }
         let (records, last) = replay.finish(after, after_term)?;
         let next_segment = segments.last().map_or(1, |segment| segment.number + 1);
         let (file, path) = match segments.last() {
-            Some(segment) => open_tail(segment, cut)?,
+            Some(segment) => open_tail(segment, torn_at)?,
             None => create_segment(folder, next_segment, last + 1)?,
         };
-        let counts = LogCounters::default();
-        let log = Self { folder: folder.into(), file, path, next_segment, last, counts };
-        Ok(Opened { log, records, hard: replay.hard })
+        let counters = LogCounters::default();
+        let log = Self { folder: folder.into(), file, path, next_segment, last, counters };
+        Ok(OpenedLog { log, records, hard: replay.hard })
     }
 
     /// Index of the last record; 0 if there is none.
@@ -147,7 +147,7 @@
 
     /// Counters since opening.
     pub fn counts(&self) -> LogCounters {
-        self.counts
+        self.counters
     }
 
     /// Writes a frame and syncs once. After a successful return it survives any crash.
@@ -161,9 +161,9 @@
         self.file.write_all(&bytes).map_err(|e| Error::io("append to", &self.path, e))?;
         self.file.sync_data().map_err(|e| Error::io("sync", &self.path, e))?;
         self.last = (frame.first + frame.records.len() as u64).saturating_sub(1);
-        self.counts.syncs += 1;
-        self.counts.records += frame.records.len() as u64;
-        self.counts.bytes += bytes.len() as u64;
+        self.counters.syncs += 1;
+        self.counters.records += frame.records.len() as u64;
+        self.counters.bytes += bytes.len() as u64;
         Ok(())
     }
 
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     /// [`Error::Io`] if a file cannot be removed.
-    pub fn forget(&mut self, index: u64) -> Result<()> {
+    pub fn remove_segments_through(&mut self, index: u64) -> Result<()> {
         let segments = segments(&self.folder)?;
         for pair in segments.windows(2) {
             if pair[1].first > index + 1 || pair[0].path == self.path {
@@ -215,7 +215,7 @@
     }
 
     /// Checks that a segment begins where the previous one ended, so that none is missing.
-    fn begin(&mut self, first: u64) -> Result<()> {
+    fn begin_segment(&mut self, first: u64) -> Result<()> {
         match self.next {
             Some(next) if first > next && first > self.after + 1 => {
                 Err(Error::Gap { from: next, to: first - 1 })
@@ -224,7 +224,7 @@
         }
     }
 
-    fn take(&mut self, frame: LogFrame) -> Result<()> {
+    fn apply(&mut self, frame: LogFrame) -> Result<()> {
         let next = self.next.unwrap_or(frame.first);
         if frame.first > next {
             // Only a snapshot that was installed from the leader may fill the gap.
@@ -267,29 +267,30 @@
 }
 
 fn encode(frame: &LogFrame) -> Result<Vec<u8>> {
-    let size = frame.records.iter().map(|(_, bytes)| bytes.len() + RECORD_HEAD).sum::<usize>();
-    let mut body = Vec::with_capacity(size + FRAME_FIXED);
+    let size =
+        frame.records.iter().map(|(_, bytes)| bytes.len() + RECORD_HEADER_LEN).sum::<usize>();
+    let mut body = Vec::with_capacity(size + FRAME_BODY_FIXED_LEN);
     body.extend_from_slice(&frame.hard.term.to_le_bytes());
     body.extend_from_slice(&frame.hard.vote.to_le_bytes());
     body.extend_from_slice(&frame.first.to_le_bytes());
-    body.extend_from_slice(&length(frame.records.len())?.to_le_bytes());
+    body.extend_from_slice(&length_u32(frame.records.len())?.to_le_bytes());
     for (term, bytes) in &frame.records {
         if bytes.len() > RECORD_MAX {
             return Err(Error::TooLarge { size: bytes.len(), limit: RECORD_MAX });
         }
-        body.extend_from_slice(&length(bytes.len())?.to_le_bytes());
+        body.extend_from_slice(&length_u32(bytes.len())?.to_le_bytes());
         body.extend_from_slice(&term.to_le_bytes());
         body.extend_from_slice(bytes);
     }
-    let mut buf = Vec::with_capacity(body.len() + FRAME_HEAD);
+    let mut buf = Vec::with_capacity(body.len() + FRAME_HEADER_LEN);
     buf.extend_from_slice(FRAME_MAGIC);
-    buf.extend_from_slice(&length(body.len())?.to_le_bytes());
+    buf.extend_from_slice(&length_u32(body.len())?.to_le_bytes());
     buf.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     buf.extend_from_slice(&body);
     Ok(buf)
 }
 
-fn length(size: usize) -> Result<u32> {
+fn length_u32(size: usize) -> Result<u32> {
     u32::try_from(size).map_err(|_| Error::TooLarge { size, limit: u32::MAX as usize })
 }
 
@@ -312,38 +313,38 @@
 
 fn create_segment(folder: &Path, number: u64, first: u64) -> Result<(File, PathBuf)> {
     let path = folder.join(format!("{number:010}-{first:020}{SUFFIX}"));
-    write_head(&path)?;
+    create_with_header(&path)?;
     // Syncs the file before the folder: the reverse order could leave a file
     // without a header after a crash.
     sync_folder(folder)?;
     open_at_end(&path)
 }
 
-fn write_head(path: &Path) -> Result<()> {
-    let fail = |e| Error::io("create", path, e);
-    let mut file = File::create(path).map_err(fail)?;
-    file.write_all(SEGMENT_MAGIC).map_err(fail)?;
-    file.write_all(&FORMAT.to_le_bytes()).map_err(fail)?;
-    file.sync_all().map_err(fail)
+fn create_with_header(path: &Path) -> Result<()> {
+    let io_error = |e| Error::io("create", path, e);
+    let mut file = File::create(path).map_err(io_error)?;
+    file.write_all(SEGMENT_MAGIC).map_err(io_error)?;
+    file.write_all(&FORMAT.to_le_bytes()).map_err(io_error)?;
+    file.sync_all().map_err(io_error)
 }
 
 fn open_at_end(path: &Path) -> Result<(File, PathBuf)> {
-    let fail = |e| Error::io("open", path, e);
-    let mut file = OpenOptions::new().read(true).write(true).open(path).map_err(fail)?;
-    file.seek(SeekFrom::End(0)).map_err(fail)?;
+    let io_error = |e| Error::io("open", path, e);
+    let mut file = OpenOptions::new().read(true).write(true).open(path).map_err(io_error)?;
+    file.seek(SeekFrom::End(0)).map_err(io_error)?;
     Ok((file, path.into()))
 }
 
 /// Opens the last segment after it cut off the torn frame at its end, if there is one.
-fn open_tail(segment: &Segment, cut: Option<u64>) -> Result<(File, PathBuf)> {
+fn open_tail(segment: &Segment, torn_at: Option<u64>) -> Result<(File, PathBuf)> {
     let path = &segment.path;
-    let fail = |e| Error::io("open", path, e);
-    match cut {
-        Some(good) if good < SEGMENT_HEAD as u64 => write_head(path)?,
-        Some(good) => {
-            let file = OpenOptions::new().write(true).open(path).map_err(fail)?;
-            file.set_len(good).map_err(fail)?;
-            file.sync_all().map_err(fail)?;
+    let io_error = |e| Error::io("open", path, e);
+    match torn_at {
+        Some(intact_len) if intact_len < SEGMENT_HEADER_LEN as u64 => create_with_header(path)?,
+        Some(intact_len) => {
+            let file = OpenOptions::new().write(true).open(path).map_err(io_error)?;
+            file.set_len(intact_len).map_err(io_error)?;
+            file.sync_all().map_err(io_error)?;
         }
         None => {}
     }
@@ -353,7 +354,7 @@
 /// Reads a segment; returns the offset of the torn frame at its end, if there is one.
 fn read_segment(segment: &Segment, is_last: bool, replay: &mut Replay) -> Result<Option<u64>> {
     let path = &segment.path;
-    replay.begin(segment.first)?;
+    replay.begin_segment(segment.first)?;
     let mut buf = Vec::new();
     File::open(path)
         .and_then(|mut f| f.read_to_end(&mut buf))
@@ -362,7 +363,7 @@
         path: path.display().to_string().into(),
         offset: offset as u64,
     };
-    if buf.len() < SEGMENT_HEAD || &buf[..8] != SEGMENT_MAGIC {
+    if buf.len() < SEGMENT_HEADER_LEN || &buf[..8] != SEGMENT_MAGIC {
         return match is_last && find_frame(&buf, 0).is_none() {
             true => Ok(Some(0)),
             false => Err(damaged(0)),
@@ -373,11 +374,11 @@
         let path = path.display().to_string().into();
         return Err(Error::Version { path, found, known: FORMAT });
     }
-    let mut at = SEGMENT_HEAD;
+    let mut at = SEGMENT_HEADER_LEN;
     while at < buf.len() {
         match parse_frame(&buf[at..]) {
             Some((size, frame)) => {
-                replay.take(frame)?;
+                replay.apply(frame)?;
                 at += size;
             }
             None if is_last && find_frame(&buf, at + 1).is_none() => return Ok(Some(at as u64)),
@@ -389,33 +390,33 @@
 
 /// Offset of the first intact frame at or after `start`.
 fn find_frame(buf: &[u8], start: usize) -> Option<usize> {
-    let end = buf.len().saturating_sub(FRAME_HEAD + FRAME_FIXED - 1);
+    let end = buf.len().saturating_sub(FRAME_HEADER_LEN + FRAME_BODY_FIXED_LEN - 1);
     (start..end).find(|at| parse_frame(&buf[*at..]).is_some())
 }
 
 fn parse_frame(buf: &[u8]) -> Option<(usize, LogFrame)> {
-    if buf.len() < FRAME_HEAD + FRAME_FIXED || !buf.starts_with(FRAME_MAGIC) {
+    if buf.len() < FRAME_HEADER_LEN + FRAME_BODY_FIXED_LEN || !buf.starts_with(FRAME_MAGIC) {
         return None;
     }
     let size = le_u32(buf, 4) as usize;
-    let body = buf.get(FRAME_HEAD..FRAME_HEAD.checked_add(size)?)?;
-    if size < FRAME_FIXED || crc32fast::hash(body) != le_u32(buf, 8) {
+    let body = buf.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN.checked_add(size)?)?;
+    if size < FRAME_BODY_FIXED_LEN || crc32fast::hash(body) != le_u32(buf, 8) {
         return None;
     }
     let hard = TermAndVote { term: le_u64(body, 0), vote: le_u64(body, 8) };
     let first = le_u64(body, 16);
     let count = le_u32(body, 24) as usize;
     let mut records = Vec::new();
-    let mut at = FRAME_FIXED;
+    let mut at = FRAME_BODY_FIXED_LEN;
     for _ in 0..count {
-        let head = body.get(at..at + RECORD_HEAD)?;
-        let start = at + RECORD_HEAD;
+        let head = body.get(at..at + RECORD_HEADER_LEN)?;
+        let start = at + RECORD_HEADER_LEN;
         let bytes = body.get(start..start.checked_add(le_u32(head, 0) as usize)?)?;
         records.push((le_u64(head, 4), bytes.into()));
         at = start + bytes.len();
     }
-    let whole = at == body.len() && first > 0;
-    whole.then_some((FRAME_HEAD + size, LogFrame { hard, first, records }))
+    let is_complete = at == body.len() && first > 0;
+    is_complete.then_some((FRAME_HEADER_LEN + size, LogFrame { hard, first, records }))
 }
 
 fn le_u32(buf: &[u8], at: usize) -> u32 {
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -74,7 +74,7 @@
     #[serde(skip)]
     waiting: BTreeSet<(Rank, TaskId)>,
     #[serde(skip)]
-    held: Vec<BTreeSet<TaskId>>,
+    tasks_by_worker: Vec<BTreeSet<TaskId>>,
 }
 
 impl StateMachine {
@@ -98,7 +98,7 @@
     pub fn apply(&mut self, command: Command) -> Outcome {
         match command {
             Command::Apply(apply) => self.apply_document(*apply),
-            Command::Submit(submit) => self.submit(submit),
+            Command::Submit(submission) => self.submit(submission),
             Command::Cancel(ids) => {
                 Outcome::Cancelled(ids.iter().map(|id| self.cancel(*id)).collect())
             }
@@ -112,8 +112,8 @@
                 Outcome::Freed(reports.iter().filter_map(|r| self.report(r)).collect())
             }
             Command::WorkerUp(spec) => self.worker_up(*spec),
-            Command::WorkerLeaving(name, run) => self.worker_leaving(&name, run),
-            Command::WorkerGone(name, run) => self.worker_gone(&name, run),
+            Command::WorkerLeaving(name, incarnation) => self.worker_leaving(&name, incarnation),
+            Command::WorkerGone(name, incarnation) => self.worker_gone(&name, incarnation),
             Command::RequestBegin(begin) => Outcome::Request(self.ledger.begin(&begin)),
             Command::RequestEnd(end) => {
                 self.ledger.finish(&end.key, end.attempt, end.ended);
@@ -151,7 +151,7 @@
 
     /// Rebuilds the indexes, which are not written to snapshots.
     pub(crate) fn reindex(&mut self) {
-        self.held = vec![BTreeSet::new(); self.workers.len()];
+        self.tasks_by_worker = vec![BTreeSet::new(); self.workers.len()];
         self.waiting.clear();
         let ids: Vec<TaskId> = self.tasks.keys().copied().collect();
         for id in ids {
@@ -165,7 +165,7 @@
             self.waiting.insert((self.rank(task), id));
         }
         if let Some(key) = task.worker() {
-            self.held[key.0 as usize].insert(id);
+            self.tasks_by_worker[key.0 as usize].insert(id);
         }
     }
 
@@ -207,7 +207,7 @@
             let worker = &mut self.workers[key.0 as usize];
             worker.committed = worker.committed.minus(need).unwrap_or(Resources::ZERO);
             worker.tasks -= 1;
-            self.held[key.0 as usize].remove(&id);
+            self.tasks_by_worker[key.0 as usize].remove(&id);
         }
         if before.is_none()
             && let Some(task) = self.tasks.get(&id)
--- a/crates/state/src/machine/documents.rs
+++ b/crates/state/src/machine/documents.rs
@@ -13,8 +13,8 @@
         };
         let service = self.service_at(key);
         let version = apply.document.version;
-        let seen = service.past.iter().find(|past| past.version == version);
-        if let Some(past) = seen
+        let known_version = service.past.iter().find(|past| past.version == version);
+        if let Some(past) = known_version
             && past.digest == apply.digest
         {
             return Outcome::Accepted { revision: past.revision, resent: true };
@@ -24,7 +24,7 @@
             // Of two texts with the same version, the first committed one wins. The
             // sender of the other is told the winner, so that nobody believes that a
             // rejected change is in force.
-            let winner = seen
+            let winner = known_version
                 .map_or((current.document.version, &current.author, current.revision), |p| {
                     (p.version, &p.author, p.revision)
                 });
@@ -55,13 +55,13 @@
 
     /// Sorts a service's waiting tasks again, since a new document may change their rank.
     pub(super) fn rerank(&mut self, key: ServiceKey) {
-        let moved: Vec<(Rank, TaskId)> = self
+        let reranked: Vec<(Rank, TaskId)> = self
             .waiting
             .iter()
             .copied()
             .filter(|(_, id)| self.tasks.get(id).is_some_and(|task| task.service == key))
             .collect();
-        for at in moved {
+        for at in reranked {
             self.waiting.remove(&at);
             self.index(at.1);
         }
--- a/crates/state/src/machine/queries.rs
+++ b/crates/state/src/machine/queries.rs
@@ -102,7 +102,11 @@
     /// assert_eq!(StateMachine::new().tasks_on_worker(WorkerKey(0)).count(), 0);
     /// ```
     pub fn tasks_on_worker(&self, key: WorkerKey) -> impl Iterator<Item = &Task> {
-        self.held.get(key.0 as usize).into_iter().flatten().filter_map(|id| self.tasks.get(id))
+        self.tasks_by_worker
+            .get(key.0 as usize)
+            .into_iter()
+            .flatten()
+            .filter_map(|id| self.tasks.get(id))
     }
 
     /// All tasks with a record, in the order of their numbers.
--- a/crates/state/src/machine/tasks.rs
+++ b/crates/state/src/machine/tasks.rs
@@ -2,44 +2,44 @@
 
 use super::*;
 impl StateMachine {
-    pub(super) fn submit(&mut self, submit: TaskSubmission) -> Outcome {
-        if let Some(done) = self.submissions.get(&submit.key) {
-            return Outcome::Submitted { first: done.first, count: done.count, resent: true };
+    pub(super) fn submit(&mut self, submission: TaskSubmission) -> Outcome {
+        if let Some(known) = self.submissions.get(&submission.key) {
+            return Outcome::Submitted { first: known.first, count: known.count, resent: true };
         }
-        let Some(service) = self.service_keys.get(&submit.service).copied() else {
-            return Outcome::Unknown(Missing::Service(submit.service));
+        let Some(service) = self.service_keys.get(&submission.service).copied() else {
+            return Outcome::Unknown(Missing::Service(submission.service));
         };
         let document = &self.service_at(service).accepted.document;
-        let Some(kind) = document.task_kind(&submit.kind) else {
-            return Outcome::Unknown(Missing::Kind(submit.kind));
+        let Some(kind) = document.task_kind(&submission.kind) else {
+            return Outcome::Unknown(Missing::Kind(submission.kind));
         };
         let need = kind.need;
         let first = TaskId(self.last_task + 1);
-        for _ in 0..submit.count {
+        for _ in 0..submission.count {
             self.last_task += 1;
             let id = TaskId(self.last_task);
             let task = Task {
                 id,
                 service,
-                kind: submit.kind.clone(),
+                kind: submission.kind.clone(),
                 need,
-                urgent: submit.urgent,
-                payload: submit.payload.clone(),
+                urgent: submission.urgent,
+                payload: submission.payload.clone(),
                 phase: TaskPhase::Waiting,
                 epoch: Epoch(0),
                 checkpoint: None,
                 evictions: 0,
                 failures: 0,
-                submitted_ms: submit.at_ms,
+                submitted_ms: submission.at_ms,
             };
             self.tasks.insert(id, task);
             self.index(id);
         }
-        self.remember_submission(submit.key, Submission { first, count: submit.count });
-        Outcome::Submitted { first, count: submit.count, resent: false }
+        self.record_submission(submission.key, Submission { first, count: submission.count });
+        Outcome::Submitted { first, count: submission.count, resent: false }
     }
 
-    pub(super) fn remember_submission(&mut self, key: Box<str>, submission: Submission) {
+    pub(super) fn record_submission(&mut self, key: Box<str>, submission: Submission) {
         if self.submission_order.len() == PAST_SUBMISSIONS
             && let Some(oldest) = self.submission_order.pop_front()
         {
@@ -124,7 +124,7 @@
                 None
             }
             TaskEvent::Checkpointed { done_ms } => {
-                let before = task.checkpoint.map_or(0, |saved| saved.done_ms);
+                let before = task.checkpoint.map_or(0, |checkpoint| checkpoint.done_ms);
                 if *done_ms >= before {
                     task.checkpoint = Some(Checkpoint { epoch: report.epoch, done_ms: *done_ms });
                 }
@@ -136,12 +136,12 @@
             }
             TaskEvent::Failed { reason } => {
                 task.failures += 1;
-                let give_up = task.failures >= FAILURES_MAX;
+                let failed_too_often = task.failures >= FAILURES_MAX;
                 match phase {
                     TaskPhase::Stopping(_, StopReason::Cancel) => {
                         self.end(id, TaskOutcome::Cancelled)
                     }
-                    _ if give_up => self.end(id, TaskOutcome::Failed(reason.clone())),
+                    _ if failed_too_often => self.end(id, TaskOutcome::Failed(reason.clone())),
                     _ => self.requeue(id),
                 }
                 Some(id)
--- a/crates/state/src/machine/workers.rs
+++ b/crates/state/src/machine/workers.rs
@@ -5,8 +5,8 @@
     pub(super) fn worker_up(&mut self, spec: WorkerSpec) -> Outcome {
         if let Some(key) = self.worker_keys.get(&spec.name).copied() {
             let worker = &mut self.workers[key.0 as usize];
-            let same_run = worker.spec.incarnation == spec.incarnation;
-            if worker.tasks > 0 && !same_run {
+            let same_incarnation = worker.spec.incarnation == spec.incarnation;
+            if worker.tasks > 0 && !same_incarnation {
                 return Outcome::WorkerBusy;
             }
             if worker.tasks > 0 && !spec.capacity.covers(worker.committed) {
@@ -27,7 +27,7 @@
             }
             None => {
                 self.workers.push(worker);
-                self.held.push(BTreeSet::new());
+                self.tasks_by_worker.push(BTreeSet::new());
             }
         }
         self.worker_keys.insert(name, key);
@@ -39,8 +39,8 @@
         worker_key(gone.unwrap_or(self.workers.len()))
     }
 
-    pub(super) fn worker_leaving(&mut self, name: &Name, run: Incarnation) -> Outcome {
-        match self.run_of(name, run) {
+    pub(super) fn worker_leaving(&mut self, name: &Name, incarnation: Incarnation) -> Outcome {
+        match self.live_worker(name, incarnation) {
             Some(key) => {
                 self.workers[key.0 as usize].phase = WorkerPhase::Leaving;
                 Outcome::Done
@@ -49,24 +49,24 @@
         }
     }
 
-    pub(super) fn worker_gone(&mut self, name: &Name, run: Incarnation) -> Outcome {
-        let Some(key) = self.run_of(name, run) else {
+    pub(super) fn worker_gone(&mut self, name: &Name, incarnation: Incarnation) -> Outcome {
+        let Some(key) = self.live_worker(name, incarnation) else {
             return Outcome::Unknown(Missing::Worker(name.clone()));
         };
-        let held: Box<[TaskId]> = self.held[key.0 as usize].iter().copied().collect();
-        for id in &held {
+        let tasks: Box<[TaskId]> = self.tasks_by_worker[key.0 as usize].iter().copied().collect();
+        for id in &tasks {
             let phase = self.tasks.get(id).map(|task| task.phase.clone());
             if let Some(phase) = phase {
                 self.leave_worker(*id, &phase);
             }
         }
         self.workers[key.0 as usize].phase = WorkerPhase::Gone;
-        Outcome::Freed(held)
+        Outcome::Freed(tasks)
     }
 
-    pub(super) fn run_of(&self, name: &Name, run: Incarnation) -> Option<WorkerKey> {
+    pub(super) fn live_worker(&self, name: &Name, incarnation: Incarnation) -> Option<WorkerKey> {
         let key = *self.worker_keys.get(name)?;
         let worker = self.worker_at(key);
-        (worker.spec.incarnation == run && worker.phase != WorkerPhase::Gone).then_some(key)
+        (worker.spec.incarnation == incarnation && worker.phase != WorkerPhase::Gone).then_some(key)
     }
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -15,7 +15,7 @@
 pub const FORMAT: u32 = 2;
 
 const MAGIC: &[u8; 8] = b"YUCCASNP";
-const HEAD: usize = 8 + 4 + 4;
+const HEADER_LEN: usize = 8 + 4 + 4;
 const SUFFIX: &str = ".snapshot";
 
 /// Metadata of a snapshot: the log position and the members that it represents.
@@ -74,7 +74,7 @@
 {
     let body = postcard::to_stdvec(&(meta, state))
         .map_err(|source| Error::Decode { what: "a snapshot", source })?;
-    let mut buf = Vec::with_capacity(body.len() + HEAD);
+    let mut buf = Vec::with_capacity(body.len() + HEADER_LEN);
     buf.extend_from_slice(MAGIC);
     buf.extend_from_slice(&FORMAT.to_le_bytes());
     buf.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -100,16 +100,16 @@
     S: Replicated,
 {
     let damaged = || Error::DamagedMiddle { path: shown.into(), offset: 0 };
-    if buf.len() < HEAD || &buf[..8] != MAGIC {
+    if buf.len() < HEADER_LEN || &buf[..8] != MAGIC {
         return Err(damaged());
     }
-    let number = |at: usize| buf[at..at + 4].try_into().map_or(0, u32::from_le_bytes);
-    let found = number(8);
+    let read_u32 = |at: usize| buf[at..at + 4].try_into().map_or(0, u32::from_le_bytes);
+    let found = read_u32(8);
     if found != FORMAT {
         return Err(Error::Version { path: shown.into(), found, known: FORMAT });
     }
-    let body = &buf[HEAD..];
-    if crc32fast::hash(body) != number(12) {
+    let body = &buf[HEADER_LEN..];
+    if crc32fast::hash(body) != read_u32(12) {
         return Err(damaged());
     }
     let (meta, mut state): (Meta, S) = postcard::from_bytes(body)
@@ -124,11 +124,11 @@
 /// [`Error::Io`]; existing snapshots are not changed.
 pub fn write(folder: &Path, index: u64, bytes: &[u8]) -> Result<()> {
     let path = folder.join(format!("{index:020}{SUFFIX}"));
-    let draft = folder.join(format!("{index:020}.draft"));
-    let mut f = File::create(&draft).map_err(|e| Error::io("create", &draft, e))?;
-    f.write_all(bytes).map_err(|e| Error::io("write", &draft, e))?;
-    f.sync_all().map_err(|e| Error::io("sync", &draft, e))?;
-    fs::rename(&draft, &path).map_err(|e| Error::io("rename", &draft, e))?;
+    let temporary = folder.join(format!("{index:020}.draft"));
+    let mut f = File::create(&temporary).map_err(|e| Error::io("create", &temporary, e))?;
+    f.write_all(bytes).map_err(|e| Error::io("write", &temporary, e))?;
+    f.sync_all().map_err(|e| Error::io("sync", &temporary, e))?;
+    fs::rename(&temporary, &path).map_err(|e| Error::io("rename", &temporary, e))?;
     sync_folder(folder)
 }
 
@@ -165,11 +165,11 @@
 /// [`Error::Io`] if a file cannot be removed.
 pub(crate) fn prune(folder: &Path, keep: usize) -> Result<Option<u64>> {
     let found = list(folder)?;
-    let drop = found.len().saturating_sub(keep);
-    for (_, path) in &found[..drop] {
+    let excess = found.len().saturating_sub(keep);
+    for (_, path) in &found[..excess] {
         fs::remove_file(path).map_err(|e| Error::io("remove", path, e))?;
     }
-    Ok(found.get(drop).map(|(index, _)| *index))
+    Ok(found.get(excess).map(|(index, _)| *index))
 }
 
 fn list(folder: &Path) -> Result<Vec<(u64, PathBuf)>> {
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::command::Command;
 use crate::error::{Error, Result};
-use crate::log::{Log, LogCounters, LogFrame, Opened, Record, TermAndVote, sync_folder};
+use crate::log::{Log, LogCounters, LogFrame, OpenedLog, Record, TermAndVote, sync_folder};
 use crate::machine::StateMachine;
 use crate::snapshot::{self, Meta, Replicated};
 use std::fs::{self, File, TryLockError};
@@ -39,7 +39,7 @@
 }
 
 impl Store {
-    /// Opens or creates the data folder and recovers its content; `draw` is the
+    /// Opens or creates the data folder and recovers its content; `new_replica` is the
     /// identity of the replica if this is the folder's first use.
     ///
     /// # Errors
@@ -55,15 +55,15 @@
     /// store.append(&LogFrame { first: 1, records: vec![(1, [1, 2].into())], ..LogFrame::default() })?;
     /// # Ok::<(), Box<dyn std::error::Error>>(())
     /// ```
-    pub fn open(folder: &Path, draw: u64) -> Result<(Self, Recovered)> {
-        Self::open_as(folder, draw)
+    pub fn open(folder: &Path, new_replica: u64) -> Result<(Self, Recovered)> {
+        Self::open_as(folder, new_replica)
     }
 
     /// Same as [`Store::open`], for any replicated state.
     ///
     /// # Errors
     /// The same as of [`Store::open`].
-    pub fn open_as<S>(folder: &Path, draw: u64) -> Result<(Self, Recovered<S>)>
+    pub fn open_as<S>(folder: &Path, new_replica: u64) -> Result<(Self, Recovered<S>)>
     where
         S: Replicated,
     {
@@ -72,18 +72,18 @@
         let found: Option<snapshot::Snapshot<S>> = snapshot::newest(folder)?;
         let meta = found.as_ref().map(|found| found.meta.clone()).unwrap_or_default();
         let state = found.map(|found| found.state).unwrap_or_default();
-        let known = read_identity(folder)?;
-        if known.is_some() && !has_log(folder)? {
+        let stored_replica = read_identity(folder)?;
+        if stored_replica.is_some() && !has_log(folder)? {
             return Err(Error::Identity(folder.display().to_string().into()));
         }
-        let Opened { log, records, hard } = Log::open(folder, meta.index, meta.term)?;
-        let used = meta.index > 0 || !records.is_empty() || hard != TermAndVote::default();
-        let replica = match known {
+        let OpenedLog { log, records, hard } = Log::open(folder, meta.index, meta.term)?;
+        let is_used = meta.index > 0 || !records.is_empty() || hard != TermAndVote::default();
+        let replica = match stored_replica {
             Some(replica) => replica,
             // Without its identity, a used disk could be mistaken for a new replica
             // that never voted.
-            None if used => return Err(Error::Identity(folder.display().to_string().into())),
-            None => write_identity(folder, draw)?,
+            None if is_used => return Err(Error::Identity(folder.display().to_string().into())),
+            None => write_identity(folder, new_replica)?,
         };
         let store = Self { folder: folder.into(), log, _lock: lock };
         Ok((store, Recovered { replica, meta, state, records, hard }))
@@ -139,7 +139,7 @@
         snapshot::write(&self.folder, index, bytes)?;
         self.log.roll()?;
         if let Some(oldest) = snapshot::prune(&self.folder, SNAPSHOTS_KEPT)? {
-            self.log.forget(oldest)?;
+            self.log.remove_segments_through(oldest)?;
         }
         Ok(())
     }
@@ -207,12 +207,12 @@
 
 fn write_identity(folder: &Path, replica: u64) -> Result<u64> {
     let path = folder.join(IDENTITY);
-    let draft = folder.join("replica.draft");
-    let fail = |e| Error::io("write", &draft, e);
-    let mut f = File::create(&draft).map_err(fail)?;
-    writeln!(f, "{replica:016x}").map_err(fail)?;
-    f.sync_all().map_err(fail)?;
-    fs::rename(&draft, &path).map_err(|e| Error::io("rename", &draft, e))?;
+    let temporary = folder.join("replica.draft");
+    let io_error = |e| Error::io("write", &temporary, e);
+    let mut f = File::create(&temporary).map_err(io_error)?;
+    writeln!(f, "{replica:016x}").map_err(io_error)?;
+    f.sync_all().map_err(io_error)?;
+    fs::rename(&temporary, &path).map_err(|e| Error::io("rename", &temporary, e))?;
     sync_folder(folder)?;
     Ok(replica)
 }
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -116,11 +116,11 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-const SEEN: [LossEvidence; 3] =
+const EVIDENCE: [LossEvidence; 3] =
     [LossEvidence::Nothing, LossEvidence::Ordered, LossEvidence::Working];
 
 /// Registers a later incarnation of the runner that incarnation `of` belongs to.
-fn reborn(jobs: &mut CellState, of: u32) -> IncarnationKey {
+fn restart_runner(jobs: &mut CellState, of: u32) -> IncarnationKey {
     let known = jobs.incarnation(IncarnationKey(of)).expect("a life").clone();
     let incarnation = RunnerIncarnation { started_ms: known.started_ms + 1, ..known };
     match jobs.apply(JobCommand::Meet(incarnation)) {
@@ -132,16 +132,16 @@
 /// Guards against crashes under a task being forgotten when its next run starts.
 #[test]
 fn a_task_under_which_too_many_runners_crashed_fails_its_job() {
-    for (seen, most) in
+    for (evidence, most) in
         [(LossEvidence::Ordered, 3), (LossEvidence::Working, 4), (LossEvidence::Nothing, 4)]
     {
         let mut jobs = table(vec![step(1)]);
         for run in 1..=most {
-            assert_eq!(phase(&jobs), JobPhase::Active, "{seen} run {run}");
+            assert_eq!(phase(&jobs), JobPhase::Active, "{evidence} run {run}");
             assert!(start(&mut jobs, key(0, 0), run, run % 3));
-            end(&mut jobs, key(0, 0), run, run % 3, RunOutcome::Crashed(seen));
+            end(&mut jobs, key(0, 0), run, run % 3, RunOutcome::Crashed(evidence));
         }
-        assert_eq!(phase(&jobs), JobPhase::Failed, "{seen}");
+        assert_eq!(phase(&jobs), JobPhase::Failed, "{evidence}");
         assert!(!start(&mut jobs, key(0, 0), most + 1, 0));
     }
 }
@@ -167,16 +167,16 @@
 /// runner's next incarnation.
 #[test]
 fn one_crash_counts_once_however_it_is_learnt() {
-    for seen in SEEN {
+    for evidence in EVIDENCE {
         let mut jobs = table(vec![step(1)]);
         for run in 1..=2 {
             assert!(start(&mut jobs, key(0, 0), run, run));
-            end(&mut jobs, key(0, 0), run, run, RunOutcome::Silent(seen));
-            end(&mut jobs, key(0, 0), run, run, RunOutcome::Crashed(seen));
-            reborn(&mut jobs, run);
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Silent(evidence));
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Crashed(evidence));
+            restart_runner(&mut jobs, run);
         }
         let losses = jobs.losses().of(key(0, 0));
-        assert_eq!(losses.len(), 2, "{seen}");
+        assert_eq!(losses.len(), 2, "{evidence}");
         assert!(losses.iter().all(|loss| loss.fate == RunnerFate::Crashed));
         assert_eq!(phase(&jobs), JobPhase::Active);
     }
@@ -185,7 +185,7 @@
 /// Guards against the loss of crashes that become known only after the task was started
 /// elsewhere.
 #[test]
-fn late_news_of_crashed_runners_counts_against_the_task() {
+fn crashes_that_become_known_late_count_against_the_task() {
     let mut jobs = table(vec![step(1)]);
     for run in 1..=3 {
         assert!(start(&mut jobs, key(0, 0), run, run - 1));
@@ -193,14 +193,14 @@
     }
     assert_eq!(phase(&jobs), JobPhase::Active, "they may be cut off");
     for incarnation in 0..3 {
-        reborn(&mut jobs, incarnation);
+        restart_runner(&mut jobs, incarnation);
     }
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
 
 /// Guards against suspecting tasks whose runners were only partitioned and report again.
 #[test]
-fn a_runner_that_reports_again_is_no_mark() {
+fn losses_of_a_runner_that_reports_again_are_removed() {
     let mut jobs = table(vec![step(1)]);
     for run in 1..=9 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
@@ -213,19 +213,19 @@
 
 /// Guards against failing a long-running task that loses a runner from time to time.
 #[test]
-fn a_long_run_clears_a_task_of_what_was_before() {
+fn a_long_run_clears_earlier_losses() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
     for run in 1..=20 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
-        let seen = if run % 3 == 0 { LossEvidence::Proven } else { LossEvidence::Ordered };
-        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Crashed(seen));
+        let evidence = if run % 3 == 0 { LossEvidence::Proven } else { LossEvidence::Ordered };
+        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Crashed(evidence));
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
 /// Guards against unlimited starts of a task whose runners are lost and never report again.
 #[test]
-fn runners_that_never_return_bound_the_starts_as_well() {
+fn runners_that_never_return_limit_the_starts() {
     let mut jobs = table(vec![step(1)]);
     let mut starts = 0;
     while start(&mut jobs, key(0, 0), starts + 1, starts % 3) {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn one_end_of_a_gang_stands_for_all() {
+fn a_gang_is_done_when_one_member_is_done() {
     let mut jobs = table(vec![StepSpec { gang: true, ..step(3) }]);
     for index in 0..3 {
         assert!(start(&mut jobs, key(index, 0), 1, 0));
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn changes_with_faults_are_told() {
+fn invalid_change_sets_are_refused() {
     let queue = |name: &str, prefix: &str| Queue {
         name: name.into(),
         prefix: prefix.into(),
@@ -365,20 +365,20 @@
 proptest! {
     /// After any history, a snapshot restores the same state, including the indexes.
     #[test]
-    fn a_snapshot_brings_everything_back(moves in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
+    fn a_snapshot_restores_everything(actions in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
         let mut jobs = table(vec![step(2), StepSpec { depends_on: vec![0], ..step(2) }]);
-        for (at, incarnation, what) in moves {
-            let how_lost = SEEN[usize::from(at) % SEEN.len()];
+        for (at, incarnation, action) in actions {
+            let evidence = EVIDENCE[usize::from(at) % EVIDENCE.len()];
             let task = key(at % 2, at / 2);
             let last = jobs.task(task).map_or(0, |task| task.last_run);
-            match what {
+            match action {
                 0 | 1 => { start(&mut jobs, task, last + 1, incarnation); }
                 2 => end(&mut jobs, task, last, incarnation, RunOutcome::Done),
                 3 => end(&mut jobs, task, last, incarnation, RunOutcome::Stopped),
                 4 => end(&mut jobs, task, last, incarnation, RunOutcome::Failed),
-                5 => end(&mut jobs, task, last, incarnation, RunOutcome::Silent(how_lost)),
-                6 => end(&mut jobs, task, last, incarnation, RunOutcome::Crashed(how_lost)),
-                7 => { reborn(&mut jobs, incarnation); }
+                5 => end(&mut jobs, task, last, incarnation, RunOutcome::Silent(evidence)),
+                6 => end(&mut jobs, task, last, incarnation, RunOutcome::Crashed(evidence)),
+                7 => { restart_runner(&mut jobs, incarnation); }
                 _ => end(&mut jobs, task, last, incarnation, RunOutcome::Lapsed),
             }
         }
@@ -388,13 +388,13 @@
     }
 
     #[test]
-    fn names_of_tasks_are_read_back(job in any::<u64>(), occurrence in any::<u32>(), step in any::<u16>(), index in any::<u16>()) {
+    fn task_keys_are_parsed_back(job in any::<u64>(), occurrence in any::<u32>(), step in any::<u16>(), index in any::<u16>()) {
         let key = TaskKey { job: JobId(job), occurrence, step, index };
         prop_assert_eq!(TaskKey::parse(&key.to_string()), Some(key));
     }
 
     #[test]
-    fn other_texts_are_no_names_of_tasks(text in "[0-9a-fA-F.]{0,30}") {
+    fn other_texts_are_no_task_keys(text in "[0-9a-fA-F.]{0,30}") {
         if let Some(key) = TaskKey::parse(&text) {
             // Accepted texts may differ from the printed form in leading zeros.
             prop_assert_eq!(TaskKey::parse(&key.to_string()), Some(key));
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -30,7 +30,7 @@
     log.append(&frame(log.last() + 1, 1, records))
 }
 
-fn filled(folder: &Path, batches: &[&[&[u8]]]) {
+fn write_log(folder: &Path, batches: &[&[&[u8]]]) {
     let (mut log, _) = open(folder).expect("a new log");
     for batch in batches {
         append(&mut log, batch).expect("an append");
@@ -50,9 +50,9 @@
 #[test]
 fn a_torn_tail_is_cut_off_at_any_byte() {
     let whole = tempfile::tempdir().expect("a folder");
-    filled(whole.path(), &BATCHES[..2]);
+    write_log(whole.path(), &BATCHES[..2]);
     let before = fs::metadata(segment(whole.path())).expect("a file").len();
-    filled_more(whole.path(), BATCHES[2]);
+    append_batch(whole.path(), BATCHES[2]);
     let bytes = fs::read(segment(whole.path())).expect("a file");
     for cut in usize::try_from(before).expect("small")..bytes.len() {
         let folder = tempfile::tempdir().expect("a folder");
@@ -60,12 +60,12 @@
         let copy = folder.path().join(name.file_name().expect("a name"));
         fs::write(&copy, &bytes[..cut]).expect("a copy");
         assert_eq!(contents(folder.path()), [b"one".as_slice(), b"two", b"three"], "cut at {cut}");
-        filled_more(folder.path(), &[b"again"]);
+        append_batch(folder.path(), &[b"again"]);
         assert_eq!(contents(folder.path()).len(), 4, "cut at {cut}");
     }
 }
 
-fn filled_more(folder: &Path, batch: &[&[u8]]) {
+fn append_batch(folder: &Path, batch: &[&[u8]]) {
     let (mut log, _) = open(folder).expect("a log");
     append(&mut log, batch).expect("an append");
 }
@@ -74,9 +74,9 @@
 /// torn tail would silently lose acknowledged changes, so the log must report the
 /// damage and leave the file unchanged.
 #[test]
-fn a_damaged_middle_is_refused_and_left_alone() {
+fn a_damaged_middle_is_refused_and_left_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
-    filled(folder.path(), &BATCHES);
+    write_log(folder.path(), &BATCHES);
     let path = segment(folder.path());
     let good = fs::read(&path).expect("a file");
     for at in 12..60 {
@@ -139,7 +139,7 @@
 /// and crashed before the log was replaced. None of these records may be read as
 /// following the snapshot.
 #[test]
-fn a_branch_that_a_snapshot_overtook_is_dropped() {
+fn records_that_conflict_with_a_snapshot_are_dropped() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = open(folder.path()).expect("a log");
     log.append(&frame(1, 1, &[b"a", b"b", b"c", b"d"])).expect("an append");
@@ -154,7 +154,7 @@
 #[test]
 fn a_log_of_another_format_is_refused() {
     let folder = tempfile::tempdir().expect("a folder");
-    filled(folder.path(), &BATCHES);
+    write_log(folder.path(), &BATCHES);
     let path = segment(folder.path());
     let mut bytes = fs::read(&path).expect("a file");
     bytes[8] = 99;
@@ -164,14 +164,14 @@
 }
 
 #[test]
-fn forgetting_keeps_what_is_above() {
+fn removing_segments_keeps_later_records() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = open(folder.path()).expect("a log");
     for text in [b"a", b"b", b"c", b"d"] {
         append(&mut log, &[text]).expect("an append");
         log.roll().expect("a new segment");
     }
-    log.forget(2).expect("forgotten");
+    log.remove_segments_through(2).expect("forgotten");
     drop(log);
     let opened = Log::open(folder.path(), 2, 1).expect("a log");
     let (log, records) = (opened.log, opened.records);
@@ -190,7 +190,7 @@
     /// Whatever bytes are damaged, opening the log fails or recovers a prefix of the
     /// written records.
     #[test]
-    fn damage_never_makes_up_records(
+    fn damage_never_invents_records(
         sizes in proptest::collection::vec(0usize..40, 1..12),
         at in any::<prop::sample::Index>(),
         flip in 1u8..,
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn appending_to_a_full_record_is_refused_whole() {
+fn a_batch_with_a_too_large_record_is_refused_whole() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = open(folder.path()).expect("a log");
     let large = vec![0; yuccalink_state::log::RECORD_MAX + 1];
--- a/crates/state/tests/machine.rs
+++ b/crates/state/tests/machine.rs
@@ -9,7 +9,8 @@
 use yuccalink_state::document::{DisruptionTolerance, Document, TaskClass, TaskKind};
 use yuccalink_state::id::{Epoch, Incarnation, Name, Revision, TaskId, WorkerKey};
 use yuccalink_state::ledger::{
-    ANSWER_MAX, KEEP_BYTES, KEEP_MS, RequestKey, RequestOutcome, StoredResponse, Verdict,
+    ANSWER_MAX, RETAINED_BYTES_MAX, RETENTION_MS, RequestKey, RequestOutcome, StoredResponse,
+    Verdict,
 };
 use yuccalink_state::snapshot::Meta;
 use yuccalink_state::task::{TaskOutcome, TaskPhase};
@@ -58,10 +59,10 @@
     })
 }
 
-fn worker(label: &str, run: u64) -> Command {
+fn worker(label: &str, incarnation: u64) -> Command {
     Command::WorkerUp(Box::new(WorkerSpec {
         name: name(label),
-        incarnation: Incarnation(run),
+        incarnation: Incarnation(incarnation),
         address: "127.0.0.1:1".into(),
         capacity: Resources { millicores: 1000, memory_mib: 100, accelerators: 0 },
         rack: name("r"),
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_task_that_fails_thrice_is_given_up_with_its_reason() {
+fn a_task_that_fails_three_times_ends_with_its_reason() {
     let mut state = state([apply(1, "a", "a"), submit("small", 1), worker("w", 1)]);
     for epoch in 1..=3 {
         state.apply(place(1, 0));
@@ -223,7 +224,7 @@
 /// A caller resends a request through another entry VM while the first is running,
 /// after it was answered, and after its answer was lost. It must run only once.
 #[test]
-fn a_request_with_a_key_is_let_go_once() {
+fn a_request_with_a_key_runs_once() {
     let mut state = StateMachine::new();
     assert_eq!(state.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go));
     assert_eq!(state.apply(begin("a", 1, 0)), Outcome::Request(Verdict::Go), "the same attempt");
@@ -270,21 +271,21 @@
 #[test]
 fn a_full_ledger_refuses_before_it_loses_an_answer() {
     let mut state = StateMachine::new();
-    let mut taken = 0;
+    let mut accepted = 0;
     loop {
-        let text = format!("k{taken}");
-        match state.apply(begin(&text, taken, 0)) {
+        let text = format!("k{accepted}");
+        match state.apply(begin(&text, accepted, 0)) {
             Outcome::Request(Verdict::Go) => {}
             Outcome::Request(Verdict::Full) => break,
             other => panic!("{other:?}"),
         }
-        state.apply(end(&text, taken, RequestOutcome::Answered(answer(ANSWER_MAX))));
-        taken += 1;
+        state.apply(end(&text, accepted, RequestOutcome::Answered(answer(ANSWER_MAX))));
+        accepted += 1;
     }
-    assert!(state.ledger().bytes() <= KEEP_BYTES);
-    assert!(taken > 200, "only {taken} were taken");
+    assert!(state.ledger().bytes() <= RETAINED_BYTES_MAX);
+    assert!(accepted > 200, "only {accepted} were accepted");
     assert!(matches!(state.apply(begin("k0", 999, 1)), Outcome::Request(Verdict::Answered(_))));
-    let later = state.apply(begin("new", 1, KEEP_MS + 1));
+    let later = state.apply(begin("new", 1, RETENTION_MS + 1));
     assert_eq!(later, Outcome::Request(Verdict::Go));
     assert_eq!(state.ledger().len(), 1);
 }
@@ -303,10 +304,11 @@
     prop_oneof![
         (1u64..4).prop_map(|v| apply(v, &v.to_string(), "a")),
         (1u32..3, prop::sample::select(vec!["small", "large"])).prop_map(|(n, k)| submit(k, n)),
-        (label.clone(), 1u64..3).prop_map(|(w, run)| worker(w, run)),
+        (label.clone(), 1u64..3).prop_map(|(w, incarnation)| worker(w, incarnation)),
         (label.clone(), 1u64..3)
-            .prop_map(|(w, run)| Command::WorkerGone(name(w), Incarnation(run))),
-        (label, 1u64..3).prop_map(|(w, run)| Command::WorkerLeaving(name(w), Incarnation(run))),
+            .prop_map(|(w, incarnation)| Command::WorkerGone(name(w), Incarnation(incarnation))),
+        (label, 1u64..3)
+            .prop_map(|(w, incarnation)| Command::WorkerLeaving(name(w), Incarnation(incarnation))),
         (task.clone(), 0u32..3).prop_map(|(t, w)| place(t, w)),
         (task.clone(), 1u64..4, event).prop_map(|(t, e, event)| report(t, e, event)),
         task.clone().prop_map(|t| Command::Evict([TaskId(t)].into())),
@@ -325,7 +327,7 @@
     /// sums match the tasks, epochs and revisions never decrease, and a snapshot
     /// restores the same state.
     #[test]
-    fn any_history_keeps_the_sums(commands in proptest::collection::vec(any_command(), 0..120)) {
+    fn any_history_keeps_the_invariants(commands in proptest::collection::vec(any_command(), 0..120)) {
         let mut state = StateMachine::new();
         for command in commands {
             let before: Vec<(TaskId, Epoch)> = state.tasks().map(|t| (t.id, t.epoch)).collect();
--- a/crates/state/tests/store.rs
+++ b/crates/state/tests/store.rs
@@ -76,7 +76,7 @@
 /// The daemon is killed after hundreds of changes, with and without snapshots in
 /// between. After a restart no acknowledged change may be missing.
 #[test]
-fn a_restart_brings_back_every_change() {
+fn a_restart_recovers_every_change() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut state = StateMachine::new();
     for round in 0..10u64 {
@@ -123,7 +123,7 @@
 /// Two daemons are started on the same data folder by mistake. The second must be
 /// refused, since two writers would corrupt the log.
 #[test]
-fn a_second_daemon_is_kept_out() {
+fn a_second_daemon_is_refused() {
     let folder = tempfile::tempdir().expect("a folder");
     let (store, _, _) = open(folder.path());
     let error = Store::open(folder.path(), REPLICA).expect_err("it is in use");
@@ -135,7 +135,7 @@
 /// A crash leaves a half-written snapshot under its temporary name. It must not be
 /// read as a snapshot.
 #[test]
-fn a_draft_is_no_snapshot() {
+fn an_unfinished_snapshot_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut store, _, _) = open(folder.path());
     let mut state = StateMachine::new();
