--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time after its start for which a request is kept, in milliseconds: one day.
+/// Time for which a request is kept after its start, in milliseconds: one day.
 pub const RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 /// Maximum size of all entries, in bytes.
 pub const RETAINED_BYTES_MAX: usize = 64 * 1024 * 1024;
@@ -83,13 +83,13 @@
 /// How a request that was allowed to run ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// With a whole response.
+    /// The request ran, with this response.
     Answered(StoredResponse),
-    /// With a response over [`ANSWER_MAX`].
+    /// The request ran, with a response over [`ANSWER_MAX`].
     AnsweredTooLarge,
-    /// Without having run, which is certain; its key may be used again.
+    /// The request certainly did not run; its key may be used again.
     NotRun,
-    /// With an unknown outcome: the request may have run.
+    /// The request may have run.
     Unknown,
 }
 
--- a/crates/state/src/log.rs
+++ b/crates/state/src/log.rs
@@ -335,7 +335,7 @@
     Ok((file, path.into()))
 }
 
-/// Opens the last segment after it cut off the torn frame at its end, if there is one.
+/// Opens the last segment, after cutting off the torn frame at its end if there is one.
 fn open_tail(segment: &Segment, torn_at: Option<u64>) -> Result<(File, PathBuf)> {
     let path = &segment.path;
     let io_error = |e| Error::io("open", path, e);
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -94,7 +94,7 @@
 /// Same as [`decode`], for any replicated state.
 ///
 /// # Errors
-/// The same as of [`decode`].
+/// The same as for [`decode`].
 pub fn decode_as<S>(buf: &[u8], shown: &str) -> Result<Snapshot<S>>
 where
     S: Replicated,
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -62,7 +62,7 @@
     /// Same as [`Store::open`], for any replicated state.
     ///
     /// # Errors
-    /// The same as of [`Store::open`].
+    /// The same as for [`Store::open`].
     pub fn open_as<S>(folder: &Path, new_replica: u64) -> Result<(Self, Recovered<S>)>
     where
         S: Replicated,
@@ -115,7 +115,7 @@
     /// Appends a frame to the log and makes it durable with one sync.
     ///
     /// # Errors
-    /// The same as of [`Log::append`].
+    /// The same as for [`Log::append`].
     pub fn append(&mut self, frame: &LogFrame) -> Result<()> {
         self.log.append(frame)
     }
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -50,7 +50,7 @@
 }
 
 fn phase(jobs: &CellState) -> JobPhase {
-    jobs.job(JobId(1)).expect("it is there").phase
+    jobs.job(JobId(1)).expect("a job").phase
 }
 
 #[test]
@@ -59,7 +59,7 @@
     assert!(start(&mut jobs, key(0, 0), 1, 0));
     assert!(!start(&mut jobs, key(0, 0), 2, 1), "it may be running");
     end(&mut jobs, key(0, 0), 1, 0, RunOutcome::Stopped);
-    assert!(!start(&mut jobs, key(0, 0), 1, 1), "a run that was there before");
+    assert!(!start(&mut jobs, key(0, 0), 1, 1), "a run number that was used before");
     assert!(start(&mut jobs, key(0, 0), 2, 1));
     assert_eq!(&*jobs.task(key(0, 0)).expect("a task").checkpoint, "s");
 }
@@ -73,7 +73,7 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
     end(&mut jobs, key(0, 0), 3, 0, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Completed);
-    assert!(!start(&mut jobs, key(0, 0), 4, 0), "it is done");
+    assert!(!start(&mut jobs, key(0, 0), 4, 0), "the task is done");
 }
 
 #[test]
@@ -121,7 +121,7 @@
 
 /// Registers a later incarnation of the runner that incarnation `of` belongs to.
 fn restart_runner(jobs: &mut CellState, of: u32) -> IncarnationKey {
-    let known = jobs.incarnation(IncarnationKey(of)).expect("a life").clone();
+    let known = jobs.incarnation(IncarnationKey(of)).expect("an incarnation").clone();
     let incarnation = RunnerIncarnation { started_ms: known.started_ms + 1, ..known };
     match jobs.apply(JobCommand::Meet(incarnation)) {
         JobOutcome::Met(key) => key,
@@ -191,7 +191,7 @@
         assert!(start(&mut jobs, key(0, 0), run, run - 1));
         end(&mut jobs, key(0, 0), run, run - 1, RunOutcome::Silent(LossEvidence::Ordered));
     }
-    assert_eq!(phase(&jobs), JobPhase::Active, "they may be cut off");
+    assert_eq!(phase(&jobs), JobPhase::Active, "the runners may be partitioned");
     for incarnation in 0..3 {
         restart_runner(&mut jobs, incarnation);
     }
@@ -320,7 +320,7 @@
         jobs.apply(JobCommand::Submit(Box::new(again))),
         JobOutcome::Accepted { new: false }
     );
-    assert_eq!(&*jobs.job(JobId(1)).expect("it").spec.payload, "p");
+    assert_eq!(&*jobs.job(JobId(1)).expect("a job").spec.payload, "p");
 }
 
 /// Of two texts with the same version, the first committed one stays; a lower version
@@ -335,7 +335,7 @@
     assert_eq!(jobs.apply(change(5, "a")), JobOutcome::Changed(true));
     assert_eq!(jobs.apply(change(5, "b")), JobOutcome::Changed(false));
     assert_eq!(jobs.apply(change(4, "c")), JobOutcome::Changed(false));
-    assert_eq!(&*jobs.change_set().expect("one").text, b"a");
+    assert_eq!(&*jobs.change_set().expect("a change set").text, b"a");
 }
 
 #[test]
--- a/crates/state/tests/log.rs
+++ b/crates/state/tests/log.rs
@@ -126,7 +126,7 @@
     log.append(&frame(4, 1, &[b"d"])).expect("an append");
     log.append(&frame(2, 2, &[b"B"])).expect("an append");
     log.append(&LogFrame { hard: TermAndVote { term: 9, vote: 4 }, first: 3, records: vec![] })
-        .expect("ok");
+        .expect("an append");
     assert_eq!(log.last(), 2);
     drop(log);
     let opened = Log::open(folder.path(), 0, 0).expect("a log");
@@ -145,7 +145,7 @@
     log.append(&frame(1, 1, &[b"a", b"b", b"c", b"d"])).expect("an append");
     drop(log);
     let kept = Log::open(folder.path(), 2, 1).expect("a log");
-    assert_eq!(kept.records.len(), 2, "the same branch");
+    assert_eq!(kept.records.len(), 2, "the term is that of the snapshot");
     drop(kept);
     let opened = Log::open(folder.path(), 2, 5).expect("a log");
     assert_eq!((opened.records.len(), opened.log.last()), (0, 2));
@@ -171,7 +171,7 @@
         append(&mut log, &[text]).expect("an append");
         log.roll().expect("a new segment");
     }
-    log.remove_segments_through(2).expect("forgotten");
+    log.remove_segments_through(2).expect("removed");
     drop(log);
     let opened = Log::open(folder.path(), 2, 1).expect("a log");
     let (log, records) = (opened.log, opened.records);
--- a/crates/state/tests/machine.rs
+++ b/crates/state/tests/machine.rs
@@ -169,7 +169,7 @@
         report(1, 1, TaskEvent::Stopped),
     ]);
     let task = state.task(TaskId(1)).expect("a task");
-    assert_eq!((task.evictions, task.checkpoint.expect("saved").done_ms), (1, 70));
+    assert_eq!((task.evictions, task.checkpoint.expect("a checkpoint").done_ms), (1, 70));
     assert_eq!(task.phase, TaskPhase::Waiting);
     state.apply(place(1, 0));
     assert_eq!(state.task(TaskId(1)).expect("a task").epoch, Epoch(2));
@@ -234,7 +234,7 @@
     let given = Outcome::Request(Verdict::Answered(answer(3)));
     assert_eq!(state.apply(begin("a", 3, 20)), given);
     state.apply(end("a", 1, RequestOutcome::NotRun));
-    assert_eq!(state.apply(begin("a", 4, 30)), given, "the first ending stands");
+    assert_eq!(state.apply(begin("a", 4, 30)), given, "the first outcome counts");
 }
 
 #[test]
