--- a/crates/state/src/jobs/change.rs
+++ b/crates/state/src/jobs/change.rs
@@ -39,7 +39,7 @@
     pub objective_ms: u64,
     /// Multiple of its own work that a job may take and still be on time.
     pub slack: f64,
-    /// Queues with a lower number come first; 0 may also preempt tasks of others.
+    /// 0 is the highest priority; its jobs may take capacity from those of other queues.
     pub priority: u32,
     /// Number of failed runs of one task at which its job fails.
     pub attempts: u32,
