--- a/crates/state/src/machine/tasks.rs
+++ b/crates/state/src/machine/tasks.rs
@@ -1,45 +1,45 @@
-//! Commands on tasks: submitted, placed, reported, evicted, cancelled.
+//! Application of task commands: submit, cancel, place, evict and report.
 
 use super::*;
 impl StateMachine {
-    pub(super) fn submit(&mut self, submit: TaskSubmission) -> Outcome {
-        if let Some(done) = self.submissions.get(&submit.key) {
-            return Outcome::Submitted { first: done.first, count: done.count, resent: true };
+    pub(super) fn submit(&mut self, submission: TaskSubmission) -> Outcome {
+        if let Some(known) = self.submissions.get(&submission.key) {
+            return Outcome::Submitted { first: known.first, count: known.count, resent: true };
         }
-        let Some(service) = self.service_keys.get(&submit.service).copied() else {
-            return Outcome::Unknown(Missing::Service(submit.service));
+        let Some(service) = self.service_keys.get(&submission.service).copied() else {
+            return Outcome::Unknown(Missing::Service(submission.service));
         };
         let document = &self.service_at(service).accepted.document;
-        let Some(kind) = document.task_kind(&submit.kind) else {
-            return Outcome::Unknown(Missing::Kind(submit.kind));
+        let Some(kind) = document.task_kind(&submission.kind) else {
+            return Outcome::Unknown(Missing::Kind(submission.kind));
         };
         let need = kind.need;
         let first = TaskId(self.last_task + 1);
-        for _ in 0..submit.count {
+        for _ in 0..submission.count {
             self.last_task += 1;
             let id = TaskId(self.last_task);
             let task = Task {
                 id,
                 service,
-                kind: submit.kind.clone(),
+                kind: submission.kind.clone(),
                 need,
-                urgent: submit.urgent,
-                payload: submit.payload.clone(),
+                urgent: submission.urgent,
+                payload: submission.payload.clone(),
                 phase: TaskPhase::Waiting,
                 epoch: Epoch(0),
                 checkpoint: None,
                 evictions: 0,
                 failures: 0,
-                submitted_ms: submit.at_ms,
+                submitted_ms: submission.at_ms,
             };
             self.tasks.insert(id, task);
             self.index(id);
         }
-        self.remember_submission(submit.key, Submission { first, count: submit.count });
-        Outcome::Submitted { first, count: submit.count, resent: false }
+        self.record_submission(submission.key, Submission { first, count: submission.count });
+        Outcome::Submitted { first, count: submission.count, resent: false }
     }
 
-    pub(super) fn remember_submission(&mut self, key: Box<str>, submission: Submission) {
+    pub(super) fn record_submission(&mut self, key: Box<str>, submission: Submission) {
         if self.submission_order.len() == PAST_SUBMISSIONS
             && let Some(oldest) = self.submission_order.pop_front()
         {
@@ -54,7 +54,7 @@
         match task.phase.clone() {
             TaskPhase::Ended(outcome) => CancelOutcome::Ended(outcome),
             TaskPhase::Waiting => {
-                // Only a task that never ran may be called "not run".
+                // Only a task that was never placed certainly did not run.
                 let ran = task.epoch > Epoch(0);
                 self.end(id, TaskOutcome::Cancelled);
                 if ran {
@@ -77,8 +77,9 @@
         }
         let worker = self.workers.get_mut(placement.worker.0 as usize)?;
         let committed = worker.committed.plus(task.need)?;
-        // The last guard of "never committed beyond what it holds": whatever a
-        // leader proposed from older knowledge is checked against exact sums here.
+        // The final check that a worker's capacity is never exceeded. A leader may
+        // have planned the placement from an older state, so it is checked here
+        // against the exact sum.
         if worker.phase != WorkerPhase::Live || !worker.spec.capacity.covers(committed) {
             return None;
         }
@@ -104,13 +105,13 @@
         }
     }
 
-    /// Returns the task if it left its worker.
+    /// Applies a report; returns the task if it left its worker.
     pub(super) fn report(&mut self, report: &TaskReport) -> Option<TaskId> {
         let id = report.task;
         let task = self.tasks.get_mut(&id)?;
         let worker = task.worker()?;
-        // A report of an earlier placement comes late or from a worker that was cut
-        // off: acting on it would free or end work that runs elsewhere now.
+        // A report of an earlier placement is late, or from a worker that was
+        // partitioned. Applying it would end or free a task that now runs elsewhere.
         if task.epoch != report.epoch {
             return None;
         }
@@ -123,7 +124,7 @@
                 None
             }
             TaskEvent::Checkpointed { done_ms } => {
-                let before = task.checkpoint.map_or(0, |saved| saved.done_ms);
+                let before = task.checkpoint.map_or(0, |checkpoint| checkpoint.done_ms);
                 if *done_ms >= before {
                     task.checkpoint = Some(Checkpoint { epoch: report.epoch, done_ms: *done_ms });
                 }
@@ -135,12 +136,12 @@
             }
             TaskEvent::Failed { reason } => {
                 task.failures += 1;
-                let give_up = task.failures >= FAILURES_MAX;
+                let failed_too_often = task.failures >= FAILURES_MAX;
                 match phase {
                     TaskPhase::Stopping(_, StopReason::Cancel) => {
                         self.end(id, TaskOutcome::Cancelled)
                     }
-                    _ if give_up => self.end(id, TaskOutcome::Failed(reason.clone())),
+                    _ if failed_too_often => self.end(id, TaskOutcome::Failed(reason.clone())),
                     _ => self.requeue(id),
                 }
                 Some(id)
