--- a/crates/coordination/benches/crashes.rs
+++ b/crates/coordination/benches/crashes.rs
@@ -1,5 +1,5 @@
-//! What tasks that crash their runners cost: runners down and jobs done, second by second,
-//! with runners that crash by themselves as well.
+//! Measures the cost of tasks that crash their runners: runners down and jobs completed in each
+//! second, while runners also crash by themselves.
 //!
 //! `cargo bench -p yuccalink-coordination --bench crashes -- [--runners N] [--guilty N]
 //! [--seconds N] [--seed N] [--together] [--alone on|off] [--one-in N] [--series]`
@@ -17,11 +17,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const CRASH: Crash = Crash::each(Duration::from_millis(10));
-/// When crashing tasks come in.
+/// Second at which the crashing tasks are submitted.
 const GUILTY_AT: u64 = 5;
 /// One runner in this many crashes by itself each second.
 const CRASH_ONE_IN: u64 = 350;
-/// Jobs a second for each runner: about half of the pool works.
+/// Jobs per second and runner, which keep about half of the pool busy.
 const JOBS_A_RUNNER: f64 = 0.5;
 const FIRST_GUILTY: u64 = 1_000_000;
 
@@ -29,7 +29,7 @@
     runners: usize,
     guilty: u64,
     seconds: u64,
-    /// The crashing tasks are one step of one job.
+    /// Puts all crashing tasks into one step of one job.
     together: bool,
     alone: Switch,
     one_in: usize,
@@ -116,7 +116,7 @@
         as u64
 }
 
-/// Asked ten times a second.
+/// Crashes runners at random; called ten times a second.
 fn crash_by_chance(world: &mut World, runners: usize) {
     for at in 0..runners {
         if world.draw(CRASH_ONE_IN * 10) == 0 {
--- a/crates/coordination/benches/leader.rs
+++ b/crates/coordination/benches/leader.rs
@@ -1,4 +1,5 @@
-//! What a heartbeat and a start cost the leader of a job cell, as the pool grows.
+//! Measures the cost of a heartbeat and of a start for the leader of a job cell, as the pool
+//! grows.
 //!
 //! `cargo bench -p yuccalink-coordination --bench leader`
 
@@ -15,16 +16,16 @@
     CellState, ChangeSet, JobCommand, JobId, JobSpec, Pool, Queue, StepSpec,
 };
 
-/// Simulated time that is played.
+/// Simulated time.
 const PLAYED: Duration = Duration::from_secs(20);
-/// As the daemon does.
+/// The tick interval of the daemon.
 const TICK: Duration = Duration::from_millis(25);
 const REPORT_EVERY: Duration = Duration::from_millis(500);
 const WORK: Duration = Duration::from_millis(2_000);
 const CAPACITY: Resources = Resources { millicores: 32_000, memory_mib: 125_000, accelerators: 0 };
 const NEED: Resources = Resources { millicores: 3_000, memory_mib: 6_000, accelerators: 0 };
-/// Tasks of a job, and jobs that come for each runner in a second: more than the pool
-/// takes, so that steps wait.
+/// Tasks per job, and jobs per second and runner: more than the pool can run, so that steps
+/// wait.
 const TASKS: u32 = 8;
 const JOBS_A_RUNNER: f64 = 0.75;
 
@@ -74,7 +75,7 @@
         Self { now, leader, index: 0, tokens: 0, runners, spent: Spent::default() }
     }
 
-    /// Gives the leader work and counts the time that it takes.
+    /// Sends a request to the leader and adds the time that the leader takes for it.
     fn ask(&mut self, ask: CellRequest) -> Vec<CellResponse> {
         self.tokens += 1;
         let begun = Instant::now();
--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -1,4 +1,4 @@
-//! What a placement and a routing decision cost as the system grows.
+//! Measures the cost of a placement and of a routing decision as the system grows.
 //!
 //! `cargo bench -p yuccalink-coordination --bench placement`
 
--- a/crates/coordination/tests/cell.rs
+++ b/crates/coordination/tests/cell.rs
@@ -1,5 +1,5 @@
-//! The leader of a job cell against emulated runners: single failures by their
-//! stories, then thousands of seeded histories with all of them at once.
+//! Tests the leader of a job cell against emulated runners: single failures first, then hundreds
+//! of seeded histories that combine all of them.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -26,8 +26,8 @@
     world.assert_kept();
 }
 
-/// A runner dies without a word. Its tasks may run on where it is only cut off, so
-/// they start elsewhere no sooner than its lease has surely ended; and they do then.
+/// A crashed runner can't be told from a partitioned one, whose tasks may still run. They must
+/// not start elsewhere before the lease has expired by every clock, and must start soon after.
 #[test]
 fn tasks_of_a_silent_runner_start_elsewhere_after_its_lease() {
     let mut world = World::new(2, 2, Rough::CALM);
@@ -36,17 +36,23 @@
     world.run_for(SECOND * 2);
     let from = usize::from(world.running_on(0).is_empty());
     let lost = world.running_on(from);
-    assert_eq!(lost.len(), 4, "one runner has them all");
+    assert_eq!(lost.len(), 4, "all four run on one runner");
     world.crash(from, SECOND * 100);
     world.run_for(SECOND * 4);
-    assert!(lost.iter().all(|task| world.starts_of(*task) == 1), "too early");
+    assert!(
+        lost.iter().all(|task| world.starts_of(*task) == 1),
+        "started before the lease expired"
+    );
     world.run_for(SECOND * 2);
-    assert!(lost.iter().all(|task| world.starts_of(*task) == 2), "never");
+    assert!(
+        lost.iter().all(|task| world.starts_of(*task) == 2),
+        "not started after the lease expired"
+    );
     world.assert_kept();
 }
 
-/// A runner comes back under its name with nothing running. What it ran before is
-/// over at that moment: nobody waits for the lease.
+/// A runner that restarts under its name runs nothing any more. Its former tasks must start
+/// again at once, without waiting for the old lease.
 #[test]
 fn a_runner_that_is_born_again_frees_its_tasks_at_once() {
     let mut world = World::new(3, 1, Rough::CALM);
@@ -59,8 +65,8 @@
     world.assert_kept();
 }
 
-/// Every task on one runner fails at once. A second try there would use up the
-/// job's attempts within a second; it goes elsewhere, and the runner is set aside.
+/// A runner fails every task at once. Retries on it would use up a job's attempts within a
+/// second, so they go to other runners, and the leader stops using this one.
 #[test]
 fn a_runner_that_fails_all_does_not_fail_jobs() {
     let mut world = World::new(4, 4, Rough::CALM);
@@ -77,9 +83,9 @@
     world.assert_kept();
 }
 
-/// Every runner has had a failure, and the only task left has one try left. A last
-/// try goes to a runner that is trusted; with nothing else to run none can earn its
-/// trust back, and the job would stay as it is for ever.
+/// A last attempt goes only to a trusted runner. When every runner has had a failure and no
+/// other task is left to restore trust, the job must still get its last attempt instead of
+/// waiting forever.
 #[test]
 fn a_last_try_comes_though_every_runner_has_failed_something() {
     let mut world = World::new(8, 3, Rough::CALM);
@@ -91,8 +97,8 @@
     world.assert_kept();
 }
 
-/// Tasks on one runner stand still while it reports as ever. Their figure does not
-/// move; they are stopped and start elsewhere.
+/// Tasks on one runner make no progress while it reports as usual. Such stalled runs are stopped
+/// and start elsewhere.
 #[test]
 fn tasks_that_stand_still_are_moved() {
     let mut world = World::new(5, 3, Rough::CALM);
@@ -104,9 +110,9 @@
     world.assert_kept();
 }
 
-/// Three runners of four are sound, one takes five times as long and reports as ever.
-/// The caller of a job of short tasks waits for those few. A copy elsewhere ends first,
-/// and the slow run is stopped; where the step does not allow copies there is none.
+/// One of four runners takes five times as long and reports as usual, which delays the few tasks
+/// of a short job that run there. A copy on another runner ends first and the slow run is
+/// stopped. A step that does not allow copies gets none.
 #[test]
 fn tasks_that_lag_have_a_copy_where_the_step_allows_it() {
     for allowed in [true, false] {
@@ -120,13 +126,12 @@
         let done = world.state(JobId(1)) == Some(JobState::Completed);
         assert_eq!(done, allowed, "copies allowed: {allowed}");
         world.run_for(SECOND * 3);
-        assert!(world.running_on(0).is_empty(), "the slow runs are over");
+        assert!(world.running_on(0).is_empty(), "the slow runs have ended");
         world.assert_kept();
     }
 }
 
-/// A job is cancelled while its tasks run: they are gone within seconds, and none
-/// starts again.
+/// The running tasks of a cancelled job end within seconds, and none starts again.
 #[test]
 fn a_cancelled_job_is_gone_from_the_runners() {
     let mut world = World::new(6, 2, Rough::CALM);
@@ -142,8 +147,8 @@
     world.assert_kept();
 }
 
-/// A runner says that it leaves: it gets nothing new, and long-running tasks move
-/// to others before it is gone.
+/// A draining runner gets no new tasks, and its long-running tasks move to other runners before
+/// it is gone.
 #[test]
 fn long_running_tasks_leave_a_draining_runner() {
     let mut world = World::new(7, 2, Rough::CALM);
@@ -160,8 +165,8 @@
     world.assert_kept();
 }
 
-/// A long-running task needs most of a runner, and short work comes all the time. Each
-/// hole is filled before it is large enough, and the task would never start again.
+/// Short tasks that arrive all the time used to fill every gap before it was large enough for a
+/// long-running task that needs most of a runner, so that the task never started again.
 #[test]
 fn short_work_does_not_keep_a_large_lasting_task_waiting() {
     let mut world = World::new(11, 1, Rough::CALM);
@@ -185,9 +190,9 @@
     world.assert_kept();
 }
 
-/// A job is cancelled while the order to start its task is late. The runner reports once more
-/// without the task, its room goes to another, and then the order comes: the runner holds
-/// more than it has. Room stays taken for as long as an order may still arrive.
+/// A job is cancelled while the order to start its task is delayed. If the runner's next report
+/// without that task freed the capacity, another task would take it, and the late order would
+/// overcommit the runner. The capacity stays reserved for as long as an order may still arrive.
 #[test]
 fn a_late_order_of_a_cancelled_job_finds_its_room() {
     for seed in [197, 196, 198] {
@@ -196,8 +201,8 @@
     }
 }
 
-/// The tasks of a gang work only together. With one runner too small for all of them
-/// they start on several within the same second, under one run number, or not at all.
+/// The tasks of a gang only work together. When no runner has capacity for all of them, they
+/// start on several runners within the same second under one run number, or not at all.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut world = World::new(10, 3, Rough::CALM);
@@ -211,14 +216,14 @@
     spec.steps[0].gang = true;
     world.submit(JobId(2), spec, truths);
     world.run_for(SECOND * 6);
-    assert_eq!(world.starts_of(key(2, 0, 0)), 0, "there is room for nine at most");
+    assert_eq!(world.starts_of(key(2, 0, 0)), 0, "the free capacity is enough for nine at most");
     assert_eq!(world.state(JobId(1)), Some(JobState::Completed));
     world.assert_kept();
 }
 
-/// Messages are lost, late and doubled, leaders change with commands under way,
-/// runners crash, fail and stand, jobs are cancelled. Whatever the order of events,
-/// no task runs twice, none starts too early or too often, none is forgotten.
+/// Messages are lost, delayed and duplicated, leaders change with commands in flight, runners
+/// crash, fail tasks and stall, and jobs are cancelled. In no order of events may a task run
+/// twice, start too early or too often, or be forgotten.
 #[test]
 fn rough_histories_keep_every_promise() {
     for seed in 0..HISTORIES {
@@ -227,7 +232,7 @@
     }
 }
 
-/// In every run of the tests.
+/// Histories in each test run.
 const HISTORIES: u64 = 300;
 const JOBS: u64 = 25;
 
@@ -260,7 +265,7 @@
         spec.checkpointing = world.draw(2) == 0;
         spec.gang = world.draw(6) == 0;
         spec.per_runner_max = if world.draw(4) == 0 { 2 } else { 0 };
-        // By a figure drawn already, so that the seeds keep their histories.
+        // Derived from a number drawn before, so that the histories of the seeds stay the same.
         spec.speculative = work.is_multiple_of(3) && !spec.gang;
         behavior.fails = world.draw(20) == 0;
         steps.push((spec, behavior));
--- a/crates/coordination/tests/cell/checks.rs
+++ b/crates/coordination/tests/cell/checks.rs
@@ -1,20 +1,21 @@
-//! What must hold in every history, checked while it plays and at its end.
+//! Invariants of every history, checked during it and at its end.
 
 use super::*;
 
 impl World {
     pub(super) fn check_order(&mut self, _: usize, task: TaskKey, checkpoint: &str) {
         if !self.accepted.contains(&task.job) {
-            self.broken.push(format!("{task} was never handed in"));
+            self.broken.push(format!("{task} was never submitted"));
         }
-        // A checkpoint of any member is good for its whole gang.
+        // A checkpoint of any member is valid for the whole gang.
         let gang = self.specs[&task.job].steps[usize::from(task.step)].gang;
         let own = match gang {
             true => format!("{}.{}.{}.", task.job, task.occurrence, task.step),
             false => format!("{task}/"),
         };
         if !checkpoint.is_empty() && !checkpoint.starts_with(&own) {
-            self.broken.push(format!("{task} resumes from another's {checkpoint}"));
+            self.broken
+                .push(format!("{task} resumes from the checkpoint of another task: {checkpoint}"));
         }
     }
 
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Ends that were listed before a lease ran out and are noted after it do not
-    /// count: the cell had to give up those runs, and said so to nobody.
+    /// Removes ends that were reported before the lease expired and are acknowledged after it.
+    /// The cell had to give up those runs without telling anyone, so they don't count.
     pub(super) fn lapsed(&mut self, at: usize) {
         let listed: Vec<(TaskKey, u32, RunOutcome)> =
             self.slots[at].listed.values().copied().collect();
@@ -58,7 +59,7 @@
             other != at && slot.runner.as_ref().is_some_and(|runner| runner.is_running(task))
         });
         if elsewhere && !step.speculative {
-            self.broken.push(format!("{task} runs in two places"));
+            self.broken.push(format!("{task} runs on two runners"));
         }
         let past = self.past.entry(task).or_default();
         if !past.runs.insert(run) {
@@ -68,10 +69,10 @@
         if let Some(third) = past.crashes.get(2)
             && past.starts.iter().filter(|(at, _)| at > third).count() >= 3
         {
-            self.broken.push(format!("{task} starts three times more after three crashes"));
+            self.broken.push(format!("{task} starts three more times after three crashes"));
         }
-        // A copy may be on its way while the other run ends; an order is dropped after a
-        // second.
+        // A copy may be ordered while the other run ends; a runner drops an order that is older
+        // than one second.
         let grace = if step.speculative { Duration::from_secs(1) } else { Duration::ZERO };
         let known = |noted: Moment| when.since(noted) >= grace;
         let failures = past.failures_noted.iter().filter(|noted| known(**noted)).count();
@@ -79,7 +80,7 @@
             self.broken.push(format!("{task} starts after {ATTEMPTS} failures"));
         }
         if past.dones.iter().filter_map(|done| done.noted).any(known) {
-            self.broken.push(format!("{task} starts after its end was noted"));
+            self.broken.push(format!("{task} starts after its end was acknowledged"));
         }
         for before in &step.depends_on {
             let count = spec.steps[usize::from(*before)].count;
@@ -98,12 +99,12 @@
                 runner.running().filter(same).count()
             });
             if here > per_runner {
-                self.broken.push(format!("{here} of {task}'s step on one runner"));
+                self.broken.push(format!("{here} tasks of the step of {task} on one runner"));
             }
         }
     }
 
-    /// Whether a task has ever ended as done; any member's end stands for its gang.
+    /// Whether a task has ever completed. The end of any member counts for its whole gang.
     pub(super) fn is_done(&self, spec: &JobSpec, key: TaskKey) -> bool {
         let ended = |key: TaskKey| self.past.get(&key).is_some_and(Past::ever_done);
         let step = &spec.steps[usize::from(key.step)];
@@ -111,23 +112,24 @@
         ended(key) || step.gang && members.into_iter().any(|i| ended(TaskKey { index: i, ..key }))
     }
 
-    /// What can only be judged once all is over.
+    /// Checks the rules that can only be judged at the end of a history.
     pub fn close(&mut self) {
         for (task, past) in &self.past {
-            // Copies may start while another ends; see `started`.
+            // Copies may start while another run ends; see `started`.
             if self.specs[&task.job].steps[usize::from(task.step)].speculative {
                 continue;
             }
             for done in &past.dones {
                 let again = past.starts.iter().any(|(at, _)| *at > done.at);
                 if done.noted.is_some() && again {
-                    self.broken.push(format!("{task} starts after an end noted later"));
+                    self.broken
+                        .push(format!("{task} starts after an end that was acknowledged later"));
                 }
             }
         }
     }
 
-    /// Jobs of the committed state that are completed though a task is not done.
+    /// Reports committed jobs that are completed although a task is not done.
     pub fn check_completed(&mut self) {
         let mut wrong = Vec::new();
         for (id, job) in self.committed.all() {
@@ -143,7 +145,7 @@
                         index: u16::try_from(index).unwrap_or(u16::MAX),
                     };
                     if !self.is_done(&job.spec, key) {
-                        wrong.push(format!("{id} is completed and {key} is not done"));
+                        wrong.push(format!("{id} is completed but {key} is not done"));
                     }
                 }
             }
@@ -151,7 +153,7 @@
         self.broken.extend(wrong);
     }
 
-    /// Jobs that have failed though no task failed or lost its runner often enough.
+    /// Reports jobs that failed although no task failed, or lost its runner, often enough.
     pub fn check_failed(&mut self) {
         let mut wrong = Vec::new();
         for (id, job) in self.committed.all() {
@@ -166,13 +168,14 @@
             });
             let lost = |(task, past): (&TaskKey, &Past)| task.job == id && past.lost_runners >= 2;
             if !failed && !self.past.iter().any(lost) {
-                wrong.push(format!("{id} failed without cause"));
+                wrong.push(format!("{id} failed although no task failed often enough"));
             }
         }
         self.broken.extend(wrong);
     }
 
-    /// What was broken in a history that is over, in which `jobs` were handed in.
+    /// Checks a finished history in which `jobs` jobs were submitted, and returns all
+    /// violations.
     pub fn close_all(&mut self, jobs: u64) -> Vec<String> {
         self.close();
         self.check_completed();
@@ -186,7 +189,7 @@
         self.broken.clone()
     }
 
-    /// Panics unless every promise was kept.
+    /// Panics if any invariant was violated.
     pub fn assert_kept(&mut self) {
         self.close();
         self.check_completed();
@@ -194,26 +197,26 @@
         assert!(self.broken.is_empty(), "{:#?}", self.broken);
     }
 
-    /// Jobs that are neither ended nor cancelled.
+    /// Number of active jobs: neither ended nor cancelled.
     pub fn open_jobs(&self) -> usize {
         let open =
             |job: &yuccalink_state::jobs::Job| job.phase == yuccalink_state::jobs::JobPhase::Active;
         self.committed.all().filter(|(_, job)| open(job)).count()
     }
 
-    /// Whether a job has not ended.
+    /// Whether a job is still active.
     pub fn is_open(&self, id: JobId) -> bool {
         self.committed.is_active(id)
     }
 
-    /// Cancelled jobs that still run somewhere, `grace` after the cancelling.
+    /// Reports tasks of cancelled jobs that still run `grace` after the cancellation.
     pub fn check_cancelled(&mut self, grace: Duration) {
         for slot in &self.slots {
             let Some(runner) = &slot.runner else { continue };
             for task in runner.running() {
                 let late = |at: &Moment| self.now.since(*at) > grace;
                 if self.cancelled.get(&task.job).is_some_and(late) {
-                    self.broken.push(format!("{task} runs long after its cancelling"));
+                    self.broken.push(format!("{task} runs long after its cancellation"));
                 }
             }
         }
--- a/crates/coordination/tests/cell/desk.rs
+++ b/crates/coordination/tests/cell/desk.rs
@@ -1,4 +1,5 @@
-//! A leader whose log commits at once, with runners that report when they are told to.
+//! Drives a leader whose log commits at once, with runners that report when a test tells them
+//! to.
 
 use super::world::{CAPACITY, change, place};
 use std::sync::Arc;
@@ -26,7 +27,7 @@
         Self::with(runners, policy, behavior, Vec::new())
     }
 
-    /// One whose log begins with these commands, after its change set.
+    /// Starts with a log that holds these commands after its change set.
     pub fn with(
         runners: usize,
         policy: Option<Advisor>,
@@ -36,7 +37,7 @@
         Self::deciding_by(LeaderConfig::default(), runners, policy, behavior, commands)
     }
 
-    /// The same, with settings of its own.
+    /// Like `with`, with the leader settings `cfg`.
     pub fn deciding_by(
         cfg: LeaderConfig,
         runners: usize,
@@ -74,7 +75,7 @@
         self.commit();
         let answers = self.leader.take_answers();
         let own = answers.into_iter().find(|(of, _)| *of == token);
-        own.map(|(_, answer)| answer).expect("an answer")
+        own.map(|(_, answer)| answer).expect("a response")
     }
 
     pub fn commit(&mut self) {
@@ -100,12 +101,13 @@
         assert_eq!(self.ask(CellRequest::Submit { at: place(), id, spec }), CellResponse::Accepted);
     }
 
-    /// Every runner reports once and obeys; returns the orders of each.
+    /// Lets every runner report once and carry out its orders; returns the orders of each
+    /// runner.
     pub fn round(&mut self) -> Vec<RunnerOrders> {
         self.round_showing(|_| None)
     }
 
-    /// The same, with what each run's gauge shows.
+    /// Like `round`, with `gauge` as the reported usage or tail latency of each run.
     pub fn round_showing<F>(&mut self, gauge: F) -> Vec<RunnerOrders>
     where
         F: Fn(&ReportedRun) -> Option<u64>,
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -1,5 +1,5 @@
-//! A job cell played without a network: one leader at a time, a log that commits
-//! after a while, emulated runners, and messages that are late, lost or doubled.
+//! Simulates a job cell without a network: one leader at a time, a log that commits after a
+//! delay, emulated runners, and messages that are delayed, lost or duplicated.
 
 #[path = "checks.rs"]
 mod checks;
@@ -25,30 +25,30 @@
 };
 
 pub const STEP: Duration = Duration::from_millis(10);
-/// Unix time at which every history begins.
+/// Unix time at the start of every history.
 const EPOCH_MS: u64 = 1_800_000_000_000;
-/// The slowest clock that a runner may have.
+/// Largest clock drift of a runner, in parts per million slow.
 const SLOWEST_PPM: u64 = 20_000;
 
-/// How late the last report before a crash is, where it is.
+/// Delay of the last report before a crash, when `last_words` is set.
 const LAST_WORDS_TAKE: Duration = Duration::from_secs(6);
 
-/// How rough a history is, in thousandths where not said otherwise.
+/// Which faults a history has. Numbers without a unit in their name are chances in thousandths.
 #[derive(Clone, Copy, Debug)]
 pub struct Rough {
     pub lost: u32,
     pub late: u32,
-    /// Messages that are late are so by up to this many milliseconds.
+    /// Longest delay of a delayed message.
     pub late_max_ms: u64,
     pub leader_change: u32,
     pub runner_crash: u32,
     pub faults: bool,
     pub cancels: bool,
-    /// Rooms shrink for some seconds and grow again.
+    /// Capacity shrinks for some seconds and grows back.
     pub shrinks: u32,
-    /// A runner's next life may have another name, at the same address.
+    /// A restarted runner may have another name at the same address.
     pub renames: bool,
-    /// The last report before a crash by a task arrives after the lease has ended.
+    /// The last report before a crash caused by a task arrives after the lease has expired.
     pub last_words: bool,
 }
 
@@ -89,9 +89,9 @@
     runner: Option<EmulatedRunner>,
     next_report: Moment,
     back_at: Moment,
-    /// Nothing gets through to or from it until then.
+    /// Until then, no message gets through to or from the runner.
     cut_until: Moment,
-    /// Ends that were listed, by their numbers, and not yet noted.
+    /// Ends that the runner has reported and the leader has not acknowledged, by their numbers.
     listed: BTreeMap<u64, (TaskKey, u32, RunOutcome)>,
     ends: u64,
     grows_at: Moment,
@@ -109,19 +109,19 @@
     noted: Option<Moment>,
 }
 
-/// What a task did, over all runners.
+/// What happened to a task, over all runners.
 #[derive(Clone, Debug, Default)]
 struct Past {
     starts: Vec<(Moment, u32)>,
-    /// Runs that ended as done, when, and whether that was noted.
+    /// Runs that completed, when, and when the leader acknowledged that.
     dones: Vec<Done>,
-    /// Ends as done whose runner's lease ran out before they were noted.
+    /// Times of completions whose runner's lease expired before they were acknowledged.
     lapsed_dones: Vec<Moment>,
     failures_noted: Vec<Moment>,
     runs: BTreeSet<u32>,
-    /// When it made a runner crash.
+    /// When the task made a runner crash.
     crashes: Vec<Moment>,
-    /// Runners that crashed while it ran there, whatever the cause.
+    /// Number of runners that crashed while the task ran there, whatever the cause.
     lost_runners: usize,
 }
 
@@ -151,9 +151,9 @@
     past: BTreeMap<TaskKey, Past>,
     cancelled: BTreeMap<JobId, Moment>,
     pub accepted: BTreeSet<JobId>,
-    /// How long a runner that crashes is away, in milliseconds.
+    /// Downtime of a crashed runner, in milliseconds.
     pub away_ms: std::ops::Range<u64>,
-    /// Runs that were lost beside a task that had made a runner crash before.
+    /// Runs that were lost beside a task that had already made a runner crash before.
     pub lost_to_repeats: usize,
     pub broken: Vec<String>,
 }
@@ -238,7 +238,7 @@
         self.rng.random_range(0..1_000) < thousandths
     }
 
-    /// Hands in a job through whichever leader there is, until it is accepted.
+    /// Submits a job through the current leader, again until it is accepted.
     pub fn submit(&mut self, id: JobId, spec: JobSpec, truths: Vec<TaskBehavior>) {
         self.specs.insert(id, Arc::new(spec));
         self.truths.insert(id, truths);
@@ -270,7 +270,7 @@
         own.into_iter().next().map(|(_, answer)| answer)
     }
 
-    /// Why a job failed, as its caller is told.
+    /// Why a job failed, as its caller sees it.
     pub fn reason(&mut self, id: JobId) -> Option<Box<str>> {
         match self.ask(CellRequest::State { at: place(), id })? {
             CellResponse::Failed(reason) => Some(reason),
@@ -294,8 +294,8 @@
         self.now = self.now + STEP;
         self.change_leader();
         let now = self.now();
-        // A timer that is due and a message that waits are taken in any order; here the
-        // timer comes first.
+        // The daemon handles a due timer and a waiting message in any order. The simulation
+        // always handles the timer first.
         if let Some(leader) = &mut self.leader {
             leader.tick(now);
             let answers = leader.take_answers();
@@ -310,7 +310,7 @@
 
     fn change_leader(&mut self) {
         if self.leader.is_some() && self.chance(self.rough.leader_change) {
-            // What was under way to the log is agreed on or lost.
+            // Commands in flight to the log are either committed or lost.
             if self.chance(500) {
                 self.commit_now();
             }
@@ -502,7 +502,7 @@
         }
     }
 
-    /// A runner crashes and is back after some seconds.
+    /// Crashes a runner, which restarts after some seconds.
     fn lose(&mut self, at: usize) {
         let away = self.rng.random_range(self.away_ms.clone());
         self.crash(at, Duration::from_millis(away));
@@ -516,7 +516,7 @@
         self.messages.insert((arrives, self.numbers), Message::Report { slot: at, sent, report });
     }
 
-    /// Lets a room shrink or grow.
+    /// Lets the capacity of a runner shrink or grow back.
     fn resize(&mut self, at: usize) {
         if self.now >= self.slots[at].grows_at {
             self.set_capacity(at, CAPACITY);
@@ -528,7 +528,7 @@
         }
     }
 
-    /// A runner has only so many cores for a while.
+    /// Limits a runner to `cores` for `span`.
     pub fn shrink(&mut self, at: usize, cores: u64, span: Duration) {
         self.set_capacity(at, Resources { millicores: cores * 1_000, ..CAPACITY });
         self.slots[at].grows_at = self.now + span;
@@ -540,14 +540,14 @@
         }
     }
 
-    /// Takes in what happened on a runner and checks it; true when a run ended.
+    /// Records and checks the events of a runner; true if a run ended.
     fn observe(&mut self, at: usize) -> bool {
         let Some(runner) = self.slots[at].runner.as_mut() else { return false };
         let happened = runner.take_events();
         let started = happened.iter().any(|event| matches!(event, RunnerEvent::Started { .. }));
         if started && !runner.is_within_capacity(self.now) {
             let (taken, room) = (runner.resources_in_use(), runner.capacity);
-            self.broken.push(format!("w{at} is brought to {taken:?} of {room:?}"));
+            self.broken.push(format!("w{at} is overcommitted: {taken:?} in use of {room:?}"));
         }
         let mut ended = false;
         for event in happened {
@@ -570,7 +570,7 @@
         ended
     }
 
-    /// Ends all roughness, so that the rest must come to its end.
+    /// Stops all faults, so that the remaining jobs must end.
     pub fn calm_down(&mut self) {
         self.rough = Rough::CALM;
         for slot in &mut self.slots {
@@ -586,7 +586,7 @@
         }
     }
 
-    /// The runner says that it leaves after a span.
+    /// Drains a runner that announces its end after `span`.
     pub fn drain_within(&mut self, at: usize, span: Duration) {
         self.drain(at);
         if let Some(runner) = &mut self.slots[at].runner {
@@ -613,7 +613,7 @@
         self.slots[at].runner.iter().flat_map(|runner| runner.running()).collect()
     }
 
-    /// Nothing gets through to or from a runner for a while.
+    /// Partitions a runner: no message gets through to or from it for `span`.
     pub fn cut(&mut self, at: usize, span: Duration) {
         self.slots[at].cut_until = self.now + span;
         self.messages.retain(|_, message| match message {
@@ -621,7 +621,7 @@
         });
     }
 
-    /// Runs that the log has ordered and that have not ended.
+    /// Number of runs that the log has ordered and that have not ended.
     pub fn committed_starts(&self) -> usize {
         self.committed
             .incarnations()
@@ -629,17 +629,17 @@
             .sum()
     }
 
-    /// Runners that have crashed and are not back.
+    /// Number of runners that have crashed and not restarted.
     pub fn runners_down(&self) -> usize {
         self.slots.iter().filter(|slot| slot.runner.is_none()).count()
     }
 
-    /// Runs that were lost with their runners.
+    /// Number of runs that were lost with their runners.
     pub fn runs_lost(&self) -> usize {
         self.past.values().map(|past| past.lost_runners).sum()
     }
 
-    /// Jobs that are completed.
+    /// Number of completed jobs.
     pub fn completed_jobs(&self) -> usize {
         let completed = |job: &yuccalink_state::jobs::Job| {
             job.phase == yuccalink_state::jobs::JobPhase::Completed
@@ -652,7 +652,7 @@
         self.past.get(&task).map_or(0, |past| past.crashes.len())
     }
 
-    /// Changes the leader at once.
+    /// Replaces the leader at once, after committing what is in flight.
     pub fn replace_leader(&mut self) {
         self.commit_now();
         self.leader = None;
@@ -693,18 +693,18 @@
     ChangeSet { version: 1, queues: vec![queue], pools: vec![pool], ..ChangeSet::default() }
 }
 
-/// A job of these steps, and what is true of their tasks.
+/// A job of these steps, and how the tasks of each step really behave.
 pub fn job(steps: Vec<(StepSpec, TaskBehavior)>) -> (JobSpec, Vec<TaskBehavior>) {
     let (steps, truths): (Vec<_>, Vec<_>) = steps.into_iter().unzip();
     (JobSpec { payload: "work".into(), steps, schedule: None }, truths)
 }
 
-/// A task of a job that runs once.
+/// The key of a task in a job without a schedule.
 pub fn key(id: u64, step: u16, index: u16) -> TaskKey {
     TaskKey { job: JobId(id), occurrence: 0, step, index }
 }
 
-/// A step and what is true of its tasks.
+/// A step and how its tasks really behave.
 pub fn step(count: u32, cores: u64, work_ms: u64) -> (StepSpec, TaskBehavior) {
     let need = Resources { millicores: cores * 1_000, memory_mib: 1_000, accelerators: 0 };
     let spec = StepSpec { count, need, estimate_ms: work_ms, ..StepSpec::default() };
@@ -716,7 +716,7 @@
     (spec, behavior)
 }
 
-/// The checkpoint that an emulated runner would tell.
+/// The checkpoint that an emulated runner reports.
 pub fn checkpoint(task: TaskKey, run: u32) -> Box<str> {
     checkpoint_text(task, run)
 }
--- a/crates/coordination/tests/cell_outside.rs
+++ b/crates/coordination/tests/cell_outside.rs
@@ -1,5 +1,5 @@
-//! The leader and services outside the cell: a policy with tickets, and machines that
-//! go down for upkeep.
+//! Tests the leader with services outside the cell: a policy service that issues tickets, and a
+//! service that maintains machines.
 
 #[path = "cell/desk.rs"]
 #[allow(dead_code)]
@@ -25,8 +25,8 @@
     ExternalReply::Advice { allowed: vec![(runner.into(), "ticket-7".into())], validity_ms: 3_000 }
 }
 
-/// The policy allows one runner of three. A start anywhere else, or without the
-/// ticket, would be rejected and cost a round.
+/// The policy service allows one runner of three. A start on another runner or without the
+/// ticket would be rejected and cost a round trip.
 #[test]
 fn a_step_starts_only_where_the_policy_allows_and_with_its_ticket() {
     let (spec, behavior) = step(2, 1, 5_000);
@@ -45,8 +45,8 @@
     assert!(orders[0].start.is_empty() && orders[2].start.is_empty());
 }
 
-/// The service takes one call at a time and refuses more when too many wait: a
-/// question that is under way is not asked again, one that got no answer is.
+/// The policy service takes one call at a time and refuses calls when too many wait. A question
+/// in flight is not repeated; a question without an answer is repeated after its timeout.
 #[test]
 fn one_question_is_under_way_at_a_time() {
     let (spec, behavior) = step(2, 1, 5_000);
@@ -56,15 +56,15 @@
     desk.pass(TICK);
     assert!(desk.call().is_some());
     desk.pass(TICK);
-    assert!(desk.call().is_none(), "it is under way");
+    assert!(desk.call().is_none(), "the call is in flight");
     desk.pass(Duration::from_secs(4));
     desk.round();
     desk.pass(TICK);
-    assert!(desk.call().is_some(), "nobody answered");
+    assert!(desk.call().is_some(), "the first call got no reply");
 }
 
-/// A start is agreed on, its order is lost, and meanwhile the ticket runs out. Given
-/// again it would be rejected; the run is given up and another asked for.
+/// A start is committed, its order is lost, and meanwhile the ticket expires. The same order
+/// would be rejected, so the leader gives up the run and asks for a new ticket.
 #[test]
 fn an_order_whose_ticket_ran_out_is_not_given_again() {
     let (spec, behavior) = step(1, 1, 5_000);
@@ -105,8 +105,9 @@
     Wave { id: 1, machines, until_ms: 1_900_000_000_000, at_once }
 }
 
-/// Two machines of a wave hold the two tasks of a step that may miss one. Emptied at
-/// the same time, nothing of it would be at work; the second waits for the first.
+/// Two machines of a wave each run one of two tasks of a step that allows one task to be
+/// missing. Emptied at the same time, they would leave no task running, so the second machine
+/// waits for the first.
 #[test]
 fn a_wave_takes_no_more_of_a_step_than_its_document_allows() {
     let (spec, behavior) = lasting(2, Some(1));
@@ -120,16 +121,17 @@
     }
     assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0", "m1"], 2))), CellResponse::Ok);
     desk.pass(TICK);
-    let (id, call) = desk.call().expect("the list");
+    let (id, call) = desk.call().expect("a call that lists the machines");
     assert_eq!(call, ExternalCall::Machines { page: None });
     desk.told(id, machines(&desk, &[]));
     desk.pass(TICK);
     let stops: usize = desk.round().iter().map(|orders| orders.stop.len()).sum();
-    assert_eq!(stops, 1, "one may be away, not two");
+    assert_eq!(stops, 1, "one task may be missing, not two");
 }
 
-/// A machine goes down only when empty, with the leader's term; the wave is done when
-/// it is up again with another runner, and the same order again changes nothing.
+/// A machine goes down only when it is empty, by an order with the leader's term. The wave is
+/// done when the machine is up again with another runner. Starting the same wave again changes
+/// nothing.
 #[test]
 fn a_wave_is_done_when_its_machines_are_up_again() {
     let mut desk = Desk::new(1, None, TaskBehavior::default());
@@ -137,17 +139,17 @@
     assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0"], 1))), CellResponse::Ok);
     assert_eq!(desk.ask(CellRequest::WaveStart(wave(&["m0"], 1))), CellResponse::Ok);
     desk.pass(TICK);
-    let (id, _) = desk.call().expect("the list");
+    let (id, _) = desk.call().expect("a call that lists the machines");
     desk.told(id, machines(&desk, &[]));
     desk.pass(TICK);
-    let (id, call) = desk.call().expect("an order");
+    let (id, call) = desk.call().expect("an upkeep call");
     let ExternalCall::Upkeep { machine, wave, holder, token } = call else { panic!("{call:?}") };
     assert_eq!((&*machine, wave, &*holder, token), ("m0", 1, "e1", 3));
     desk.told(id, ExternalReply::Later);
     desk.pass(Duration::from_secs(1));
     let calls = desk.leader.take_calls();
     let again = calls.into_iter().find(|(_, call)| matches!(call, ExternalCall::Upkeep { .. }));
-    let (id, _) = again.expect("it may not have been carried out, so it is given again");
+    let (id, _) = again.expect("the upkeep call may not have taken effect, so it is repeated");
     desk.told(id, ExternalReply::Done);
     assert_eq!(desk.ask(CellRequest::WaveState(1)), CellResponse::Wave { done: false });
     desk.runners[0] = EmulatedRunner::new("w9", "r1", 6, CAPACITY, desk.now);
@@ -161,9 +163,9 @@
     assert_eq!(desk.ask(CellRequest::WaveState(2)), CellResponse::Gone);
 }
 
-/// A report is held up on its way and comes after newer ones. It does not list a run
-/// that began meanwhile; obeyed, the run would be ordered anew, and its lease be
-/// renewed by a word that is seconds old.
+/// A delayed report that arrives after newer ones does not list a run that began meanwhile. If
+/// the leader acted on it, it would order that run again and renew a lease by a report that is
+/// seconds old.
 #[test]
 fn a_late_report_gets_no_orders() {
     let (spec, behavior) = step(1, 1, 5_000);
@@ -179,8 +181,8 @@
     assert_eq!((orders.lease_ms, orders.start.len(), orders.stop.len()), (0, 0, 0));
 }
 
-/// A task fails on a runner that may be at fault. Tried again there at once, it would
-/// use up the job's attempts within a second; it waits for another runner.
+/// A task fails on a runner that may be at fault. Retries on that runner would use up the
+/// attempts of the job within a second, so the task waits for another runner.
 #[test]
 fn a_second_try_goes_to_another_runner() {
     let (spec, behavior) = step(1, 1, 100);
@@ -190,7 +192,7 @@
     assert_eq!(desk.round()[0].start.len(), 1);
     for _ in 0..4 {
         desk.pass(TICK);
-        assert!(desk.round()[0].start.is_empty(), "not where it failed");
+        assert!(desk.round()[0].start.is_empty(), "started again on the runner where it failed");
     }
     let other = EmulatedRunner::new("w1", "r1", 5, CAPACITY, desk.now);
     desk.runners.push(other);
--- a/crates/coordination/tests/colocation.rs
+++ b/crates/coordination/tests/colocation.rs
@@ -1,9 +1,9 @@
-//! Tasks that serve and tasks that fill on one runner: what the leader orders from the
-//! tails that the runner reports.
+//! Tests serving and background tasks on one runner: which orders the leader gives by the tail
+//! latencies that the runner reports.
 //!
-//! The pattern played here: a serving task of half a runner whose bound is 24 ms, and
-//! opportunistic work of two images beside it, one of which presses on it by a whole
-//! margin for each twentieth of the runner.
+//! The load: a serving task that takes half of a runner with a tail bound of 24 ms, and
+//! opportunistic tasks of two images beside it. Each twentieth of the runner that tasks of one
+//! of the images use costs the serving task a margin of one.
 
 #[path = "cell/desk.rs"]
 #[allow(dead_code)]
@@ -22,7 +22,7 @@
 
 const REPORT: Duration = Duration::from_millis(200);
 const BOUND_MS: u64 = 24;
-/// A tail at half load: a third of the bound.
+/// Tail latency at half load: a third of the bound.
 const CALM_MS: u64 = 8;
 const SERVING: JobId = JobId(1);
 const FILLING: JobId = JobId(2);
@@ -43,7 +43,7 @@
     PairWeight { serving: "front".into(), filling: filling.into(), mean, variance: 0.1 }
 }
 
-/// One runner and what an earlier leader has learnt.
+/// A leader with one runner and the pair weights that an earlier leader has learnt.
 fn desk(learnt: Vec<PairWeight>) -> Desk {
     desk_deciding_by(Policy::default(), learnt)
 }
@@ -62,7 +62,11 @@
         desk.pass(REPORT);
         desk.round();
     }
-    assert_eq!(desk.round_showing(tail(CALM_MS))[0].start.len(), 0, "the serving task runs");
+    assert_eq!(
+        desk.round_showing(tail(CALM_MS))[0].start.len(),
+        0,
+        "the serving task runs already"
+    );
     desk
 }
 
@@ -70,7 +74,7 @@
     move |run| (run.task.job == SERVING).then_some(ms)
 }
 
-/// Lets reports come for some time and returns all orders.
+/// Advances time by this many reports and returns all orders.
 fn watch(desk: &mut Desk, reports: u32, tail_ms: u64) -> Vec<RunnerOrders> {
     let mut all = Vec::new();
     for _ in 0..reports {
@@ -84,9 +88,9 @@
     orders.iter().flat_map(|orders| &orders.start).filter(|start| start.task.job == job).count()
 }
 
-/// Users of a serving task see its bound broken for seconds on end while its neighbour
-/// works on: the pair is believed to be harmless, by what was learnt under another load,
-/// and one wrong belief is unlearnt slowly. After two seconds the neighbour stands still.
+/// A background task slows a serving task beyond its bound for seconds, because the pair weight,
+/// learnt under another load, calls it harmless and a single wrong weight is corrected slowly.
+/// After two seconds over the bound, the background task must be paused.
 #[test]
 fn nobody_is_over_its_bound_for_long_by_a_wrong_belief() {
     let mut desk = desk(vec![weight("index", 0.0)]);
@@ -101,24 +105,24 @@
     assert!(still, "{:?}", over.iter().map(|orders| &orders.rates).collect::<Vec<_>>());
     desk.submit_as(GENTLE, vec![filling(1, 1, "index")]);
     let more = watch(&mut desk, 3, BOUND_MS + 6);
-    assert_eq!(starts_of(&more, GENTLE), 0, "nothing more starts beside it");
+    assert_eq!(starts_of(&more, GENTLE), 0, "no more background tasks start beside it");
 }
 
-/// A quote never comes though most of the runners' room is free: its image presses on
-/// all that serve, and what processors they leave are wanted by others. With half of the
-/// pool idle one of its tasks starts all the same, slowed to what is borne, and is not
-/// moved back and forth.
+/// A background job never started although most capacity was free: its image slows every serving
+/// task, and other jobs want the remaining CPU. Once half of the pool is idle, one of its tasks
+/// starts all the same, at a pace that the serving task tolerates, and is not moved back and
+/// forth.
 #[test]
 fn a_job_with_nothing_running_starts_once_half_of_the_pool_is_idle() {
     let mut desk = desk(vec![weight("index", 20.0), weight("gentle", 0.0)]);
     desk.submit_as(GENTLE, vec![filling(4, 3, "gentle")]);
     let gentle = watch(&mut desk, 6, CALM_MS);
-    assert!(starts_of(&gentle, GENTLE) >= 3, "the room that is left is wanted");
+    assert!(starts_of(&gentle, GENTLE) >= 3, "another job wants the remaining capacity");
     desk.submit_as(FILLING, vec![filling(4, 4, "index")]);
     let early = watch(&mut desk, 8, CALM_MS);
-    assert_eq!(starts_of(&early, FILLING), 0, "it is not borne");
+    assert_eq!(starts_of(&early, FILLING), 0, "its image costs too much margin");
     let late = watch(&mut desk, 5, CALM_MS);
-    assert_eq!(starts_of(&late, FILLING), 1, "one task, no more");
+    assert_eq!(starts_of(&late, FILLING), 1, "exactly one task starts");
     let slowed = watch(&mut desk, 10, BOUND_MS - 4);
     let stopped = slowed.iter().flat_map(|orders| &orders.stop);
     assert_eq!(stopped.filter(|(task, _)| task.job == FILLING).count(), 0);
@@ -132,10 +136,10 @@
     assert!(paces.iter().any(|pace| *pace < 100), "{paces:?}");
 }
 
-/// Long quotes of one image wait for half a minute beside runners with room and margin: on
-/// most it presses on those that serve, and the few where it does not are taken by an
-/// image that gets on everywhere, which came a moment before. Each runner is offered the
-/// image first that presses less there than elsewhere.
+/// Long tasks of one image wait for half a minute although runners have capacity and margin. On
+/// most runners the image slows the serving tasks, and the few others are taken by an image that
+/// is harmless everywhere and came a moment earlier. Each runner is offered first to the image
+/// that costs less margin there than elsewhere.
 #[test]
 fn a_runner_goes_to_the_image_that_finds_room_nowhere_else() {
     for (mode, first) in [(Switch::On, FILLING), (Switch::Off, GENTLE)] {
@@ -149,6 +153,10 @@
         let orders = watch(&mut desk, 1, CALM_MS);
         let starts = |job| starts_of(&orders, job);
         assert!(starts(first) > 0, "matching {mode}: {orders:?}");
-        assert_eq!(starts(FILLING) + starts(GENTLE), starts(first), "there is room for one job");
+        assert_eq!(
+            starts(FILLING) + starts(GENTLE),
+            starts(first),
+            "the capacity is enough for one job"
+        );
     }
 }
--- a/crates/coordination/tests/crashes.rs
+++ b/crates/coordination/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash their runners, and rooms that shrink, under every order of events.
+//! Tests tasks that crash their runners and capacities that shrink, in many orders of events.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -12,17 +12,17 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const AT_ONCE: Crash = Crash::each(Duration::from_millis(10));
-/// Starts of a task after which another one breaks the rule at the latest.
+/// Most starts of a crashing task: one more violates the limit.
 const STARTS_MAX: usize = 5;
 
-/// A job whose only task crashes each runner that starts it.
+/// Submits a job whose only task crashes each runner that starts it.
 fn submit_crashing(world: &mut World, id: u64, crash: Crash) {
     let (spec, mut truths) = job(vec![step(1, 2, 1_000)]);
     truths[0].crash = Some(crash);
     world.submit(JobId(id), spec, truths);
 }
 
-/// A task that crashed each runner was started again for as long as the day lasted.
+/// Guards against starting a task that crashes each runner again without end.
 #[test]
 fn a_task_that_crashes_each_runner_at_once_is_given_up() {
     let mut world = World::new(1, 12, Rough::CALM);
@@ -33,7 +33,7 @@
     world.assert_kept();
 }
 
-/// The same, where the crash comes after the runner has listed the task.
+/// Guards against the same failure when the crash comes after the runner has reported the task.
 #[test]
 fn a_task_that_crashes_each_runner_after_a_while_is_given_up() {
     for after in [300, 900, 3_000] {
@@ -48,7 +48,8 @@
     }
 }
 
-/// A report that was sent before a crash and came after the lease took the crash back.
+/// A report that was sent before a crash and arrives after the lease has expired must not make
+/// the leader forget the crash.
 #[test]
 fn a_late_last_report_does_not_take_a_crash_back() {
     for seed in 0..12 {
@@ -63,7 +64,7 @@
     }
 }
 
-/// A count that a leader kept in its memory was gone with it.
+/// Crash counts must outlive the leader: a count kept only in its memory was lost with it.
 #[test]
 fn crashes_are_counted_through_changes_of_leader() {
     let mut world = World::new(3, 12, Rough::CALM);
@@ -78,7 +79,7 @@
     world.assert_kept();
 }
 
-/// Work beside a task that crashes runners was lost with each of them.
+/// Tasks beside one that crashes runners must not be lost again with each of these runners.
 #[test]
 fn work_beside_tasks_that_crash_runners_completes() {
     let mut world = World::new(4, 30, Rough::CALM);
@@ -101,11 +102,12 @@
     world.assert_kept();
 }
 
-/// Runners tried suspects all at once, and most of a pool was down.
+/// If all runners tried suspects at the same time, most of a pool would be down.
 #[test]
 fn only_some_runners_try_suspects_at_once() {
     let mut world = World::new(9, 40, Rough::CALM);
-    // Back before their leases end, so that each is on trial for as long as it is down.
+    // Runners restart before their leases expire, so that each trial lasts as long as its runner
+    // is down.
     world.away_ms = 1_000..4_000;
     for id in 1..=20 {
         submit_crashing(&mut world, id, AT_ONCE);
@@ -118,7 +120,7 @@
     world.assert_kept();
 }
 
-/// Tasks of a step that crashes runners went on to be started by each runner that came back.
+/// Tasks of a step that crashes runners must not be started by each runner that restarts.
 #[test]
 fn a_step_whose_tasks_all_crash_runners_takes_few_of_them() {
     let mut world = World::new(10, 12, Rough::CALM);
@@ -128,11 +130,11 @@
     world.run_for(SECOND * 60);
     assert_eq!(world.state(JobId(1)), Some(JobState::Failed));
     let crashes: usize = (0..60).map(|index| world.crashes_of(key(1, 0, index))).sum();
-    assert!(crashes <= 12 + 3, "{crashes} crashes, 12 of them before anything was known");
+    assert!(crashes <= 12 + 3, "{crashes} crashes; 12 are expected before the first is known");
     world.assert_kept();
 }
 
-/// A task went on to other runners while it was not known what became of the last three.
+/// A task must not move on to other runners before it is known whether the last three crashed.
 #[test]
 fn a_task_waits_for_news_of_the_runners_lost_under_it() {
     for seed in 0..6 {
@@ -144,13 +146,13 @@
         assert_eq!(world.starts_of(key(1, 0, 0)), 3, "seed {seed}");
         let given_up = world.leader.as_ref().map(|leader| leader.counts().given_up);
         assert_eq!(given_up, Some(1), "seed {seed}");
-        let reason = world.reason(JobId(1)).expect("a reason");
+        let reason = world.reason(JobId(1)).expect("a failure reason");
         assert!(reason.contains("3 runners were lost under task"), "{reason}");
         world.assert_kept();
     }
 }
 
-/// A task was given up since its runners were cut off, one after the other.
+/// A task must not be given up because its runners were partitioned one after the other.
 #[test]
 fn runners_that_are_only_cut_off_are_no_marks() {
     let mut world = World::new(11, 3, Rough::CALM);
@@ -158,7 +160,7 @@
     world.submit(JobId(1), spec, truths);
     for _ in 0..7 {
         world.run_for(SECOND * 2);
-        let at = world.runner_of(key(1, 0, 0)).expect("it runs");
+        let at = world.runner_of(key(1, 0, 0)).expect("a runner that runs it");
         world.cut(at, SECOND * 6);
         world.run_for(SECOND * 13);
     }
@@ -167,7 +169,7 @@
     world.assert_kept();
 }
 
-/// What ends with runners that leave was counted against the tasks there.
+/// Ends on runners that leave must not count as crashes of the tasks there.
 #[test]
 fn runners_that_leave_are_no_marks() {
     let mut world = World::new(12, 3, Rough::CALM);
@@ -175,7 +177,7 @@
     world.submit(JobId(1), spec, truths);
     for _ in 0..6 {
         world.run_for(SECOND * 3);
-        let at = world.runner_of(key(1, 0, 0)).expect("it runs");
+        let at = world.runner_of(key(1, 0, 0)).expect("a runner that runs it");
         world.drain(at);
         world.run_for(SECOND);
         world.crash(at, SECOND);
@@ -186,7 +188,7 @@
     world.assert_kept();
 }
 
-/// A task that lasts was given up for crashes of its runners that lay long after its start.
+/// A long-running task must not be given up for runner crashes long after its starts.
 #[test]
 fn crashes_long_after_a_start_do_not_add_up() {
     let mut world = World::new(13, 3, Rough::CALM);
@@ -199,7 +201,7 @@
     world.submit(JobId(1), spec, truths);
     for _ in 0..6 {
         world.run_for(SECOND * 14);
-        let at = world.runner_of(key(1, 0, 0)).expect("it runs");
+        let at = world.runner_of(key(1, 0, 0)).expect("a runner that runs it");
         world.crash(at, SECOND);
     }
     world.run_for(SECOND * 5);
@@ -207,7 +209,7 @@
     world.assert_kept();
 }
 
-/// A sound task lost its last tries to others that ran beside it.
+/// A task that crashes nothing must not lose its last attempts to tasks that run beside it.
 #[test]
 fn the_last_try_of_a_task_has_its_runner_for_itself() {
     let mut world = World::new(14, 6, Rough::CALM);
@@ -218,7 +220,7 @@
         while world.runner_of(suspect).is_none() {
             world.step();
         }
-        let at = world.runner_of(suspect).expect("it runs");
+        let at = world.runner_of(suspect).expect("a runner that runs it");
         world.crash(at, SECOND);
     }
     for id in 100..140 {
@@ -236,7 +238,8 @@
     world.assert_kept();
 }
 
-/// A run whose order was held back for want of room stayed where it could never start.
+/// A run whose order is held back because its runner has no capacity left must be given up, or
+/// it would wait for that runner forever.
 #[test]
 fn a_run_that_its_runner_has_no_room_for_goes_elsewhere() {
     let mut world = World::new(15, 1, Rough::CALM);
@@ -249,12 +252,12 @@
     world.cut(0, SECOND * 4);
     world.shrink(0, 4, SECOND * 100);
     world.run_for(SECOND * 14);
-    assert_eq!(world.committed_starts(), 0, "it waits for another runner");
+    assert_eq!(world.committed_starts(), 0, "the run is given up");
     assert_eq!(world.starts_of(key(1, 0, 0)), 0);
     world.assert_kept();
 }
 
-/// Suspects for which there was no room took up all trials, and others waited for ever.
+/// Suspects that fit on no runner must not use up all trials, or other suspects wait forever.
 #[test]
 fn a_suspect_that_finds_no_room_keeps_no_other_waiting() {
     let mut world = World::new(8, RUNNERS, Rough::CALM);
@@ -270,13 +273,16 @@
     crash_where_started(&mut world, 1);
     run_narrow(&mut world, SECOND * 10);
     assert_eq!(world.state(JobId(4)), Some(JobState::Completed));
-    assert!((1..=3).all(|id| world.starts_of(key(id, 0, 0)) == 1), "they find no room");
+    assert!(
+        (1..=3).all(|id| world.starts_of(key(id, 0, 0)) == 1),
+        "no runner has capacity for them"
+    );
     world.assert_kept();
 }
 
 const RUNNERS: usize = 10;
 
-/// Crashes the runners of the next runs right after their start.
+/// Crashes the runners of the next `count` runs right after their start.
 fn crash_where_started(world: &mut World, count: usize) {
     let mut crashed = 0;
     while crashed < count {
@@ -290,7 +296,7 @@
     }
 }
 
-/// No runner has room for a task of 16 cores meanwhile.
+/// Advances time while no runner has capacity for a task of 16 cores.
 fn run_narrow(world: &mut World, span: Duration) {
     let until = world.now + span;
     while world.now < until {
@@ -299,7 +305,7 @@
     }
 }
 
-/// Tasks that last were started again without end as well.
+/// Guards against starting a crashing long-running task again without end.
 #[test]
 fn a_lasting_task_that_crashes_each_runner_is_given_up() {
     let mut world = World::new(5, 12, Rough::CALM);
@@ -313,7 +319,7 @@
     world.assert_kept();
 }
 
-/// Members of a gang crashed one runner after another, and the gang started anew each time.
+/// A gang whose member crashes one runner after another must not start again without end.
 #[test]
 fn a_gang_with_a_member_that_crashes_runners_is_given_up() {
     let mut world = World::new(6, 12, Rough::CALM);
@@ -326,7 +332,7 @@
     world.assert_kept();
 }
 
-/// Runners crash by themselves as well: a task that was there is not at fault.
+/// Runners also crash by themselves, and the tasks there are not at fault.
 #[test]
 fn tasks_on_runners_that_crash_by_themselves_complete() {
     let mut world = World::new(7, 8, Rough::CALM);
@@ -341,7 +347,8 @@
     world.assert_kept();
 }
 
-/// A runner that was cut off with an order on its way, and shrank meanwhile, was told it again.
+/// An order that is repeated to a runner that was partitioned and shrank meanwhile must fit its
+/// new capacity.
 #[test]
 fn an_order_sent_again_fits_the_room_that_is_left() {
     for cut_ms in (4_300..5_300).step_by(50) {
@@ -362,7 +369,8 @@
     }
 }
 
-/// Orders sent again, late or lost brought runners over rooms that shrink and grow.
+/// Repeated, delayed or lost orders must not overcommit runners whose capacity shrinks and
+/// grows.
 #[test]
 fn starts_fit_rooms_that_shrink_and_grow() {
     let mut broken = Vec::new();
@@ -377,17 +385,18 @@
         world.run_for(SECOND * 10);
         broken.extend(world.broken.iter().map(|what| format!("seed {seed}: {what}")));
     }
-    assert!(broken.is_empty(), "{} faults, the first: {:#?}", broken.len(), broken.first());
+    assert!(broken.is_empty(), "{} violations, the first: {:#?}", broken.len(), broken.first());
 }
 
-/// Crashing tasks, shrinking rooms, lost leaders and partitions mixed broke single promises.
+/// Mixes crashing tasks, shrinking capacities, leader changes and partitions, which together
+/// broke invariants that each alone did not.
 #[test]
 fn rough_histories_with_crashing_tasks_keep_every_promise() {
     let mut broken = Vec::new();
     for seed in 0..HISTORIES {
         broken.extend(play(seed).into_iter().map(|what| format!("seed {seed}: {what}")));
     }
-    assert!(broken.is_empty(), "{} faults, the first: {:#?}", broken.len(), broken.first());
+    assert!(broken.is_empty(), "{} violations, the first: {:#?}", broken.len(), broken.first());
 }
 
 const HISTORIES: u64 = 150;
@@ -410,7 +419,7 @@
     let sound = |steps: &Vec<TaskBehavior>| steps.iter().all(|behavior| behavior.crash.is_none());
     for (id, truths) in world.truths.clone() {
         if sound(&truths) && world.is_open(id) {
-            world.broken.push(format!("{id} never ended beside crashing tasks"));
+            world.broken.push(format!("{id} did not end beside crashing tasks"));
         }
     }
     world.run_for(SECOND * 140);
--- a/crates/coordination/tests/directory.rs
+++ b/crates/coordination/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What entries are told of runners.
+//! Tests what the runner directory sends to entries.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,8 @@
     }
 }
 
-/// An entry that is told a large table in pieces missed runners that changed between two of them.
+/// An entry that receives a large table in several parts must not miss runners that change
+/// between two parts.
 #[test]
 fn a_table_told_in_pieces_leaves_nobody_out() {
     const RUNNERS: usize = 10;
@@ -42,7 +43,7 @@
             told.insert(change.spec.name);
         }
         if pieces == 0 {
-            // One that was told already, and one that was not.
+            // One runner that was sent already, and one that was not.
             directory.leave(&runner(0).name, Incarnation(1));
             directory.leave(&runner(7).name, Incarnation(1));
         }
@@ -73,7 +74,8 @@
     changes.iter().filter(|change| change.usable).count()
 }
 
-/// A leader that stood still suspected all runners at once, and entries refused every request.
+/// A leader that was paused must not suspect all runners at once, or entries refuse every
+/// request.
 #[test]
 fn a_leader_that_stood_still_suspects_nobody_for_it() {
     const RUNNERS: usize = 6;
@@ -86,11 +88,11 @@
     directory.tick(now, &entries);
     now = now + SUSPECT_MIN * 2;
     directory.tick(now, &entries);
-    assert_eq!(usable(&directory), RUNNERS, "their heartbeats wait to be read");
+    assert_eq!(usable(&directory), RUNNERS, "their heartbeats may wait to be read");
     for _ in 0..31 {
         now = now + Duration::from_millis(100);
         directory.heartbeat(now, &runner(0).name, Incarnation(1), Usage::default());
         directory.tick(now, &entries);
     }
-    assert_eq!(usable(&directory), 1, "the others are silent since it works again");
+    assert_eq!(usable(&directory), 1, "the others have sent nothing since the pause");
 }
--- a/crates/coordination/tests/explain.rs
+++ b/crates/coordination/tests/explain.rs
@@ -1,5 +1,5 @@
-//! From a failed request to its cause by the leader's log lines alone, as the operators'
-//! page describes it.
+//! Tests that the log lines of the leader alone lead from a failed job to its cause, as the
+//! operators' page describes.
 
 #[path = "cell/desk.rs"]
 #[allow(dead_code)]
@@ -22,7 +22,7 @@
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps what the test's own thread logs; the leader runs on it.
+/// Captures the log lines of the test's own thread, on which the leader runs.
 struct Keeper;
 
 impl Log for Keeper {
@@ -38,7 +38,7 @@
 }
 
 fn keep_lines() {
-    // Another test of this program may have set it; they all set the same.
+    // Another test of this process may have set the logger; all set the same one.
     let _ = log::set_logger(&Keeper);
     log::set_max_level(LevelFilter::Info);
 }
@@ -53,7 +53,7 @@
 fn assert_in_order(lines: &[String], wanted: &[&str]) {
     let mut rest = lines.iter();
     for part in wanted {
-        assert!(rest.any(|line| line.contains(part)), "no `{part}` in its place: {lines:#?}");
+        assert!(rest.any(|line| line.contains(part)), "no `{part}` in this order: {lines:#?}");
     }
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// A caller is told to come back later. Its job's only line names the queue and the
-/// time: the log had more to write than it could take.
+/// A job is refused because the log has more to write than it can take. Its only line names the
+/// queue and the time after which the caller may retry.
 #[test]
 fn a_refused_job_has_a_line_with_the_time_to_come_back() {
     keep_lines();
     let mut desk = Desk::new(1, None, behavior(500, false));
     let (spec, _) = step(1, 1, 500);
     let spec = Arc::new(JobSpec { payload: "p".into(), steps: vec![spec], schedule: None });
-    // Nothing is committed in between: the log stands still.
+    // Nothing is committed in between, as if the log were stalled.
     let mut refused = None;
     for number in 1..20_000 {
         let (now, id) = (desk.clock(), JobId(number));
@@ -96,9 +96,8 @@
     assert_in_order(&lines, &[&format!("queue=q refused after-ms={after_ms}")]);
 }
 
-/// A quote comes late. Its lines show one run that stood still on a runner, with its
-/// figure and for how long, the stop, the second run elsewhere, and at the end how late
-/// it was.
+/// A job ends late. Its lines show one stalled run with its runner, its progress and how long it
+/// stalled, the stop, the second run on another runner, and how late the job ended.
 #[test]
 fn a_late_job_leads_to_the_run_that_stood_still() {
     keep_lines();
@@ -128,9 +127,8 @@
     );
 }
 
-/// A caller is told that its job has failed. Its lines show as many failed runs as the
-/// queue has attempts, each on another runner; other jobs ended well there: the job is at
-/// fault, not the runners.
+/// A job fails. Its lines show as many failed runs as the queue has attempts, each on another
+/// runner, which tells that the job is at fault and not the runners.
 #[test]
 fn a_failed_job_leads_to_its_own_fault() {
     keep_lines();
@@ -162,8 +160,8 @@
     assert_eq!(runners.len(), 3, "{lines:#?}");
 }
 
-/// A job comes late though every run of it was quick. Its last line says for how long no
-/// runner had room for its next task.
+/// A job ends late though each of its runs was fast. Its last line tells for how long no runner
+/// had capacity for its next task.
 #[test]
 fn a_late_job_says_that_it_waited_for_room() {
     keep_lines();
--- a/crates/coordination/tests/incarnations.rs
+++ b/crates/coordination/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Which life of a runner is the newest, by names, addresses and births that overlap.
+//! Tests which incarnation of a runner is the newest when names, addresses and start times
+//! overlap.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -32,18 +33,19 @@
     }
 }
 
-/// A new leader refused a live runner every report, since its former address is another's now.
+/// A new leader must not refuse the reports of a live runner because another runner now has its
+/// former address.
 #[test]
 fn a_runner_that_moved_is_taken_by_a_new_leader() {
     let incarnations =
         vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7), incarnation("a", "y:1", 6)];
     let mut desk = Desk::with(0, None, TaskBehavior::default(), incarnations);
-    assert!(lease_of(&mut desk, "a", "y:1", 6) > 0, "it lives, at another address");
+    assert!(lease_of(&mut desk, "a", "y:1", 6) > 0, "it runs at another address");
     assert!(lease_of(&mut desk, "b", "x:1", 7) > 0);
-    assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0, "this life of it is over");
+    assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0, "this incarnation has ended");
 }
 
-/// A late report of a life whose address another runner took gave it a lease again.
+/// A late report of an incarnation must not renew its lease once another runner has its address.
 #[test]
 fn a_life_is_over_once_its_name_or_address_is_anothers() {
     let incarnations = vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7)];
--- a/crates/coordination/tests/interference.rs
+++ b/crates/coordination/tests/interference.rs
@@ -1,9 +1,9 @@
-//! What is learnt of pairs of images from late, noisy figures of swinging loads.
+//! Tests what is learnt about pairs of images from delayed, noisy margins of oscillating loads.
 //!
-//! The load played here is that of the users' sheets: five images serve at a load of
-//! 0.48 that swings by half within 20 s, nine images fill, somewhat more than half
-//! of the pairs press hard. A tail is the shortest answer over one less the load; a
-//! bound is six times the shortest answer.
+//! The load is that of the users' sheets: five images serve at a load of 0.48 that oscillates by
+//! half with a period of 20 s, beside nine background images; 55 % of the pairs interfere
+//! strongly. Tail latency is the shortest response time divided by one minus the load; a bound
+//! is six times the shortest response time.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -13,10 +13,10 @@
 
 const SERVING: usize = 5;
 const FILLS: usize = 9;
-/// Load that a filling task on a whole runner adds to a serving one beside it.
+/// Load that a background task on a whole runner adds to a serving task beside it.
 const HARD: f64 = 3.0;
 const EASY: f64 = 0.15;
-/// Figures of a pair, two seconds of it on one runner, from which it must be known.
+/// Reports of a pair, two seconds of it on one runner, from which the pair must be classified.
 const SEEN_MIN: u32 = 10;
 const BOUND_TO_SHORTEST: f64 = 6.0;
 
@@ -44,7 +44,7 @@
     (serves, fills)
 }
 
-/// Plays runners with two filling images each, which change every two seconds.
+/// Simulates runners with up to two background images each, which change every two seconds.
 fn learn(seed: u64, seconds: u64) -> (Truth, Interference, Vec<Vec<u32>>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let truth = Truth::draw(&mut rng);
@@ -82,15 +82,15 @@
     (truth, learnt, seen_together)
 }
 
-/// After twenty seconds of traffic at least four of five pairs that were seen together
-/// for two seconds are told apart, and two of three on the worst of twenty days. What
-/// is left is blamed on the other of two images that fill at once.
+/// After 20 s of traffic, at least four of five pairs that ran together for two seconds are
+/// classified correctly, and at least two of three with the worst of 20 seeds. The errors that
+/// remain are attributed to the wrong one of two background images that ran at the same time.
 #[test]
 fn hard_pairs_are_told_from_easy_ones() {
     let (mut right_in_all, mut all_in_all) = (0, 0);
     for seed in 0..20 {
         let (right, all) = told_apart(seed);
-        assert!(all * 4 >= SERVING * FILLS * 3, "too few pairs were played");
+        assert!(all * 4 >= SERVING * FILLS * 3, "too few pairs were simulated");
         assert!(right * 3 >= all * 2, "seed {seed}: {right} of {all} pairs");
         right_in_all += right;
         all_in_all += all;
@@ -117,8 +117,8 @@
     (right, all)
 }
 
-/// An own load that swings is not taken for somebody else's pressure: beside an
-/// image that presses on nobody the weight stays low.
+/// An oscillation of a task's own load must not be attributed to a background image that costs
+/// no margin.
 #[test]
 fn a_swinging_load_is_blamed_on_nobody() {
     let mut learnt = Interference::default();
@@ -133,5 +133,5 @@
         learnt.observe(serves[0], &mut own, margin, filling, now);
     }
     let taken = learnt.margin_loss(serves[0], &beside);
-    assert!(taken < 0.5, "a margin of {taken} is blamed on it");
+    assert!(taken < 0.5, "a margin loss of {taken} is attributed to it");
 }
--- a/crates/coordination/tests/lasting.rs
+++ b/crates/coordination/tests/lasting.rs
@@ -1,8 +1,8 @@
-//! Tasks that last in a pool that is full: which of them gets room first, and what short
-//! work beside them waits for.
+//! Tests long-running tasks in a full pool: which of them starts first, and what short tasks
+//! beside them wait for.
 //!
-//! The load played here: tasks that last reserve nearly all of a small pool, some of them
-//! lose their runner, others have never run, and short work fills each hole that is left.
+//! The load: long-running tasks reserve nearly all of a small pool, some of them lose their
+//! runner, others have never run, and short tasks fill each gap that is left.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -29,7 +29,7 @@
     world.submit(JobId(id), spec, vec![behavior]);
 }
 
-/// Short tasks, one on each runner.
+/// Submits short tasks that run on separate runners.
 fn submit_apart(world: &mut World, id: u64, count: u32, cores: u64, work_ms: u64) {
     let (mut step, behavior) = step(count, cores, work_ms);
     step.per_runner_max = 1;
@@ -37,9 +37,9 @@
     world.submit(JobId(id), spec, vec![behavior]);
 }
 
-/// A log that a customer keeps stops being written, and stays so for half a minute though
-/// room for its task comes free again and again. Its runner was lost while a larger job
-/// that never ran waited for room; the larger one came first, each time.
+/// An interrupted long-running task waited for half a minute although capacity for it came free
+/// again and again: a larger job that had never run waited as well and came first each time. The
+/// interrupted task must come first.
 #[test]
 fn a_task_that_is_down_comes_before_one_that_has_never_run() {
     let mut world = World::new(21, 1, Rough::CALM);
@@ -50,14 +50,15 @@
     assert_eq!(world.starts_of(key(1, 0, 0)), 1);
     world.crash(0, Duration::from_millis(100));
     world.run_for(SECOND * 3);
-    assert_eq!(world.starts_of(key(1, 0, 0)), 2, "it is down");
-    assert_eq!(world.starts_of(key(2, 0, 0)), 0, "there is no room for both");
+    assert_eq!(world.starts_of(key(1, 0, 0)), 2, "the interrupted task starts again");
+    assert_eq!(world.starts_of(key(2, 0, 0)), 0, "the capacity is not enough for both");
     world.assert_kept();
 }
 
-/// A short job takes seconds though each runner has room for it: new tasks that last wait
-/// for what runs there to end, and the room is kept for them on every runner. It is kept
-/// on one at a time, so the short job runs at once on the others.
+/// New long-running tasks wait for the tasks on each runner to end. If capacity were kept free
+/// for them on every runner, a short job would wait for seconds although each runner has
+/// capacity for it. It is kept free on one runner at a time, so the short job runs at once on
+/// the others.
 #[test]
 fn room_is_kept_on_one_runner_at_a_time_for_new_tasks_that_last() {
     let mut world = World::new(22, 4, Rough::CALM);
@@ -69,13 +70,13 @@
     world.run_for(SECOND);
     assert_eq!(world.state(JobId(3)), Some(JobState::Completed));
     world.run_for(SECOND * 8);
-    assert_eq!(world.starts_of(key(2, 0, 0)), 1, "they have their turn");
+    assert_eq!(world.starts_of(key(2, 0, 0)), 1, "the long-running tasks start in turn");
     world.assert_kept();
 }
 
-/// A runner says that it leaves in some seconds, and every other one is full. Its tasks
-/// that last used to be stopped at once, and served nobody for the seconds in which the
-/// runner still would have kept them. They stay until there is room, or until it leaves.
+/// A runner announces that it leaves in some seconds, and all others are full. If its
+/// long-running tasks were stopped at once, they would serve nobody in the time that is left on
+/// it. They stay until another runner has capacity or the runner leaves.
 #[test]
 fn tasks_that_last_stay_on_a_leaving_runner_while_there_is_no_room() {
     let mut world = World::new(23, 2, Rough::CALM);
@@ -88,15 +89,15 @@
     let lasting_on = |world: &World, at: usize| {
         world.running_on(at).into_iter().filter(|task| task.job == JobId(1)).count()
     };
-    assert_eq!(lasting_on(&world, 0), 1, "it still serves there");
+    assert_eq!(lasting_on(&world, 0), 1, "the task still runs there");
     world.run_for(Duration::from_millis(2_600));
-    assert_eq!(lasting_on(&world, 0), 0, "it is stopped before the runner is gone");
+    assert_eq!(lasting_on(&world, 0), 0, "the task is stopped before the runner is gone");
     world.assert_kept();
 }
 
-/// Half of a small pool is lost, and with it tasks that last. Every other runner would have
-/// room for one of them once its short tasks have ended, and all of them were kept free for
-/// that: a short job found no room for seconds. One runner in twelve is kept, or one.
+/// Half of a small pool is lost with its long-running tasks. If every other runner were kept
+/// free for them, a short job would find no capacity for seconds. One runner in twelve is kept
+/// free, and at least one.
 #[test]
 fn a_small_pool_is_not_kept_free_as_a_whole() {
     let mut world = World::new(24, 8, Rough::CALM);
@@ -113,7 +114,7 @@
     for at in lost {
         world.crash(at, SECOND * 100);
     }
-    // Their leases end, and they wait for more than a second.
+    // The leases expire, and the tasks wait for more than one second.
     world.run_for(SECOND * 8);
     submit_apart(&mut world, 3, 3, 4, 300);
     world.run_for(SECOND);
--- a/crates/coordination/tests/margin_forecast.rs
+++ b/crates/coordination/tests/margin_forecast.rs
@@ -1,8 +1,9 @@
-//! Forecasts of loads that swing, from late and noisy figures.
+//! Tests forecasts of margins under oscillating loads, from delayed and noisy reports.
 //!
-//! The load played here is that of the users' sheets: jobs serve at a load of 0.48 that
-//! swings by half within 10 or 20 s, each in a phase of its own; a bound is six times the
-//! shortest answer, and a figure is the tail of the last half second, five times a second.
+//! The load is that of the users' sheets: jobs serve at a load of 0.48 that oscillates by half
+//! with a period of 10 or 20 s, each in its own phase. A bound is six times the shortest
+//! response time. A report has the tail latency of the last half second and comes five times a
+//! second.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -14,9 +15,9 @@
 
 const BOUND_TO_SHORTEST: f64 = 6.0;
 const REPORT_MS: u64 = 200;
-/// A figure is that of the last half second.
+/// Mean age of the requests in a report, which covers the last half second.
 const FIGURE_AGE_S: f64 = 0.25;
-/// A filling task's usual length.
+/// Usual run time of a background task.
 const AHEAD: Duration = Duration::from_millis(2_500);
 
 fn margin(period_s: f64, phase: f64, at_s: f64) -> f64 {
@@ -24,7 +25,7 @@
     BOUND_TO_SHORTEST * (1.0 - load)
 }
 
-/// Plays jobs with a period and returns what was learnt of them after some seconds.
+/// Simulates jobs with a periodic load and returns the learnt forecasts and the true phases.
 fn play(seed: u64, period_s: f64, seconds: u64) -> (MarginForecasts<u32>, Vec<f64>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let phases: Vec<f64> = (0..12).map(|_| rng.random::<f64>()).collect();
@@ -48,7 +49,7 @@
     (loads, phases)
 }
 
-/// Mean error of the forecasts, and of taking the margin of now for that of then.
+/// Mean error of the forecasts, and of the present margin taken as the forecast.
 fn errors(loads: &MarginForecasts<u32>, phases: &[f64], period_s: f64, now_s: u64) -> (f64, f64) {
     let now = Moment::from_millis(now_s * 1_000);
     let then_s = now_s as f64 + AHEAD.as_secs_f64();
@@ -63,9 +64,9 @@
     (forecast / count, naive / count)
 }
 
-/// Users of a serving task see its bound broken: a task that fills is started while the
-/// load is low and is still running, two and a half seconds later, when it is high. A
-/// forecast by the wave errs by a third of what the present margin would.
+/// A background task that starts while the load of a serving task is low still runs 2.5 s later,
+/// when the load is high and the bound is exceeded. The error of a forecast must be below a
+/// third of the error of taking the present margin.
 #[test]
 fn margins_ahead_are_forecast() {
     for period_s in [10.0, 20.0] {
@@ -83,8 +84,8 @@
     }
 }
 
-/// The period of a deployment is nowhere written: of those tried, one within an eighth
-/// of the true one is believed after half a minute.
+/// The period of a deployment is not configured. After 30 s, the chosen candidate must be within
+/// an eighth of the true period.
 #[test]
 fn the_period_is_found() {
     for (period_s, least, most) in [(10.0, 10.0, 10.0), (20.0, 20.0, 20.0), (14.0, 12.5, 16.0)] {
@@ -96,7 +97,7 @@
     }
 }
 
-/// A job whose load stands still is not taken for one that swings.
+/// A constant load must not be modelled as an oscillating one.
 #[test]
 fn a_steady_load_stays_steady() {
     let mut learnt = Interference::default();
--- a/crates/coordination/tests/peer_table.rs
+++ b/crates/coordination/tests/peer_table.rs
@@ -1,4 +1,4 @@
-//! Who founds a cell, and whom a process believes to lead it.
+//! Tests which process bootstraps a cell, and which leader a process knows.
 
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -28,13 +28,13 @@
     (0..SEEDS).map(address).collect()
 }
 
-/// Processes of a new cell, the first of them its seeds.
+/// Processes of a new cell; the first ones are its seeds.
 fn peer_tables(disks: &[bool]) -> Vec<PeerTable> {
     let peer_table = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
     disks.iter().enumerate().map(peer_table).collect()
 }
 
-/// `to` hears `from` itself, and what it says of the founder.
+/// `to` receives the record of `from` and the replica that `from` would let bootstrap.
 fn hear(all: &mut [PeerTable], to: usize, from: usize, now: Moment) {
     let (me, founder) = (all[from].me.clone(), all[from].designated());
     all[to].record_peer(me, now);
@@ -52,10 +52,9 @@
 }
 
 proptest! {
-    /// Two operators see two systems, each with half of the jobs: at the very first start
-    /// two processes found, since each has not heard of the other. Whatever is heard in
-    /// whatever order, no two may found; once all have heard all, one does if any has a
-    /// disk.
+    /// If two processes bootstrapped before they knew each other, there would be two cells, each
+    /// with half of the jobs. In no order of messages may two processes bootstrap. Once all have
+    /// heard from all, one does, provided that any has a disk.
     #[test]
     fn exactly_one_founds(
         disks in prop::collection::vec(any::<bool>(), 4..8),
@@ -86,8 +85,8 @@
     }
 }
 
-/// A disk comes back empty long after the first start, and nobody has told it yet that
-/// there is a cell. It must not found a second one beside the first.
+/// A disk that comes back empty long after the first start must not bootstrap a second cell,
+/// even before its process learns of the first.
 #[test]
 fn nobody_founds_after_the_first_start_or_beside_a_leader() {
     let later = PeerTable::new(info(0, true), seeds(), false);
@@ -97,17 +96,20 @@
     first.record_leader(lead(2, 4), address(5), Moment::ZERO);
     assert!(!first.should_bootstrap(true));
     first.clear_leader(address(2), "test");
-    assert!(!first.should_bootstrap(true), "a cell is there, though nobody leads it now");
+    assert!(!first.should_bootstrap(true), "the cell exists, though it has no leader now");
 }
 
-/// A process that was cut off tells of a leader of an earlier term. Callers must not be
-/// sent back to it, and what others tell never makes a leader count as serving.
+/// A process that was partitioned reports a leader of an earlier term. Requests must not go back
+/// to that leader, and only a leader's own report makes it count as serving.
 #[test]
 fn an_earlier_leader_is_not_believed_in() {
     let now = Moment::from_millis(1_000);
     let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
     peer_table.record_leader(lead(1, 5), address(1), now);
-    assert!(peer_table.lead().is_some_and(|lead| lead.serving), "it says so itself");
+    assert!(
+        peer_table.lead().is_some_and(|lead| lead.serving),
+        "the leader reports itself as serving"
+    );
     peer_table.record_leader(lead(0, 4), address(0), now);
     assert_eq!(peer_table.lead().map(|lead| lead.peer), Some(address(1)));
     peer_table.record_leader(lead(2, 6), address(0), now);
@@ -115,8 +117,9 @@
     assert_eq!((told.peer, told.serving), (address(2), false));
 }
 
-/// A leader falls silent without a reset. Requests that go on to it would wait for
-/// nothing, so after three missed answers there is none; hearsay does not keep it.
+/// A leader becomes unreachable without a connection reset, and requests sent to it would wait
+/// in vain. It is dropped after three missed replies, and reports of other processes do not keep
+/// it.
 #[test]
 fn a_silent_leader_is_dropped() {
     let mut now = Moment::from_millis(1_000);
--- a/crates/coordination/tests/policy.rs
+++ b/crates/coordination/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Policies: what they may say, and that no promise rests on a mechanism being on.
+//! Tests which policies are valid, and that no invariant depends on a mechanism being on.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -15,7 +15,7 @@
 const JOBS: u64 = 12;
 const SEEDS: u64 = 6;
 
-/// The policy that ships, with one mechanism off or another way.
+/// The default policy with one mechanism off or set to another mode.
 fn variants() -> Vec<(&'static str, Policy)> {
     let with = |name, change: fn(&mut Policy)| {
         let mut policy = Policy::default();
@@ -47,7 +47,7 @@
     ]
 }
 
-/// Jobs of all kinds under lost messages, crashes and changes of leader.
+/// Simulates jobs of all kinds with lost messages, crashes and leader changes.
 fn play(seed: u64, policy: Policy) -> Vec<String> {
     let mut world = World::with_policy(seed, 5, Rough::HARD, policy);
     for id in 1..=JOBS {
@@ -68,12 +68,12 @@
     world.close_all(JOBS)
 }
 
-/// An operator switches a mechanism off to find out what it is worth. Its jobs may take
-/// longer; none may run twice, be forgotten or start too early for that.
+/// An operator switches a mechanism off to measure its effect. Jobs may take longer, but none
+/// may run twice, be forgotten or start too early.
 #[test]
 fn no_promise_rests_on_a_mechanism() {
     for (name, policy) in variants() {
-        policy.check().expect("a sound policy");
+        policy.check().expect("a valid policy");
         for seed in 0..SEEDS {
             let broken = play(seed, policy);
             assert!(broken.is_empty(), "without {name}, seed {seed}: {broken:#?}");
@@ -84,7 +84,7 @@
 #[test]
 fn a_figure_out_of_range_is_named_with_its_bounds() {
     let order = OrderPolicy { size_weight: -1.0, ..OrderPolicy::default() };
-    let bad = Policy::builder().order(order).build().expect_err("no size counts for a job");
+    let bad = Policy::builder().order(order).build().expect_err("a negative weight is invalid");
     assert!(matches!(bad, BadPolicy::OutOfRange { section: "order", name: "size-weight", .. }));
     let text = bad.to_string();
     assert_eq!(text, "[order] size-weight is -1; write a figure from 0 to 2");
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! Throttling under pressure: whom, when, and until when.
+//! Tests throttling under pressure: which tasks are throttled, and from when until when.
 
 use yuccalink_coordination::pressure::{Pressure, PressureChange};
 use yuccalink_state::command::{Apply, Placement, TaskEvent, TaskReport, TaskSubmission};
@@ -17,7 +17,7 @@
     Resources { millicores, memory_mib: 1, accelerators: 0 }
 }
 
-/// A worker of ten cores that runs one task of each kind given.
+/// A worker of ten cores that runs one task of each given class.
 fn state(throttle: bool, classes: &[TaskClass]) -> StateMachine {
     let mut state = StateMachine::new();
     let kinds = classes.iter().enumerate().map(|(at, class)| TaskKind {
@@ -68,17 +68,21 @@
     pressure.note(state, WORKER, used).0.iter().map(|throttle| throttle.task.0).collect()
 }
 
-/// A batch wave fills a worker on which people wait for a latency-critical task.
-/// Only batch tasks are slowed, until the pressure is well over.
+/// A batch wave fills a worker that also runs a latency-critical task. Only batch tasks are
+/// throttled, until the pressure is well below the limit.
 #[test]
 fn batch_makes_way_for_latency_critical_work() {
     use TaskClass::{Batch, LatencyCritical};
     let state = state(true, &[LatencyCritical, Batch, Batch]);
     let mut pressure = Pressure::default();
-    assert!(throttled(&mut pressure, &state, 8_900).is_empty(), "not yet");
+    assert!(throttled(&mut pressure, &state, 8_900).is_empty(), "below the limit");
     assert_eq!(pressure.note(&state, WORKER, 9_100).1, Some(PressureChange::Pressed));
-    assert_eq!(throttled(&mut pressure, &state, 9_100), [2, 3], "renewed at each word");
-    assert_eq!(throttled(&mut pressure, &state, 7_500), [2, 3], "not to and fro");
+    assert_eq!(throttled(&mut pressure, &state, 9_100), [2, 3], "renewed at each report");
+    assert_eq!(
+        throttled(&mut pressure, &state, 7_500),
+        [2, 3],
+        "throttled until well below the limit"
+    );
     assert_eq!(pressure.note(&state, WORKER, 6_900).1, Some(PressureChange::Eased));
     assert!(throttled(&mut pressure, &state, 8_000).is_empty());
 }
--- a/crates/coordination/tests/raft.rs
+++ b/crates/coordination/tests/raft.rs
@@ -1,7 +1,6 @@
-//! The consensus under random histories: messages lost, delayed, doubled and
-//! reordered, crashes that lose unsynced writes, one-way cuts, replaced disks,
-//! and clocks that drift. `YUCCALINK_SEED=n` runs one history, and
-//! `YUCCALINK_HISTORIES=n` another number of them.
+//! Tests Raft under random histories: messages lost, delayed, duplicated and reordered, crashes
+//! that lose unsynced writes, one-way partitions, replaced disks and drifting clocks.
+//! `YUCCALINK_SEED=n` runs one history, `YUCCALINK_HISTORIES=n` sets the number of histories.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -18,7 +17,7 @@
 const HISTORIES: u64 = 10_000;
 const STEPS: usize = 500;
 
-/// What is on a replica's disk, and what is written but not synced.
+/// Durable state of a replica, and writes that are not synced yet.
 #[derive(Clone, Default)]
 struct Disk {
     hard: HardState,
@@ -45,7 +44,7 @@
     applied: Vec<u64>,
     held: Vec<(u64, Envelope)>,
     synced: u64,
-    /// Its clock runs this many parts per million fast.
+    /// Clock drift in parts per million; positive if the clock is fast.
     drift: i64,
     snapshot_pending: BTreeSet<ReplicaId>,
 }
@@ -81,7 +80,7 @@
 
 impl World {
     fn new(seed: u64, replicas: usize) -> Self {
-        // Half of the networks are fast: what rests on time shows there.
+        // Half of the networks are fast, to expose rules that depend on time.
         let fast = seed % 2 == 1;
         let mut world = Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -108,7 +107,7 @@
         world
     }
 
-    /// Founds the system, as daemons do while all of them say that they have nothing.
+    /// Bootstraps the group if every replica reports that it is empty, as the daemons do.
     fn bootstrap(&mut self) {
         if self.nodes.values().any(|node| node.raft.as_ref().is_none_or(|raft| !raft.is_empty())) {
             return;
@@ -138,7 +137,7 @@
         id
     }
 
-    /// A node's own clock, which drifts within the bound.
+    /// The node's own clock, which drifts within the allowed bound.
     fn clock(&self, id: ReplicaId) -> Moment {
         let drift = self.nodes[&id].drift;
         let now = i64::try_from(self.now).expect("small");
@@ -161,7 +160,7 @@
         node.raft = Some(Raft::new(id, restored, seed, at));
     }
 
-    /// Power is lost: of what was not synced a prefix may have reached the disk.
+    /// Simulates a power loss: a prefix of the unsynced writes may have reached the disk.
     fn crash(&mut self, id: ReplicaId) {
         let survive = self.rng.random_range(0..3);
         let node = self.nodes.get_mut(&id).expect("a node");
@@ -194,7 +193,7 @@
                     .chunks(8)
                     .map(|part| u64::from_le_bytes(part.try_into().expect("eight")))
                     .collect();
-                // Everything written before is synced with it.
+                // Installing a snapshot also syncs everything written before.
                 while node.disk.sync_one().is_some() {}
                 node.synced = u64::MAX;
                 node.disk.install(&meta, &state);
@@ -236,7 +235,7 @@
         self.carry_out(id);
     }
 
-    /// Sends what the disk has confirmed.
+    /// Sends the messages whose writes are synced.
     fn release(&mut self, id: ReplicaId) {
         let node = self.nodes.get_mut(&id).expect("a node");
         let synced = node.synced;
@@ -273,7 +272,7 @@
         }
         match self.log[index] {
             None => self.log[index] = value,
-            known => assert_eq!(known, value, "{id} committed something else at {index}"),
+            known => assert_eq!(known, value, "{id} committed a different entry at {index}"),
         }
     }
 
@@ -338,7 +337,7 @@
         }
     }
 
-    /// At most one replica at any moment believes that it may grant leases.
+    /// At any moment, at most one replica may consider itself allowed to grant leases.
     fn check_leases(&self) {
         let holders: Vec<ReplicaId> = self
             .nodes
@@ -348,7 +347,7 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        assert!(holders.len() <= 1, "two leases: {holders:?}");
+        assert!(holders.len() <= 1, "several replicas may grant leases: {holders:?}");
     }
 
     fn propose(&mut self) {
@@ -381,14 +380,14 @@
         raft.compact(index, keep);
     }
 
-    /// A VM is replaced: the seat's old disk is gone, a new one catches up first.
+    /// Replaces a VM: its old disk is gone, and the new one must catch up first.
     fn replace(&mut self) {
         let seat = self.rng.random_range(0..self.seats.len());
         let old = self.seats[seat];
         if self.nodes[&old].raft.as_ref().is_some_and(|raft| raft.role() == Role::Leader) {
             return;
         }
-        // A disk may be lost right after the repair of another, but not before.
+        // A disk may be lost right after another was repaired, but not before.
         let repaired = |raft: &Raft| {
             raft.has_committed_in_term()
                 && raft.members_committed()
@@ -403,7 +402,7 @@
         self.seats[seat] = self.new_node();
     }
 
-    /// What the daemon of the leader does about replaced disks.
+    /// Changes members after a disk was replaced, as the daemon of the leader does.
     fn repair(&mut self) {
         for (seat, id) in self.seats.clone().into_iter().enumerate() {
             let leaders: Vec<ReplicaId> = self.nodes.keys().copied().collect();
@@ -479,7 +478,7 @@
         self.check_leases();
     }
 
-    /// The disturbances end: everything works again, and nothing is lost.
+    /// Ends all faults and checks that the group makes progress and has lost nothing.
     fn finish(&mut self) {
         self.calm = true;
         self.cut.clear();
@@ -497,7 +496,11 @@
         for _ in 0..200 {
             self.step();
         }
-        assert!(self.acknowledged.len() > before, "nothing is decided any more: {}", self.shown());
+        assert!(
+            self.acknowledged.len() > before,
+            "no progress after the faults ended: {}",
+            self.shown()
+        );
         let longest = self
             .nodes
             .values()
@@ -507,10 +510,10 @@
             .clone();
         let kept: BTreeSet<u64> = longest.iter().copied().collect();
         let lost: Vec<&u64> = self.acknowledged.difference(&kept).collect();
-        assert!(lost.is_empty(), "acknowledged and lost: {lost:?}");
-        assert_eq!(kept.len(), longest.len(), "something was applied twice");
+        assert!(lost.is_empty(), "acknowledged entries were lost: {lost:?}");
+        assert_eq!(kept.len(), longest.len(), "an entry was applied twice");
         for (id, node) in &self.nodes {
-            assert!(longest.starts_with(&node.applied), "{id} applied something else");
+            assert!(longest.starts_with(&node.applied), "{id} applied a different entry");
         }
     }
 }
@@ -537,7 +540,7 @@
     }
 }
 
-/// Messages held for writes that an installed snapshot has overtaken may go.
+/// Messages that wait for writes overtaken by an installed snapshot may be sent.
 fn raft_seq(disk: &Disk, synced: u64) -> u64 {
     disk.unsynced.front().map_or(synced, |write| write.seq - 1)
 }
@@ -563,7 +566,7 @@
 fn history(seed: u64) {
     let replicas = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut world = World::new(seed, replicas);
-    // Some histories are rough, some give time to settle between disturbances.
+    // Some histories have frequent faults, others leave time to recover between two.
     let pause = [3, 8, 30][usize::try_from(seed % 7 % 3).expect("small")];
     for _ in 0..STEPS {
         world.step();
@@ -584,10 +587,10 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// Voters crash, lose unsynced writes, are cut off in one or both directions and
-/// replaced by empty disks, while messages are lost, doubled and reordered. There
-/// is one leader a term and one lease at a time; nothing acknowledged is lost,
-/// nothing is applied twice, and all go on when the disturbances end.
+/// Voters crash, lose unsynced writes, are partitioned in one or both directions and replaced by
+/// empty disks, while messages are lost, duplicated and reordered. Each term has at most one
+/// leader, and at most one lease is held at a time. No acknowledged entry is lost or applied
+/// twice, and the group makes progress once the faults end.
 #[test]
 fn no_history_breaks_a_promise() {
     if let Some(seed) = setting("YUCCALINK_SEED") {
@@ -600,7 +603,7 @@
             std::thread::spawn(move || {
                 for seed in (0..count).filter(|seed| seed % threads == thread) {
                     let run = std::panic::catch_unwind(|| history(seed));
-                    assert!(run.is_ok(), "YUCCALINK_SEED={seed} shows it");
+                    assert!(run.is_ok(), "reproduce with YUCCALINK_SEED={seed}");
                 }
             })
         })
--- a/crates/coordination/tests/raft_guards.rs
+++ b/crates/coordination/tests/raft_guards.rs
@@ -1,4 +1,4 @@
-//! Guards of the consensus that random histories seldom reach, one at a time.
+//! Tests rules of the Raft implementation, one at a time, that random histories seldom exercise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,8 +31,8 @@
     LogEntry { term, payload: Payload::Command(Arc::from([number])) }
 }
 
-/// A replica of a system of three whose log holds entries of these terms after
-/// the one that names the members.
+/// A replica of a group of three whose log holds the members entry followed by entries of these
+/// terms.
 fn replica(id: ReplicaId, term: u64, terms: &[u64]) -> Raft {
     let first = LogEntry { term: 1, payload: Payload::Members(members(&[A, B, C])) };
     let rest = terms.iter().zip(1u8..).map(|(term, number)| entry(*term, number));
@@ -41,7 +41,7 @@
     Raft::new(id, Restored { hard, entries, ..Restored::default() }, 7, START)
 }
 
-/// Confirms all writes and returns the messages.
+/// Confirms all writes and returns the messages to send.
 fn settle(raft: &mut Raft, now: Moment) -> Vec<Envelope> {
     let mut sent = Vec::new();
     loop {
@@ -60,7 +60,7 @@
     settle(raft, now)
 }
 
-/// Lets `raft` be elected by B at `now`, and returns its term.
+/// Lets `raft` win an election with the vote of B at `now`, and returns its term.
 fn elect(raft: &mut Raft, now: Moment) -> u64 {
     raft.tick(now);
     settle(raft, now);
@@ -83,8 +83,8 @@
     sent.iter().any(|e| matches!(e.message, Message::VoteReply { granted: true, .. }))
 }
 
-/// A new leader finds an entry of an earlier term on a majority. Counted as agreed
-/// it could still be replaced by a leader that never saw it (Raft, figure 8).
+/// A new leader finds an entry of an earlier term on a majority. It must not count as committed
+/// yet, because a leader that never had it could still replace it (Raft paper, figure 8).
 #[test]
 fn entries_of_earlier_terms_are_not_counted_alone() {
     let mut leader = replica(A, 3, &[2]);
@@ -96,22 +96,25 @@
     assert_eq!(leader.commit(), 3);
 }
 
-/// A voter hears its leader and is asked by another for its vote. The leader may
-/// be granting leases on the promise that nobody else is elected meanwhile.
+/// A voter in contact with its leader is asked for its vote by another replica. The leader may
+/// grant leases that rely on no one else being elected meanwhile.
 #[test]
 fn a_voter_that_hears_its_leader_elects_no_other() {
     let mut voter = replica(B, 3, &[]);
     step(&mut voter, at(1000), A, heartbeat(3, 1, 1, 1));
     assert!(!granted(&step(&mut voter, at(1100), C, vote(4, false))));
-    assert_eq!(voter.term(), 3, "not even its term moves");
+    assert_eq!(voter.term(), 3, "its term does not change either");
     assert!(granted(&step(&mut voter, at(1450), C, vote(4, false))));
     let mut asked = replica(B, 3, &[]);
     step(&mut asked, at(1000), A, heartbeat(3, 1, 1, 1));
-    assert!(granted(&step(&mut asked, at(1100), C, vote(4, true))), "the leader asked for it");
+    assert!(
+        granted(&step(&mut asked, at(1100), C, vote(4, true))),
+        "the leader itself transfers leadership"
+    );
 }
 
-/// A voter is restarted right after it heard its leader, and has forgotten when.
-/// It must keep the promise all the same.
+/// A voter that restarts right after a heartbeat of its leader no longer knows of it. It must
+/// still not vote for another replica too early.
 #[test]
 fn a_restarted_voter_keeps_its_promise() {
     let mut voter = replica(B, 3, &[]);
@@ -119,7 +122,7 @@
     assert!(granted(&step(&mut voter, at(500), C, vote(4, false))));
 }
 
-/// Two changes of members at once could give two quorums that do not meet.
+/// Two membership changes at the same time could form two quorums that do not intersect.
 #[test]
 fn members_change_one_at_a_time() {
     let mut leader = replica(A, 3, &[]);
@@ -127,17 +130,17 @@
     let echo = at(900);
     step(&mut leader, at(901), B, Message::AppendReply { term, ok: true, index: 2, echo });
     let two = leader.change_members(at(902), members(&[A]));
-    assert_eq!(two, Err(NotProposed::Busy), "two voters fewer in one step");
+    assert_eq!(two, Err(NotProposed::Busy), "removes two voters at once");
     assert_eq!(leader.change_members(at(902), members(&[A, B])), Ok(()));
     let again = leader.change_members(at(903), members(&[A, B, C]));
-    assert_eq!(again, Err(NotProposed::Busy), "the first is not committed");
+    assert_eq!(again, Err(NotProposed::Busy), "the first change is not committed");
     settle(&mut leader, at(904));
     step(&mut leader, at(905), B, Message::AppendReply { term, ok: true, index: 3, echo });
     assert_eq!(leader.change_members(at(906), members(&[A, B, C])), Ok(()));
 }
 
-/// A leader sends a snapshot to a follower that has acknowledged entries after it.
-/// Were they dropped with the log, an agreed change could be lost.
+/// A leader sends a snapshot to a follower that has acknowledged later entries. If the follower
+/// dropped them, a committed entry could be lost.
 #[test]
 fn a_snapshot_keeps_the_entries_that_follow_it() {
     let mut follower = replica(B, 3, &[2, 2, 2, 2]);
@@ -156,11 +159,11 @@
     assert_eq!((follower.last(), follower.commit()), (5, 3));
     let other = SnapshotMeta { index: 4, term: 9, members: members(&[A, B, C]) };
     follower.installed(Some(other));
-    assert_eq!(follower.last(), 4, "entries of another branch go");
+    assert_eq!(follower.last(), 4, "conflicting entries are dropped");
 }
 
-/// A follower holds an entry that its leader never had. A heartbeat that matches
-/// before it must not commit it.
+/// A follower has an entry that its leader never had. A heartbeat that matches an earlier entry
+/// must not commit it.
 #[test]
 fn only_what_matches_is_committed() {
     let mut follower = replica(B, 3, &[1, 1]);
@@ -168,8 +171,8 @@
     assert_eq!(follower.commit(), 2);
 }
 
-/// A new leader does not know yet which earlier entries are agreed: until one of
-/// its own is, it takes no proposals and grants no leases.
+/// A new leader does not know which earlier entries are committed. Until an entry of its own
+/// term is, it takes no proposals and grants no leases.
 #[test]
 fn a_leader_waits_until_an_entry_of_its_own_is_agreed() {
     let mut leader = replica(A, 3, &[]);
@@ -180,11 +183,11 @@
     step(&mut leader, at(901), B, Message::AppendReply { term, ok: true, index: 2, echo });
     assert!(leader.has_lease(at(902)));
     assert_eq!(leader.propose(at(902), vec![Arc::from([1])]), Ok(3));
-    assert!(!leader.has_lease(at(1300)), "nobody was heard since");
+    assert!(!leader.has_lease(at(1300)), "no follower has replied since");
 }
 
-/// A leader that asked another to take over must grant nothing any more: the
-/// election it asked for does not wait for its leases.
+/// A leader that transfers leadership must grant no more leases, because the election that it
+/// requests does not wait for them to expire.
 #[test]
 fn a_leader_that_hands_over_grants_nothing() {
     let mut leader = replica(A, 3, &[]);
@@ -198,8 +201,8 @@
     assert!(sent.iter().any(|e| e.to == B && matches!(e.message, Message::TakeOver { .. })));
 }
 
-/// A message was on its way to a disk that has since been replaced. The new disk
-/// knows nothing of the promises of the old one and must not answer for it.
+/// A message arrives for a disk that has since been replaced. The new disk does not know what
+/// the old one promised, so it must not reply for it.
 #[test]
 fn a_message_for_another_disk_is_dropped() {
     let mut replaced = Raft::new(ReplicaId(9), Restored::default(), 7, START);
@@ -208,10 +211,9 @@
     assert!(replaced.is_empty());
 }
 
-/// While a snapshot was on its way to a follower, the leader forgot the entries
-/// after it. The follower has the snapshot now and needs a newer one; offered the
-/// same for ever, it would never catch up, and with another voter gone nothing
-/// would be decided any more.
+/// While a snapshot is on its way to a follower, the leader compacts the entries after it. The
+/// follower then needs a newer snapshot. If it were offered the same one forever, it would never
+/// catch up, and the loss of another voter would stop all commits.
 #[test]
 fn a_snapshot_that_was_overtaken_is_followed_by_a_newer_one() {
     let mut leader = replica(A, 3, &[1, 1, 1, 1]);
@@ -230,8 +232,8 @@
     assert_eq!(leader.take().need_snapshot, [C]);
 }
 
-/// A voter gives its vote, and a follower acknowledges entries. Neither word may
-/// leave before the disk has it: after a crash the replica would not know of it.
+/// A granted vote or an acknowledged entry must not leave a replica before it is on disk, or the
+/// replica would not know of it after a crash.
 #[test]
 fn a_promise_waits_for_the_disk() {
     let mut voter = replica(B, 3, &[]);
--- a/crates/coordination/tests/router.rs
+++ b/crates/coordination/tests/router.rs
@@ -1,4 +1,5 @@
-//! Routing: slots, queues, ejection and handing over under random histories.
+//! Tests routing: slots, queues, ejection and changes of a runner's owner, also under random
+//! histories.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -47,9 +48,8 @@
     }
 }
 
-/// Every runner of a service fails everything, because the service itself has a
-/// fault. Most of them must stay in use: were all ejected, the fault would become
-/// an outage that outlasts it.
+/// All runners of a service fail every request because the service itself is faulty. Most of
+/// them must stay in use: ejecting all would cause an outage that lasts longer than the fault.
 #[test]
 fn a_fault_of_the_service_cannot_eject_all_runners() {
     let mut router = router(9, 2);
@@ -62,8 +62,7 @@
     assert_eq!(ejected, 3);
 }
 
-/// An ejected runner is probed by one request at a time, and is back with the
-/// first success.
+/// An ejected runner gets one probe request at a time and is used again after the first success.
 #[test]
 fn an_ejected_runner_comes_back_by_one_probe() {
     let mut router = router(2, 4);
@@ -85,7 +84,7 @@
         router.release(now, grant, ended, &mut Vec::new());
     }
     let Standing::Ejected(until) = router.runner(bad).expect("a runner").standing else {
-        panic!("it is not ejected");
+        panic!("the runner is not ejected");
     };
     let grants: Vec<Grant> = (0..5).map(|_| granted(&mut router, until)).collect();
     let probes: Vec<&Grant> = grants.iter().filter(|grant| grant.runner == bad).collect();
@@ -94,8 +93,8 @@
     assert_eq!(router.runner(bad).expect("a runner").standing, Standing::Open);
 }
 
-/// What cannot be answered in time is refused when it arrives, not after it has
-/// waited in vain.
+/// A request that can't be answered before its deadline is refused on arrival, not after
+/// waiting.
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut router = router(1, 1);
@@ -121,8 +120,8 @@
     assert!(matches!(outcomes[49], Admission::Refuse(Refusal::QueueFull, _)));
 }
 
-/// A runner comes from another entry that has still four requests there. Only the
-/// other slots are given out until the runner itself says that they have ended.
+/// A runner comes from another entry that still has four requests on it. Only the other slots
+/// are used until the runner itself reports that those requests have ended.
 #[test]
 fn slots_of_a_former_owner_stay_reserved() {
     let mut router = Router::new(name("z"));
@@ -165,8 +164,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens: no runner holds more than its slots, each waiting request
-    /// gets at most one turn, and nobody is given a slot of a closed runner.
+    /// In every history: no runner has more requests than slots, each waiting request is granted
+    /// at most once, and no request goes to a closed runner.
     #[test]
     fn no_history_overfills_a_runner(acts in proptest::collection::vec(act(), 0..200)) {
         let mut router = Router::new(name("z"));
@@ -203,7 +202,7 @@
             }
             for turn in turns {
                 let known = waiting.iter().position(|ticket| *ticket == turn.ticket);
-                prop_assert!(known.is_some(), "a turn of nobody");
+                prop_assert!(known.is_some(), "a grant to a request that does not wait");
                 waiting.swap_remove(known.unwrap_or(0));
                 let standing = router.runner(turn.grant.runner).map(|r| r.standing);
                 prop_assert_ne!(standing, Some(Standing::Closed));
@@ -211,7 +210,7 @@
             }
             for grant in &held[before.min(held.len())..] {
                 let runner = router.runner(grant.runner).expect("a runner");
-                prop_assert!(runner.busy <= runner.spec.slots, "granted beyond its slots");
+                prop_assert!(runner.busy <= runner.spec.slots, "more requests than slots");
             }
             for runner in router.runners() {
                 let here = held
--- a/crates/coordination/tests/scale.rs
+++ b/crates/coordination/tests/scale.rs
@@ -1,6 +1,7 @@
-//! What the leader looks at as the pool grows, counted, not timed.
+//! Tests how the work of the leader grows with the pool, by counting scanned runners instead of
+//! measuring time.
 //!
-//! The load played here: a pool in which nothing fits any more, while hundreds of jobs wait.
+//! The load: a pool in which nothing fits any more, while a hundred jobs wait.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -18,7 +19,7 @@
 
 const POOL: usize = 60;
 const JOBS: u64 = 100;
-/// Times that the leader looks at what waits.
+/// Number of times that the leader examines the waiting jobs.
 const LOOKS: u64 = 4;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -27,7 +28,7 @@
     StepSpec { count: 1, need, estimate_ms: 600_000, ..StepSpec::default() }
 }
 
-/// A pool of `runners` on which each job that waits finds no room, after all had their turn.
+/// A pool in which no waiting job finds capacity, after the leader has examined all of them.
 fn full_pool(runners: usize, waiting: &StepSpec) -> Desk {
     let behavior = TaskBehavior {
         run_time: SECOND * 600,
@@ -48,7 +49,7 @@
     desk
 }
 
-/// Runners looked at in a second of reports, beside those that report.
+/// Runners scanned in one second of reports, beyond those that report.
 fn runners_scanned(runners: usize, waiting: &StepSpec) -> u64 {
     let mut desk = full_pool(runners, waiting);
     let before = desk.leader.counts().runners_scanned;
@@ -59,7 +60,7 @@
     desk.leader.counts().runners_scanned - before
 }
 
-/// A leader with thousands of runners spent its processor on why jobs wait, not on starting them.
+/// A leader with thousands of runners must not spend its CPU on finding out why jobs wait.
 #[test]
 fn why_jobs_wait_costs_no_more_in_a_larger_pool() {
     let too_large = work(8);
@@ -67,6 +68,9 @@
     for waiting in [too_large, nobody_may] {
         let (small, large) = (runners_scanned(POOL, &waiting), runners_scanned(POOL * 4, &waiting));
         let once_a_look = LOOKS * 3 * POOL as u64;
-        assert!(large <= small + once_a_look, "{small} looks at {POOL} runners, then {large}");
+        assert!(
+            large <= small + once_a_look,
+            "{small} runners scanned in a pool of {POOL}, {large} in one of four times the size"
+        );
     }
 }
--- a/crates/coordination/tests/scenarios.rs
+++ b/crates/coordination/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs every file in `scenarios/`, and checks that bad scenarios name their line.
+//! Runs every file in `scenarios/`, and checks that errors in bad scenarios name the line.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/coordination/tests/sizes.rs
+++ b/crates/coordination/tests/sizes.rs
@@ -1,7 +1,7 @@
-//! Whose turn it is by size, where there is room for less than what comes.
+//! Tests the order of jobs by size when the pool has less capacity than they need.
 //!
-//! The load played here: jobs of one queue come faster than the pool works them off, one in
-//! ten of them six times as large as the others.
+//! The load: jobs of one queue arrive faster than the pool completes them, and one in ten of
+//! them is six times as large as the others.
 
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
@@ -17,7 +17,7 @@
 const JOBS: u64 = 800;
 const EVERY: Duration = Duration::from_millis(50);
 const WORK_MS: u64 = 1_000;
-/// Three times the objective of one step of that length: what ends later is of no use.
+/// Three times the objective of one step of that run time: a job that ends later is useless.
 const OF_USE_FOR: Duration = Duration::from_secs(9);
 
 #[derive(Default)]
@@ -51,7 +51,7 @@
     world.submit(JobId(id), spec, vec![behavior]);
 }
 
-/// Shares of all jobs and of the large ones that are done while it is of use.
+/// Shares of all jobs and of the large jobs that end while they are useful.
 fn play(seed: u64) -> (f64, f64) {
     let mut world = World::new(seed, RUNNERS, Rough::CALM);
     let mut waiting: Vec<(u64, Moment)> = Vec::new();
@@ -72,12 +72,15 @@
     (all.share(), large.share())
 }
 
-/// The largest jobs of a queue were served a quarter as often as the others while the pool was full.
+/// In a full pool, the largest jobs of a queue were served a quarter as often as the others.
 #[test]
 fn the_largest_jobs_are_served_at_least_half_as_often_as_all() {
     for seed in 1..=4 {
         let (all, large) = play(seed);
-        assert!(all > 0.5, "seed {seed}: there is room for most, {all:.2} were served");
+        assert!(
+            all > 0.5,
+            "seed {seed}: the capacity is enough for most jobs, but {all:.2} were served"
+        );
         assert!(large >= all / 2.0, "seed {seed}: {large:.2} of the largest, {all:.2} of all");
     }
 }
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Who is to vote, step by step.
+//! Tests the choice of voters, one change at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Disk { member: member(id, address), zone: zone.into(), silent: Duration::ZERO }
 }
 
-/// A leader with disk 1 that hears all of `disks`.
+/// The view of a leader with disk 1 that hears from all `disks`.
 fn view(voters: &[u64], learners: &[u64], disks: Vec<Disk>) -> MembershipView {
     let all = |ids: &[u64]| ids.iter().map(|id| member(*id, &format!("a{id}"))).collect();
     let members = Members { voters: all(voters), learners: all(learners) };
@@ -28,7 +28,7 @@
     ids.iter().map(|id| disk(*id, &format!("a{id}"), &format!("z{id}"))).collect()
 }
 
-/// Takes every step that is offered, each as if committed.
+/// Applies every proposed change as if committed, until none is proposed.
 fn settle(mut view: MembershipView, wanted: usize) -> MembershipView {
     for _ in 0..50 {
         let Some((members, _)) = voters::next(&view, wanted) else { return view };
@@ -36,14 +36,14 @@
             members.voters.iter().map(|m| m.id).collect::<std::collections::BTreeSet<_>>()
         };
         let difference = changed(&view.members).symmetric_difference(&changed(&members)).count();
-        assert!(difference <= 1, "one voter at a time");
+        assert!(difference <= 1, "more than one voter changes at a time");
         for member in members.all() {
             view.silent.entry(member.id).or_insert(Duration::ZERO);
             view.caught_up.push(member.id);
         }
         view.members = members;
     }
-    panic!("it never settles: {:?}", view.members);
+    panic!("the voters never stop changing: {:?}", view.members);
 }
 
 fn ids(members: &[Member]) -> Vec<u64> {
@@ -59,8 +59,8 @@
     assert_eq!(settled.members.learners.len(), 1);
 }
 
-/// Two disks in each of four zones: five voters must not leave three in one zone,
-/// or the loss of that zone takes the majority with it.
+/// There are two disks in each of four zones. No zone may have three of the five voters, or its
+/// loss takes the majority with it.
 #[test]
 fn voters_are_spread_over_zones() {
     let mut all = Vec::new();
@@ -77,9 +77,9 @@
     assert!(per_zone.values().all(|count| *count <= 2), "{per_zone:?}");
 }
 
-/// A machine comes back at its address with an empty disk. The former disk's vote
-/// would count for entries that nobody has any more; the new one must catch up
-/// first. The seat changes hands in two steps, and a third disk does not lose its.
+/// A VM comes back at its address with an empty disk. The vote of the former disk would count
+/// for entries that no disk has any more, and the new disk must catch up first. Its voter is
+/// replaced in two changes, and no other voter is removed.
 #[test]
 fn a_replaced_disk_loses_its_seat_at_once() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[1, 3, 4]));
@@ -89,10 +89,10 @@
     assert_eq!(ids(&settled.members.learners), [9]);
 }
 
-/// A voter is cut off for long, and the moment in which its seat goes to another the disk of
-/// a second one is lost. Callers get nothing any more, for good: two voters were left, one
-/// of them on the lost disk. With the new one in its seat first, the one that was cut off
-/// still votes when it is back, and makes the majority.
+/// A voter is partitioned for long, and while it is being replaced another voter loses its disk.
+/// If the silent voter were removed first, two would be left, one of them on the lost disk, and
+/// the group would never commit again. If the new voter is added first, the partitioned one
+/// still has its vote when it is back and completes the majority.
 #[test]
 fn a_silent_voter_keeps_its_seat_until_another_has_one() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[1, 3, 4]));
@@ -100,23 +100,22 @@
     let (beside, _) = voters::next(&view, 3).expect("another votes beside it");
     assert_eq!(ids(&beside.voters), [1, 2, 3, 4]);
     view.members = beside;
-    let (after, _) = voters::next(&view, 3).expect("it votes no more");
+    let (after, _) = voters::next(&view, 3).expect("the silent voter is removed");
     assert_eq!(ids(&after.voters), [1, 3, 4]);
 }
 
-/// A voter that was silent is heard again before its seat was taken: four vote, nobody
-/// loses a seat for it, and no fifth is let in. The next one that is silent goes.
+/// A silent voter is heard from again before its removal. Four voters remain, none is removed
+/// and no fifth is added. The next voter that falls silent is removed.
 #[test]
 fn a_voter_that_comes_back_in_time_stays() {
     let mut view = view(&[1, 2, 3, 4], &[5], disks(&[1, 2, 3, 4, 5]));
     assert!(voters::next(&view, 3).is_none());
     view.silent.insert(ReplicaId(3), voters::REPLACE_AFTER);
-    let (after, _) = voters::next(&view, 3).expect("the silent one goes");
+    let (after, _) = voters::next(&view, 3).expect("the silent voter is removed");
     assert_eq!(ids(&after.voters), [1, 2, 4]);
 }
 
-/// A voter freezes for two seconds. To replace it would cost two changes of members
-/// and gain nothing.
+/// A voter freezes for two seconds. Replacing it would take two membership changes for no gain.
 #[test]
 fn a_short_silence_costs_no_seat() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[2, 3, 4]));
@@ -126,8 +125,8 @@
     assert!(voters::next(&view, 3).is_some());
 }
 
-/// Of three voters two are silent. Without them nothing can be agreed on; to take
-/// out one of them would make a majority of one that had not agreed to anything.
+/// Two of three voters are silent. Nothing can be committed without them, and removing one would
+/// leave a majority that has not agreed to anything.
 #[test]
 fn no_seat_is_taken_without_a_live_majority() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[4]));
@@ -137,29 +136,29 @@
     assert!(voters::next(&view, 3).is_none());
 }
 
-/// A learner that has not caught up would count in a quorum for nothing.
+/// A learner that has not caught up would add to the quorum without contributing to it.
 #[test]
 fn a_learner_votes_only_once_it_has_caught_up() {
     let mut view = view(&[1], &[2], disks(&[2]));
     view.caught_up.retain(|id| *id != ReplicaId(2));
     assert!(voters::next(&view, 3).is_none());
     view.caught_up.push(ReplicaId(2));
-    let (members, _) = voters::next(&view, 3).expect("it votes");
+    let (members, _) = voters::next(&view, 3).expect("the learner becomes a voter");
     assert_eq!(ids(&members.voters), [1, 2]);
 }
 
-/// What happens to a machine.
+/// A failure of a VM.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fate {
-    /// It is cut off, and comes back with its disk some day.
+    /// The VM is partitioned and comes back later with its disk.
     CutOff,
-    /// It stays away.
+    /// The VM does not come back.
     Gone,
-    /// It is back at its address with an empty disk.
+    /// The VM is back at its address with an empty disk.
     Replaced,
 }
 
-/// Where a change of voters stands: what the leader sees, and which disks are lost.
+/// State of a repair: what the leader sees, and which disks are lost.
 #[derive(Clone)]
 struct Repair {
     view: MembershipView,
@@ -169,7 +168,7 @@
 }
 
 impl Repair {
-    /// Whether the voters that have their disk, now or once they are back, are a majority.
+    /// Whether the voters whose disks are not lost are a majority; partitioned ones count.
     fn has_majority(&self) -> bool {
         let voters = &self.view.members.voters;
         let left = voters.iter().filter(|voter| !self.lost.contains(&voter.id)).count();
@@ -193,13 +192,13 @@
             after.view.disks.push(disk(after.next_id, &at.address, &format!("z{}", at.id.0)));
             after.next_id += 1;
         }
-        // Whoever is left may lead.
+        // Any voter that is left may lead.
         let left = after.view.members.voters.iter().find(|voter| after.is_up(voter.id))?;
         after.view.own = left.id;
         Some(after)
     }
 
-    /// The leader's next step; a leader without a majority in touch can take none.
+    /// The state after the leader's next change; `None` if it proposes none or has no majority.
     fn take_step(&self) -> Option<Self> {
         let voters = &self.view.members.voters;
         let up = voters.iter().filter(|voter| self.is_up(voter.id)).count();
@@ -215,8 +214,8 @@
         Some(after)
     }
 
-    /// Strikes at this point or any later one, with so many disks still to lose and machines
-    /// to cut off, and counts the ends reached.
+    /// Tries every failure at this point and at each later one, with at most this many disks
+    /// still to lose and VMs to partition, and returns the number of final states reached.
     fn explore(&self, disks: usize, cuts: usize) -> usize {
         assert!(self.has_majority(), "{:?} lost of {:?}", self.lost, self.view.members.voters);
         let up = self.view.members.all().filter(|member| self.is_up(member.id));
@@ -240,7 +239,7 @@
 
 const LOSSES: usize = 2;
 
-/// A disk lost between two steps of a repair left the voters without a majority for good.
+/// A disk lost between two steps of a repair must not leave the voters without a majority.
 #[test]
 fn no_two_disks_lost_at_any_step_of_a_repair_take_the_majority() {
     const CUTS: usize = 1;
@@ -253,7 +252,8 @@
     }
 }
 
-/// A process that led with a replaced disk left the former disk its vote for five seconds more; one more lost disk then took the majority for good.
+/// A leader with a replaced disk must remove the former disk's vote at once. That vote used to
+/// stay for five seconds, in which the loss of one more disk took the majority for good.
 #[test]
 fn a_leader_takes_the_vote_of_its_own_former_disk_at_once() {
     let mut view = view(&[1, 2, 3, 9], &[], disks(&[1, 3]));
@@ -263,6 +263,6 @@
             voter.address = "a2".into();
         }
     }
-    let (after, _) = voters::next(&view, 3).expect("the former disk votes no more");
+    let (after, _) = voters::next(&view, 3).expect("the former disk is removed");
     assert_eq!(ids(&after.voters), [1, 3, 9]);
 }
