--- a/crates/coordination/benches/crashes.rs
+++ b/crates/coordination/benches/crashes.rs
@@ -9,7 +9,7 @@
 mod world;
 
 use std::time::Duration;
-use world::{Rough, World, step};
+use world::{FaultProfile, World, step};
 use yuccalink_coordination::jobs::JobState;
 use yuccalink_coordination::jobs::policy::{Policy, Switch};
 use yuccalink_fakes::emulator::Crash;
@@ -18,12 +18,12 @@
 const SECOND: Duration = Duration::from_secs(1);
 const CRASH: Crash = Crash::each(Duration::from_millis(10));
 /// Second at which the crashing tasks are submitted.
-const GUILTY_AT: u64 = 5;
+const CRASHING_TASKS_AT_S: u64 = 5;
 /// One runner in this many crashes by itself each second.
-const CRASH_ONE_IN: u64 = 350;
+const RANDOM_CRASH_ONE_IN: u64 = 350;
 /// Jobs per second and runner, which keep about half of the pool busy.
-const JOBS_A_RUNNER: f64 = 0.5;
-const FIRST_GUILTY: u64 = 1_000_000;
+const JOBS_PER_RUNNER_S: f64 = 0.5;
+const FIRST_CRASHING_JOB: u64 = 1_000_000;
 
 struct Options {
     runners: usize,
@@ -42,27 +42,31 @@
     let mut policy = Policy::default();
     policy.suspects.mode = options.alone;
     policy.suspects.one_in = options.one_in;
-    let mut world = World::with_policy(options.seed, options.runners, Rough::CALM, policy);
-    let (mut submitted, mut owed, mut worst_down, mut over_at) = (0_u64, 0.0, 0, None);
+    let mut world =
+        World::with_policy(options.seed, options.runners, FaultProfile::NO_FAULTS, policy);
+    let (mut submitted, mut jobs_due, mut worst_down, mut all_failed_at) = (0_u64, 0.0, 0, None);
     for second in 0..options.seconds {
-        if second == GUILTY_AT {
-            submit_guilty(&mut world, &options);
+        if second == CRASHING_TASKS_AT_S {
+            submit_crashing(&mut world, &options);
         }
         for _ in 0..10 {
-            owed += JOBS_A_RUNNER * options.runners as f64 / 10.0;
-            while owed >= 1.0 {
-                owed -= 1.0;
+            jobs_due += JOBS_PER_RUNNER_S * options.runners as f64 / 10.0;
+            while jobs_due >= 1.0 {
+                jobs_due -= 1.0;
                 submitted += 1;
                 let (spec, behavior) = step(6, 3, 900);
                 world.submit(JobId(submitted), job(spec), vec![behavior]);
             }
             world.run_for(SECOND / 10);
-            crash_by_chance(&mut world, options.runners);
+            crash_at_random(&mut world, options.runners);
         }
         let down = world.runners_down();
         worst_down = worst_down.max(down);
-        if over_at.is_none() && second > GUILTY_AT && open_guilty(&mut world, &options) == 0 {
-            over_at = Some(second - GUILTY_AT);
+        if all_failed_at.is_none()
+            && second > CRASHING_TASKS_AT_S
+            && active_crashing_jobs(&mut world, &options) == 0
+        {
+            all_failed_at = Some(second - CRASHING_TASKS_AT_S);
         }
         if options.series {
             println!("{second},{down},{}", world.completed_jobs());
@@ -72,12 +76,12 @@
     world.run_for(SECOND * 20);
     let lost = (1..=submitted).filter(|id| world.state(JobId(*id)) == Some(JobState::Failed));
     let lost = lost.count();
-    let guilty_jobs = if options.together { 1 } else { options.guilty };
-    let given_up = guilty_jobs - open_guilty(&mut world, &options);
-    let crashes: usize = guilty_tasks(&options).map(|task| world.crashes_of(task)).sum();
+    let crashing_jobs = if options.together { 1 } else { options.guilty };
+    let given_up = crashing_jobs - active_crashing_jobs(&mut world, &options);
+    let crashes: usize = crashing_tasks(&options).map(|task| world.crashes_of(task)).sum();
     println!(
-        "runners={} guilty={} jobs={submitted} done={done} given-up={given_up} of {guilty_jobs} \
-         last-after={over_at:?} s crashes={crashes} worst-down={worst_down} sound-jobs-lost={lost} \
+        "runners={} guilty={} jobs={submitted} done={done} given-up={given_up} of {crashing_jobs} \
+         last-after={all_failed_at:?} s crashes={crashes} worst-down={worst_down} sound-jobs-lost={lost} \
          runs-lost={}",
         options.runners,
         options.guilty,
@@ -89,7 +93,7 @@
     JobSpec { payload: "work".into(), steps: vec![step], schedule: None }
 }
 
-fn submit_guilty(world: &mut World, options: &Options) {
+fn submit_crashing(world: &mut World, options: &Options) {
     let (count, jobs) = match options.together {
         true => (u32::try_from(options.guilty).unwrap_or(1), 1),
         false => (1, options.guilty),
@@ -97,30 +101,31 @@
     for at in 0..jobs {
         let (spec, mut behavior) = step(count, 3, 900);
         behavior.crash = Some(CRASH);
-        world.submit(JobId(FIRST_GUILTY + at), job(spec), vec![behavior]);
+        world.submit(JobId(FIRST_CRASHING_JOB + at), job(spec), vec![behavior]);
     }
 }
 
-fn guilty_tasks(options: &Options) -> impl Iterator<Item = TaskKey> {
+fn crashing_tasks(options: &Options) -> impl Iterator<Item = TaskKey> {
     let together = options.together;
     (0..options.guilty).map(move |at| {
         let index = u16::try_from(at).unwrap_or(0);
         let (job, index) = if together { (0, index) } else { (at, 0) };
-        TaskKey { job: JobId(FIRST_GUILTY + job), occurrence: 0, step: 0, index }
+        TaskKey { job: JobId(FIRST_CRASHING_JOB + job), occurrence: 0, step: 0, index }
     })
 }
 
-fn open_guilty(world: &mut World, options: &Options) -> u64 {
+fn active_crashing_jobs(world: &mut World, options: &Options) -> u64 {
     let jobs = if options.together { 1 } else { options.guilty };
-    (0..jobs).filter(|at| world.state(JobId(FIRST_GUILTY + at)) != Some(JobState::Failed)).count()
-        as u64
+    (0..jobs)
+        .filter(|at| world.state(JobId(FIRST_CRASHING_JOB + at)) != Some(JobState::Failed))
+        .count() as u64
 }
 
 /// Crashes runners at random; called ten times a second.
-fn crash_by_chance(world: &mut World, runners: usize) {
+fn crash_at_random(world: &mut World, runners: usize) {
     for at in 0..runners {
-        if world.draw(CRASH_ONE_IN * 10) == 0 {
-            let away = 1_000 + world.draw(5_000);
+        if world.random_below(RANDOM_CRASH_ONE_IN * 10) == 0 {
+            let away = 1_000 + world.random_below(5_000);
             world.crash(at, Duration::from_millis(away));
         }
     }
--- a/crates/coordination/benches/placement.rs
+++ b/crates/coordination/benches/placement.rs
@@ -13,7 +13,7 @@
 use yuccalink_state::worker::WorkerSpec;
 use yuccalink_state::{Command, Resources, StateMachine};
 
-const ROUTED: u32 = 200_000;
+const ROUTING_DECISIONS: u32 = 200_000;
 
 fn name(text: &str) -> Name {
     Name::new(text).expect("a name")
@@ -61,7 +61,7 @@
     state
 }
 
-fn placement() {
+fn measure_placement() {
     println!("| workers | placements in a plan | us each |");
     println!("|---|---|---|");
     for workers in [50u64, 571, 16_000] {
@@ -73,7 +73,7 @@
     }
 }
 
-fn routing() {
+fn measure_routing() {
     println!("\n| runners | us a decision (admit and release) |");
     println!("|---|---|");
     for runners in [5u32, 50, 1_000, 10_000] {
@@ -92,14 +92,14 @@
             };
             router.add_runner(Moment::ZERO, spec, 0, &mut turns);
         }
-        let count = if runners > 100 { ROUTED / 100 } else { ROUTED };
+        let count = if runners > 100 { ROUTING_DECISIONS / 100 } else { ROUTING_DECISIONS };
         let started = Instant::now();
         let mut now = Moment::from_millis(1);
         for _ in 0..count {
             now = now + Duration::from_micros(10);
             let deadline = now + Duration::from_secs(1);
-            let arrival = RoutingRequest { service: &service, deadline, worth: 1, avoid: None };
-            if let Admission::Granted(grant) = router.admit(now, arrival) {
+            let request = RoutingRequest { service: &service, deadline, worth: 1, avoid: None };
+            if let Admission::Granted(grant) = router.admit(now, request) {
                 router.release(now, grant, RunnerOutcome::Answered, &mut turns);
             }
         }
@@ -109,6 +109,6 @@
 }
 
 fn main() {
-    placement();
-    routing();
+    measure_placement();
+    measure_routing();
 }
--- a/crates/coordination/tests/cell.rs
+++ b/crates/coordination/tests/cell.rs
@@ -6,7 +6,7 @@
 mod world;
 
 use std::time::Duration;
-use world::{Rough, World, job, key, step};
+use world::{FaultProfile, World, job, key, step};
 use yuccalink_coordination::jobs::JobState;
 use yuccalink_fakes::emulator::{RunnerFault, TaskBehavior};
 use yuccalink_state::jobs::{JobId, JobSpec};
@@ -15,24 +15,24 @@
 
 #[test]
 fn a_job_of_two_steps_runs_in_order_and_completes() {
-    let mut world = World::new(1, 4, Rough::CALM);
+    let mut world = World::new(1, 4, FaultProfile::NO_FAULTS);
     let (first, behavior) = step(4, 4, 400);
-    let (mut second, truth2) = step(2, 4, 300);
+    let (mut second, second_behavior) = step(2, 4, 300);
     second.depends_on = vec![0];
-    let (spec, truths) = job(vec![(first, behavior), (second, truth2)]);
-    world.submit(JobId(1), spec, truths);
+    let (spec, behaviors) = job(vec![(first, behavior), (second, second_behavior)]);
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 4);
     assert_eq!(world.state(JobId(1)), Some(JobState::Completed));
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A crashed runner can't be told from a partitioned one, whose tasks may still run. They must
 /// not start elsewhere before the lease has expired by every clock, and must start soon after.
 #[test]
 fn tasks_of_a_silent_runner_start_elsewhere_after_its_lease() {
-    let mut world = World::new(2, 2, Rough::CALM);
-    let (spec, truths) = job(vec![step(4, 4, 20_000)]);
-    world.submit(JobId(1), spec, truths);
+    let mut world = World::new(2, 2, FaultProfile::NO_FAULTS);
+    let (spec, behaviors) = job(vec![step(4, 4, 20_000)]);
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 2);
     let from = usize::from(world.running_on(0).is_empty());
     let lost = world.running_on(from);
@@ -48,156 +48,159 @@
         lost.iter().all(|task| world.starts_of(*task) == 2),
         "not started after the lease expired"
     );
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A runner that restarts under its name runs nothing any more. Its former tasks must start
 /// again at once, without waiting for the old lease.
 #[test]
-fn a_runner_that_is_born_again_frees_its_tasks_at_once() {
-    let mut world = World::new(3, 1, Rough::CALM);
-    let (spec, truths) = job(vec![step(2, 4, 20_000)]);
-    world.submit(JobId(1), spec, truths);
+fn a_restarted_runner_frees_its_tasks_at_once() {
+    let mut world = World::new(3, 1, FaultProfile::NO_FAULTS);
+    let (spec, behaviors) = job(vec![step(2, 4, 20_000)]);
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 2);
     world.crash(0, Duration::from_millis(100));
     world.run_for(SECOND * 2);
     assert_eq!(world.starts_of(key(1, 0, 0)), 2);
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A runner fails every task at once. Retries on it would use up a job's attempts within a
 /// second, so they go to other runners, and the leader stops using this one.
 #[test]
-fn a_runner_that_fails_all_does_not_fail_jobs() {
-    let mut world = World::new(4, 4, Rough::CALM);
+fn a_runner_that_fails_all_tasks_does_not_fail_jobs() {
+    let mut world = World::new(4, 4, FaultProfile::NO_FAULTS);
     world.set_fault(0, RunnerFault::FailsAll);
     for id in 1..=12 {
-        let (spec, truths) = job(vec![step(4, 2, 400)]);
-        world.submit(JobId(id), spec, truths);
+        let (spec, behaviors) = job(vec![step(4, 2, 400)]);
+        world.submit(JobId(id), spec, behaviors);
         world.run_for(Duration::from_millis(300));
     }
     world.run_for(SECOND * 8);
     for id in 1..=12 {
         assert_eq!(world.state(JobId(id)), Some(JobState::Completed), "job {id}");
     }
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A last attempt goes only to a trusted runner. When every runner has had a failure and no
 /// other task is left to restore trust, the job must still get its last attempt instead of
 /// waiting forever.
 #[test]
-fn a_last_try_comes_though_every_runner_has_failed_something() {
-    let mut world = World::new(8, 3, Rough::CALM);
-    let (spec, mut truths) = job(vec![step(3, 12, 300)]);
-    truths[0].fails = true;
-    world.submit(JobId(1), spec, truths);
+fn a_task_gets_its_last_attempt_though_no_runner_is_trusted() {
+    let mut world = World::new(8, 3, FaultProfile::NO_FAULTS);
+    let (spec, mut behaviors) = job(vec![step(3, 12, 300)]);
+    behaviors[0].fails = true;
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 14);
     assert_eq!(world.state(JobId(1)), Some(JobState::Failed));
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// Tasks on one runner make no progress while it reports as usual. Such stalled runs are stopped
 /// and start elsewhere.
 #[test]
-fn tasks_that_stand_still_are_moved() {
-    let mut world = World::new(5, 3, Rough::CALM);
+fn stalled_tasks_move_to_other_runners() {
+    let mut world = World::new(5, 3, FaultProfile::NO_FAULTS);
     world.set_fault(0, RunnerFault::TasksStall);
-    let (spec, truths) = job(vec![step(9, 4, 1_000)]);
-    world.submit(JobId(1), spec, truths);
+    let (spec, behaviors) = job(vec![step(9, 4, 1_000)]);
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 12);
     assert_eq!(world.state(JobId(1)), Some(JobState::Completed));
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// One of four runners takes five times as long and reports as usual, which delays the few tasks
 /// of a short job that run there. A copy on another runner ends first and the slow run is
 /// stopped. A step that does not allow copies gets none.
 #[test]
-fn tasks_that_lag_have_a_copy_where_the_step_allows_it() {
+fn stragglers_get_a_copy_if_the_step_allows_it() {
     for allowed in [true, false] {
-        let mut world = World::new(9, 4, Rough::CALM);
+        let mut world = World::new(9, 4, FaultProfile::NO_FAULTS);
         world.set_fault(0, RunnerFault::Slow);
         world.run_for(SECOND);
-        let (mut spec, truths) = job(vec![step(16, 4, 1_000)]);
+        let (mut spec, behaviors) = job(vec![step(16, 4, 1_000)]);
         spec.steps[0].speculative = allowed;
-        world.submit(JobId(1), spec, truths);
+        world.submit(JobId(1), spec, behaviors);
         world.run_for(Duration::from_millis(3_800));
         let done = world.state(JobId(1)) == Some(JobState::Completed);
         assert_eq!(done, allowed, "copies allowed: {allowed}");
         world.run_for(SECOND * 3);
         assert!(world.running_on(0).is_empty(), "the slow runs have ended");
-        world.assert_kept();
+        world.assert_no_violations();
     }
 }
 
 /// The running tasks of a cancelled job end within seconds, and none starts again.
 #[test]
-fn a_cancelled_job_is_gone_from_the_runners() {
-    let mut world = World::new(6, 2, Rough::CALM);
-    let (mut spec, truths) = job(vec![step(4, 4, 60_000)]);
+fn tasks_of_a_cancelled_job_stop() {
+    let mut world = World::new(6, 2, FaultProfile::NO_FAULTS);
+    let (mut spec, behaviors) = job(vec![step(4, 4, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
-    world.submit(JobId(1), spec, truths);
+    let behaviors =
+        behaviors.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 2);
     world.cancel(JobId(1));
     world.run_for(SECOND * 3);
     world.check_cancelled(SECOND * 2);
     assert_eq!(world.state(JobId(1)), Some(JobState::Cancelled));
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A draining runner gets no new tasks, and its long-running tasks move to other runners before
 /// it is gone.
 #[test]
 fn long_running_tasks_leave_a_draining_runner() {
-    let mut world = World::new(7, 2, Rough::CALM);
-    let (mut spec, truths) = job(vec![step(2, 4, 60_000)]);
+    let mut world = World::new(7, 2, FaultProfile::NO_FAULTS);
+    let (mut spec, behaviors) = job(vec![step(2, 4, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
-    world.submit(JobId(1), spec, truths);
+    let behaviors =
+        behaviors.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 2);
     let from = usize::from(world.running_on(0).is_empty());
     world.drain(from);
     world.run_for(SECOND * 3);
     assert!(world.running_on(from).is_empty());
     assert_eq!(world.running_on(1 - from).len(), 2);
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// Short tasks that arrive all the time used to fill every gap before it was large enough for a
 /// long-running task that needs most of a runner, so that the task never started again.
 #[test]
-fn short_work_does_not_keep_a_large_lasting_task_waiting() {
-    let mut world = World::new(11, 1, Rough::CALM);
+fn short_tasks_do_not_starve_a_large_long_running_task() {
+    let mut world = World::new(11, 1, FaultProfile::NO_FAULTS);
     let submit_short = |world: &mut World, id: u64| {
-        let (spec, truths) = job(vec![step(1, 5, 600)]);
-        world.submit(JobId(id), spec, truths);
+        let (spec, behaviors) = job(vec![step(1, 5, 600)]);
+        world.submit(JobId(id), spec, behaviors);
     };
     for id in 100..110 {
         submit_short(&mut world, id);
         world.run_for(Duration::from_millis(150));
     }
-    let (mut spec, truths) = job(vec![step(1, 12, 60_000)]);
+    let (mut spec, behaviors) = job(vec![step(1, 12, 60_000)]);
     spec.steps[0].long_running = true;
-    let truths = truths.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
-    world.submit(JobId(1), spec, truths);
+    let behaviors =
+        behaviors.into_iter().map(|t| TaskBehavior { long_running: true, ..t }).collect();
+    world.submit(JobId(1), spec, behaviors);
     for id in 110..140 {
         submit_short(&mut world, id);
         world.run_for(Duration::from_millis(150));
     }
     assert_eq!(world.starts_of(key(1, 0, 0)), 1);
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// A job is cancelled while the order to start its task is delayed. If the runner's next report
 /// without that task freed the capacity, another task would take it, and the late order would
 /// overcommit the runner. The capacity stays reserved for as long as an order may still arrive.
 #[test]
-fn a_late_order_of_a_cancelled_job_finds_its_room() {
+fn capacity_stays_reserved_for_a_late_order_of_a_cancelled_job() {
     for seed in [197, 196, 198] {
-        let broken = play(seed);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = run_history(seed);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
@@ -205,30 +208,30 @@
 /// start on several runners within the same second under one run number, or not at all.
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
-    let mut world = World::new(10, 3, Rough::CALM);
-    let (mut spec, truths) = job(vec![step(9, 5, 2_000)]);
+    let mut world = World::new(10, 3, FaultProfile::NO_FAULTS);
+    let (mut spec, behaviors) = job(vec![step(9, 5, 2_000)]);
     spec.steps[0].gang = true;
-    world.submit(JobId(1), spec, truths);
+    world.submit(JobId(1), spec, behaviors);
     world.run_for(SECOND * 2);
     let running: usize = (0..3).map(|at| world.running_on(at).len()).sum();
     assert_eq!(running, 9);
-    let (mut spec, truths) = job(vec![step(10, 5, 500)]);
+    let (mut spec, behaviors) = job(vec![step(10, 5, 500)]);
     spec.steps[0].gang = true;
-    world.submit(JobId(2), spec, truths);
+    world.submit(JobId(2), spec, behaviors);
     world.run_for(SECOND * 6);
     assert_eq!(world.starts_of(key(2, 0, 0)), 0, "the free capacity is enough for nine at most");
     assert_eq!(world.state(JobId(1)), Some(JobState::Completed));
-    world.assert_kept();
+    world.assert_no_violations();
 }
 
 /// Messages are lost, delayed and duplicated, leaders change with commands in flight, runners
 /// crash, fail tasks and stall, and jobs are cancelled. In no order of events may a task run
 /// twice, start too early or too often, or be forgotten.
 #[test]
-fn rough_histories_keep_every_promise() {
+fn random_histories_violate_no_invariant() {
     for seed in 0..HISTORIES {
-        let broken = play(seed);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = run_history(seed);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
@@ -236,38 +239,38 @@
 const HISTORIES: u64 = 300;
 const JOBS: u64 = 25;
 
-fn play(seed: u64) -> Vec<String> {
-    let mut world = World::new(seed, 6, Rough::HARD);
+fn run_history(seed: u64) -> Vec<String> {
+    let mut world = World::new(seed, 6, FaultProfile::HARSH);
     for id in 1..=JOBS {
-        let (spec, truths) = random_job(&mut world);
-        world.submit(JobId(id), spec, truths);
-        let pause = 100 + world.draw(1_200);
+        let (spec, behaviors) = random_job(&mut world);
+        world.submit(JobId(id), spec, behaviors);
+        let pause = 100 + world.random_below(1_200);
         world.run_for(Duration::from_millis(pause));
-        if world.draw(8) == 0 {
-            let other = JobId(1 + world.draw(id));
+        if world.random_below(8) == 0 {
+            let other = JobId(1 + world.random_below(id));
             world.cancel(other);
         }
     }
-    world.calm_down();
+    world.stop_faults();
     world.run_for(SECOND * 40);
-    world.close_all(JOBS)
+    world.final_violations(JOBS)
 }
 
 fn random_job(world: &mut World) -> (JobSpec, Vec<TaskBehavior>) {
     let mut steps = Vec::new();
-    for at in 0..1 + world.draw(3) {
-        let (count, cores) = (1 + world.draw(6), 1 + world.draw(5));
-        let work = 100 + world.draw(2_500);
+    for at in 0..1 + world.random_below(3) {
+        let (count, cores) = (1 + world.random_below(6), 1 + world.random_below(5));
+        let work = 100 + world.random_below(2_500);
         let (mut spec, mut behavior) = step(u32::try_from(count).unwrap_or(1), cores, work);
-        if at > 0 && world.draw(2) == 0 {
+        if at > 0 && world.random_below(2) == 0 {
             spec.depends_on = vec![u16::try_from(at - 1).unwrap_or(0)];
         }
-        spec.checkpointing = world.draw(2) == 0;
-        spec.gang = world.draw(6) == 0;
-        spec.per_runner_max = if world.draw(4) == 0 { 2 } else { 0 };
+        spec.checkpointing = world.random_below(2) == 0;
+        spec.gang = world.random_below(6) == 0;
+        spec.per_runner_max = if world.random_below(4) == 0 { 2 } else { 0 };
         // Derived from a number drawn before, so that the histories of the seeds stay the same.
         spec.speculative = work.is_multiple_of(3) && !spec.gang;
-        behavior.fails = world.draw(20) == 0;
+        behavior.fails = world.random_below(20) == 0;
         steps.push((spec, behavior));
     }
     job(steps)
--- a/crates/coordination/tests/cell/checks.rs
+++ b/crates/coordination/tests/cell/checks.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl World {
-    pub(super) fn check_order(&mut self, _: usize, task: TaskKey, checkpoint: &str) {
+    pub(super) fn check_start_order(&mut self, _: usize, task: TaskKey, checkpoint: &str) {
         if !self.accepted.contains(&task.job) {
-            self.broken.push(format!("{task} was never submitted"));
+            self.violations.push(format!("{task} was never submitted"));
         }
         // A checkpoint of any member is valid for the whole gang.
         let gang = self.specs[&task.job].steps[usize::from(task.step)].gang;
@@ -14,23 +14,25 @@
             false => format!("{task}/"),
         };
         if !checkpoint.is_empty() && !checkpoint.starts_with(&own) {
-            self.broken
+            self.violations
                 .push(format!("{task} resumes from the checkpoint of another task: {checkpoint}"));
         }
     }
 
-    pub(super) fn noted(&mut self, at: usize, upto: u64) {
-        let rest = self.slots[at].listed.split_off(&(upto + 1));
-        let noted = std::mem::replace(&mut self.slots[at].listed, rest);
-        for (task, run, outcome) in noted.into_values() {
-            let past = self.past.entry(task).or_default();
+    pub(super) fn on_ends_acknowledged(&mut self, at: usize, upto: u64) {
+        let rest = self.slots[at].unacknowledged_ends.split_off(&(upto + 1));
+        let acknowledged = std::mem::replace(&mut self.slots[at].unacknowledged_ends, rest);
+        for (task, run, outcome) in acknowledged.into_values() {
+            let history = self.histories.entry(task).or_default();
             match outcome {
                 RunOutcome::Done => {
-                    if let Some(done) = past.dones.iter_mut().find(|done| done.run == run) {
-                        done.noted = Some(self.now);
+                    if let Some(completion) =
+                        history.completions.iter_mut().find(|completion| completion.run == run)
+                    {
+                        completion.acknowledged_at = Some(self.now);
                     }
                 }
-                RunOutcome::Failed => past.failures_noted.push(self.now),
+                RunOutcome::Failed => history.acknowledged_failures.push(self.now),
                 _ => {}
             }
         }
@@ -38,49 +40,57 @@
 
     /// Removes ends that were reported before the lease expired and are acknowledged after it.
     /// The cell had to give up those runs without telling anyone, so they don't count.
-    pub(super) fn lapsed(&mut self, at: usize) {
-        let listed: Vec<(TaskKey, u32, RunOutcome)> =
-            self.slots[at].listed.values().copied().collect();
-        self.slots[at].listed.retain(|_, (_, _, outcome)| *outcome != RunOutcome::Failed);
-        for (task, run, outcome) in listed {
+    pub(super) fn on_lease_expired(&mut self, at: usize) {
+        let unacknowledged_ends: Vec<(TaskKey, u32, RunOutcome)> =
+            self.slots[at].unacknowledged_ends.values().copied().collect();
+        self.slots[at]
+            .unacknowledged_ends
+            .retain(|_, (_, _, outcome)| *outcome != RunOutcome::Failed);
+        for (task, run, outcome) in unacknowledged_ends {
             if outcome == RunOutcome::Done
-                && let Some(past) = self.past.get_mut(&task)
-                && let Some(found) = past.dones.iter().position(|done| done.run == run)
+                && let Some(history) = self.histories.get_mut(&task)
+                && let Some(position) =
+                    history.completions.iter().position(|completion| completion.run == run)
             {
-                past.lapsed_dones.push(past.dones.remove(found).at);
+                history.expired_completions.push(history.completions.remove(position).at);
             }
         }
     }
 
-    pub(super) fn started(&mut self, at: usize, task: TaskKey, run: u32, when: Moment) {
+    pub(super) fn on_run_started(&mut self, at: usize, task: TaskKey, run: u32, when: Moment) {
         let Some(spec) = self.specs.get(&task.job).cloned() else { return };
         let step = &spec.steps[usize::from(task.step)];
         let elsewhere = self.slots.iter().enumerate().any(|(other, slot)| {
             other != at && slot.runner.as_ref().is_some_and(|runner| runner.is_running(task))
         });
         if elsewhere && !step.speculative {
-            self.broken.push(format!("{task} runs on two runners"));
+            self.violations.push(format!("{task} runs on two runners"));
         }
-        let past = self.past.entry(task).or_default();
-        if !past.runs.insert(run) {
-            self.broken.push(format!("{task} run {run} starts twice"));
+        let history = self.histories.entry(task).or_default();
+        if !history.runs.insert(run) {
+            self.violations.push(format!("{task} run {run} starts twice"));
         }
-        past.starts.push((when, run));
-        if let Some(third) = past.crashes.get(2)
-            && past.starts.iter().filter(|(at, _)| at > third).count() >= 3
+        history.starts.push((when, run));
+        if let Some(third) = history.crashes.get(2)
+            && history.starts.iter().filter(|(at, _)| at > third).count() >= 3
         {
-            self.broken.push(format!("{task} starts three more times after three crashes"));
+            self.violations.push(format!("{task} starts three more times after three crashes"));
         }
         // A copy may be ordered while the other run ends; a runner drops an order that is older
         // than one second.
         let grace = if step.speculative { Duration::from_secs(1) } else { Duration::ZERO };
-        let known = |noted: Moment| when.since(noted) >= grace;
-        let failures = past.failures_noted.iter().filter(|noted| known(**noted)).count();
+        let known = |acknowledged: Moment| when.since(acknowledged) >= grace;
+        let failures = history
+            .acknowledged_failures
+            .iter()
+            .filter(|acknowledged| known(**acknowledged))
+            .count();
         if failures >= ATTEMPTS as usize && !step.long_running {
-            self.broken.push(format!("{task} starts after {ATTEMPTS} failures"));
+            self.violations.push(format!("{task} starts after {ATTEMPTS} failures"));
         }
-        if past.dones.iter().filter_map(|done| done.noted).any(known) {
-            self.broken.push(format!("{task} starts after its end was acknowledged"));
+        if history.completions.iter().filter_map(|completion| completion.acknowledged_at).any(known)
+        {
+            self.violations.push(format!("{task} starts after its end was acknowledged"));
         }
         for before in &step.depends_on {
             let count = spec.steps[usize::from(*before)].count;
@@ -88,7 +98,7 @@
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
                 let key = TaskKey { step: *before, index, ..task };
                 if !self.is_done(&spec, key) {
-                    self.broken.push(format!("{task} starts before {key} is done"));
+                    self.violations.push(format!("{task} starts before {key} is done"));
                 }
             }
         }
@@ -99,30 +109,30 @@
                 runner.running().filter(same).count()
             });
             if here > per_runner {
-                self.broken.push(format!("{here} tasks of the step of {task} on one runner"));
+                self.violations.push(format!("{here} tasks of the step of {task} on one runner"));
             }
         }
     }
 
     /// Whether a task has ever completed. The end of any member counts for its whole gang.
     pub(super) fn is_done(&self, spec: &JobSpec, key: TaskKey) -> bool {
-        let ended = |key: TaskKey| self.past.get(&key).is_some_and(Past::ever_done);
+        let ended = |key: TaskKey| self.histories.get(&key).is_some_and(TaskHistory::has_completed);
         let step = &spec.steps[usize::from(key.step)];
         let members = 0..u16::try_from(step.count).unwrap_or(u16::MAX);
         ended(key) || step.gang && members.into_iter().any(|i| ended(TaskKey { index: i, ..key }))
     }
 
     /// Checks the rules that can only be judged at the end of a history.
-    pub fn close(&mut self) {
-        for (task, past) in &self.past {
-            // Copies may start while another run ends; see `started`.
+    pub fn check_final_state(&mut self) {
+        for (task, history) in &self.histories {
+            // Copies may start while another run ends; see `on_run_started`.
             if self.specs[&task.job].steps[usize::from(task.step)].speculative {
                 continue;
             }
-            for done in &past.dones {
-                let again = past.starts.iter().any(|(at, _)| *at > done.at);
-                if done.noted.is_some() && again {
-                    self.broken
+            for completion in &history.completions {
+                let again = history.starts.iter().any(|(at, _)| *at > completion.at);
+                if completion.acknowledged_at.is_some() && again {
+                    self.violations
                         .push(format!("{task} starts after an end that was acknowledged later"));
                 }
             }
@@ -131,7 +141,7 @@
 
     /// Reports committed jobs that are completed although a task is not done.
     pub fn check_completed(&mut self) {
-        let mut wrong = Vec::new();
+        let mut violations = Vec::new();
         for (id, job) in self.committed.all() {
             if job.phase != yuccalink_state::jobs::JobPhase::Completed {
                 continue;
@@ -145,17 +155,17 @@
                         index: u16::try_from(index).unwrap_or(u16::MAX),
                     };
                     if !self.is_done(&job.spec, key) {
-                        wrong.push(format!("{id} is completed but {key} is not done"));
+                        violations.push(format!("{id} is completed but {key} is not done"));
                     }
                 }
             }
         }
-        self.broken.extend(wrong);
+        self.violations.extend(violations);
     }
 
     /// Reports jobs that failed although no task failed, or lost its runner, often enough.
     pub fn check_failed(&mut self) {
-        let mut wrong = Vec::new();
+        let mut violations = Vec::new();
         for (id, job) in self.committed.all() {
             if job.phase != yuccalink_state::jobs::JobPhase::Failed {
                 continue;
@@ -163,49 +173,52 @@
             let steps = job.occurrences.iter().flat_map(|occurrence| &occurrence.steps);
             let failed = steps.zip(&job.spec.steps).any(|(step, spec)| {
                 let failures = step.tasks.iter().map(|task| task.failures);
-                let most = if spec.gang { failures.sum() } else { failures.max().unwrap_or(0) };
-                most >= ATTEMPTS
+                let task_failures =
+                    if spec.gang { failures.sum() } else { failures.max().unwrap_or(0) };
+                task_failures >= ATTEMPTS
             });
-            let lost = |(task, past): (&TaskKey, &Past)| task.job == id && past.lost_runners >= 2;
-            if !failed && !self.past.iter().any(lost) {
-                wrong.push(format!("{id} failed although no task failed often enough"));
+            let lost = |(task, history): (&TaskKey, &TaskHistory)| {
+                task.job == id && history.runners_lost >= 2
+            };
+            if !failed && !self.histories.iter().any(lost) {
+                violations.push(format!("{id} failed although no task failed often enough"));
             }
         }
-        self.broken.extend(wrong);
+        self.violations.extend(violations);
     }
 
     /// Checks a finished history in which `jobs` jobs were submitted, and returns all
     /// violations.
-    pub fn close_all(&mut self, jobs: u64) -> Vec<String> {
-        self.close();
+    pub fn final_violations(&mut self, jobs: u64) -> Vec<String> {
+        self.check_final_state();
         self.check_completed();
         self.check_failed();
         if self.accepted.len() as u64 != jobs {
-            self.broken.push(format!("{} of {jobs} jobs accepted", self.accepted.len()));
+            self.violations.push(format!("{} of {jobs} jobs accepted", self.accepted.len()));
         }
-        if self.open_jobs() > 0 {
-            self.broken.push(format!("{} jobs never ended", self.open_jobs()));
+        if self.active_jobs() > 0 {
+            self.violations.push(format!("{} jobs never ended", self.active_jobs()));
         }
-        self.broken.clone()
+        self.violations.clone()
     }
 
     /// Panics if any invariant was violated.
-    pub fn assert_kept(&mut self) {
-        self.close();
+    pub fn assert_no_violations(&mut self) {
+        self.check_final_state();
         self.check_completed();
         self.check_failed();
-        assert!(self.broken.is_empty(), "{:#?}", self.broken);
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 
     /// Number of active jobs: neither ended nor cancelled.
-    pub fn open_jobs(&self) -> usize {
+    pub fn active_jobs(&self) -> usize {
         let open =
             |job: &yuccalink_state::jobs::Job| job.phase == yuccalink_state::jobs::JobPhase::Active;
         self.committed.all().filter(|(_, job)| open(job)).count()
     }
 
     /// Whether a job is still active.
-    pub fn is_open(&self, id: JobId) -> bool {
+    pub fn is_active(&self, id: JobId) -> bool {
         self.committed.is_active(id)
     }
 
@@ -216,7 +229,7 @@
             for task in runner.running() {
                 let late = |at: &Moment| self.now.since(*at) > grace;
                 if self.cancelled.get(&task.job).is_some_and(late) {
-                    self.broken.push(format!("{task} runs long after its cancellation"));
+                    self.violations.push(format!("{task} runs long after its cancellation"));
                 }
             }
         }
--- a/crates/coordination/tests/cell/desk.rs
+++ b/crates/coordination/tests/cell/harness.rs
@@ -1,7 +1,7 @@
 //! Drives a leader whose log commits at once, with runners that report when a test tells them
 //! to.
 
-use super::world::{CAPACITY, change, place};
+use super::world::{CAPACITY, change_set, queue_address};
 use std::sync::Arc;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
@@ -13,32 +13,32 @@
 use yuccalink_state::jobs::change::Advisor;
 use yuccalink_state::jobs::{CellState, JobCommand, JobId, JobSpec, StepSpec};
 
-pub struct Desk {
+pub struct LeaderHarness {
     pub now: Moment,
     pub leader: Leader,
     index: u64,
-    tokens: u64,
+    last_token: u64,
     pub runners: Vec<EmulatedRunner>,
     behavior: TaskBehavior,
 }
 
-impl Desk {
+impl LeaderHarness {
     pub fn new(runners: usize, policy: Option<Advisor>, behavior: TaskBehavior) -> Self {
-        Self::with(runners, policy, behavior, Vec::new())
+        Self::with_commands(runners, policy, behavior, Vec::new())
     }
 
     /// Starts with a log that holds these commands after its change set.
-    pub fn with(
+    pub fn with_commands(
         runners: usize,
         policy: Option<Advisor>,
         behavior: TaskBehavior,
         commands: Vec<JobCommand>,
     ) -> Self {
-        Self::deciding_by(LeaderConfig::default(), runners, policy, behavior, commands)
+        Self::with_config(LeaderConfig::default(), runners, policy, behavior, commands)
     }
 
-    /// Like `with`, with the leader settings `cfg`.
-    pub fn deciding_by(
+    /// Like `with_commands`, with the leader settings `cfg`.
+    pub fn with_config(
         cfg: LeaderConfig,
         runners: usize,
         policy: Option<Advisor>,
@@ -46,36 +46,36 @@
         commands: Vec<JobCommand>,
     ) -> Self {
         let mut jobs = CellState::new();
-        let mut set = change();
+        let mut set = change_set();
         set.queues[0].advisor = policy;
         jobs.apply(JobCommand::Change(Box::new(set)));
         for command in commands {
             jobs.apply(command);
         }
         let now = Moment::from_millis(1_000);
-        let mut leader = Leader::new(cfg, 3, jobs, Self::at(now));
+        let mut leader = Leader::new(cfg, 3, jobs, Self::now_at(now));
         leader.set_node_name("e1");
         let runner = |at| EmulatedRunner::new(&format!("w{at}"), "r1", 5, CAPACITY, now);
         let runners = (0..runners).map(runner).collect();
-        Self { now, leader, index: 0, tokens: 0, runners, behavior }
+        Self { now, leader, index: 0, last_token: 0, runners, behavior }
     }
 
-    fn at(at: Moment) -> Now {
+    fn now_at(at: Moment) -> Now {
         Now { at, unix_ms: 1_800_000_000_000 + at.0 / 1_000 }
     }
 
-    pub fn clock(&self) -> Now {
-        Self::at(self.now)
+    pub fn leader_now(&self) -> Now {
+        Self::now_at(self.now)
     }
 
-    pub fn ask(&mut self, ask: CellRequest) -> CellResponse {
-        self.tokens += 1;
-        let token = RequestToken(self.tokens);
-        self.leader.handle_request(Self::at(self.now), token, ask);
+    pub fn request(&mut self, request: CellRequest) -> CellResponse {
+        self.last_token += 1;
+        let token = RequestToken(self.last_token);
+        self.leader.handle_request(Self::now_at(self.now), token, request);
         self.commit();
-        let answers = self.leader.take_answers();
-        let own = answers.into_iter().find(|(of, _)| *of == token);
-        own.map(|(_, answer)| answer).expect("a response")
+        let responses = self.leader.take_answers();
+        let own = responses.into_iter().find(|(of, _)| *of == token);
+        own.map(|(_, response)| response).expect("a response")
     }
 
     pub fn commit(&mut self) {
@@ -87,59 +87,62 @@
             self.leader.batch_appended(self.index + 1);
             for command in commands {
                 self.index += 1;
-                self.leader.apply_committed(Self::at(self.now), self.index, command);
+                self.leader.apply_committed(Self::now_at(self.now), self.index, command);
             }
         }
     }
 
     pub fn submit(&mut self, steps: Vec<StepSpec>) {
-        self.submit_as(JobId(1), steps);
+        self.submit_job(JobId(1), steps);
     }
 
-    pub fn submit_as(&mut self, id: JobId, steps: Vec<StepSpec>) {
+    pub fn submit_job(&mut self, id: JobId, steps: Vec<StepSpec>) {
         let spec = Arc::new(JobSpec { payload: "p".into(), steps, schedule: None });
-        assert_eq!(self.ask(CellRequest::Submit { at: place(), id, spec }), CellResponse::Accepted);
+        assert_eq!(
+            self.request(CellRequest::Submit { at: queue_address(), id, spec }),
+            CellResponse::Accepted
+        );
     }
 
     /// Lets every runner report once and carry out its orders; returns the orders of each
     /// runner.
-    pub fn round(&mut self) -> Vec<RunnerOrders> {
-        self.round_showing(|_| None)
+    pub fn report_round(&mut self) -> Vec<RunnerOrders> {
+        self.report_round_with_gauge(|_| None)
     }
 
-    /// Like `round`, with `gauge` as the reported usage or tail latency of each run.
-    pub fn round_showing<F>(&mut self, gauge: F) -> Vec<RunnerOrders>
+    /// Like `report_round`, with `gauge` as the reported usage or tail latency of each run.
+    pub fn report_round_with_gauge<F>(&mut self, gauge: F) -> Vec<RunnerOrders>
     where
         F: Fn(&ReportedRun) -> Option<u64>,
     {
-        let mut all = Vec::new();
+        let mut orders_by_runner = Vec::new();
         for at in 0..self.runners.len() {
             let mut report = Box::new(self.runners[at].report(self.now));
             for run in &mut report.running {
                 run.usage_or_tail = gauge(run);
             }
-            let CellResponse::Orders(orders) = self.ask(CellRequest::Heartbeat(report)) else {
+            let CellResponse::Orders(orders) = self.request(CellRequest::Heartbeat(report)) else {
                 panic!("no orders")
             };
             let behavior = self.behavior;
             self.runners[at].apply_orders(self.now, self.now, &orders, |_| Some(behavior));
-            all.push(*orders);
+            orders_by_runner.push(*orders);
         }
-        all
+        orders_by_runner
     }
 
-    pub fn pass(&mut self, span: Duration) {
-        self.now = self.now + span;
-        self.leader.tick(Self::at(self.now));
+    pub fn advance(&mut self, duration: Duration) {
+        self.now = self.now + duration;
+        self.leader.tick(Self::now_at(self.now));
         self.commit();
     }
 
-    pub fn told(&mut self, call: ExternalCallId, told: ExternalReply) {
-        self.leader.handle_external_reply(Self::at(self.now), call, told);
+    pub fn reply_to_call(&mut self, call: ExternalCallId, reply: ExternalReply) {
+        self.leader.handle_external_reply(Self::now_at(self.now), call, reply);
         self.commit();
     }
 
-    pub fn call(&mut self) -> Option<(ExternalCallId, ExternalCall)> {
+    pub fn take_call(&mut self) -> Option<(ExternalCallId, ExternalCall)> {
         self.leader.take_calls().pop()
     }
 }
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -24,60 +24,61 @@
     CellState, ChangeSet, JobCommand, JobId, JobSpec, Pool, Queue, RunOutcome, StepSpec, TaskKey,
 };
 
-pub const STEP: Duration = Duration::from_millis(10);
+pub const TIME_STEP: Duration = Duration::from_millis(10);
 /// Unix time at the start of every history.
 const EPOCH_MS: u64 = 1_800_000_000_000;
 /// Largest clock drift of a runner, in parts per million slow.
 const SLOWEST_PPM: u64 = 20_000;
 
-/// Delay of the last report before a crash, when `last_words` is set.
-const LAST_WORDS_TAKE: Duration = Duration::from_secs(6);
+/// Delay of the last report before a crash, when `late_last_report` is set.
+const LAST_REPORT_DELAY: Duration = Duration::from_secs(6);
 
-/// Which faults a history has. Numbers without a unit in their name are chances in thousandths.
+/// Which faults a history has, and how often.
 #[derive(Clone, Copy, Debug)]
-pub struct Rough {
-    pub lost: u32,
-    pub late: u32,
+pub struct FaultProfile {
+    pub loss_per_mille: u32,
+    pub delay_per_mille: u32,
     /// Longest delay of a delayed message.
-    pub late_max_ms: u64,
-    pub leader_change: u32,
-    pub runner_crash: u32,
-    pub faults: bool,
+    pub delay_max_ms: u64,
+    pub leader_change_per_mille: u32,
+    pub runner_crash_per_mille: u32,
+    pub runner_faults: bool,
     pub cancels: bool,
     /// Capacity shrinks for some seconds and grows back.
-    pub shrinks: u32,
+    pub shrink_per_mille: u32,
     /// A restarted runner may have another name at the same address.
-    pub renames: bool,
+    pub runner_renames: bool,
     /// The last report before a crash caused by a task arrives after the lease has expired.
-    pub last_words: bool,
+    pub late_last_report: bool,
 }
 
-impl Rough {
-    pub const CALM: Self = Self {
-        lost: 0,
-        late: 0,
-        late_max_ms: 4_000,
-        leader_change: 0,
-        runner_crash: 0,
-        faults: false,
+impl FaultProfile {
+    pub const NO_FAULTS: Self = Self {
+        loss_per_mille: 0,
+        delay_per_mille: 0,
+        delay_max_ms: 4_000,
+        leader_change_per_mille: 0,
+        runner_crash_per_mille: 0,
+        runner_faults: false,
         cancels: false,
-        shrinks: 0,
-        renames: false,
-        last_words: false,
+        shrink_per_mille: 0,
+        runner_renames: false,
+        late_last_report: false,
     };
-    pub const HARD: Self = Self {
-        lost: 40,
-        late: 20,
-        late_max_ms: 4_000,
-        leader_change: 2,
-        runner_crash: 2,
-        faults: true,
+    pub const HARSH: Self = Self {
+        loss_per_mille: 40,
+        delay_per_mille: 20,
+        delay_max_ms: 4_000,
+        leader_change_per_mille: 2,
+        runner_crash_per_mille: 2,
+        runner_faults: true,
         cancels: true,
-        shrinks: 0,
-        renames: false,
-        last_words: false,
+        shrink_per_mille: 0,
+        runner_renames: false,
+        late_last_report: false,
     };
-    pub const HARDEST: Self = Self { shrinks: 2, renames: true, late_max_ms: 9_000, ..Self::HARD };
+    pub const HARSHEST: Self =
+        Self { shrink_per_mille: 2, runner_renames: true, delay_max_ms: 9_000, ..Self::HARSH };
 }
 
 enum Message {
@@ -85,138 +86,144 @@
     Orders { slot: usize, started_ms: u64, sent: Moment, orders: Box<RunnerOrders> },
 }
 
-struct Slot {
+struct RunnerSlot {
     runner: Option<EmulatedRunner>,
     next_report: Moment,
-    back_at: Moment,
+    restarts_at: Moment,
     /// Until then, no message gets through to or from the runner.
-    cut_until: Moment,
+    partitioned_until: Moment,
     /// Ends that the runner has reported and the leader has not acknowledged, by their numbers.
-    listed: BTreeMap<u64, (TaskKey, u32, RunOutcome)>,
-    ends: u64,
-    grows_at: Moment,
+    unacknowledged_ends: BTreeMap<u64, (TaskKey, u32, RunOutcome)>,
+    end_count: u64,
+    capacity_returns_at: Moment,
 }
 
-struct Committing {
+struct PendingBatch {
     at: Moment,
     commands: Vec<JobCommand>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Done {
+struct Completion {
     run: u32,
     at: Moment,
-    noted: Option<Moment>,
+    acknowledged_at: Option<Moment>,
 }
 
 /// What happened to a task, over all runners.
 #[derive(Clone, Debug, Default)]
-struct Past {
+struct TaskHistory {
     starts: Vec<(Moment, u32)>,
     /// Runs that completed, when, and when the leader acknowledged that.
-    dones: Vec<Done>,
+    completions: Vec<Completion>,
     /// Times of completions whose runner's lease expired before they were acknowledged.
-    lapsed_dones: Vec<Moment>,
-    failures_noted: Vec<Moment>,
+    expired_completions: Vec<Moment>,
+    acknowledged_failures: Vec<Moment>,
     runs: BTreeSet<u32>,
     /// When the task made a runner crash.
     crashes: Vec<Moment>,
     /// Number of runners that crashed while the task ran there, whatever the cause.
-    lost_runners: usize,
+    runners_lost: usize,
 }
 
-impl Past {
-    fn ever_done(&self) -> bool {
-        !self.dones.is_empty() || !self.lapsed_dones.is_empty()
+impl TaskHistory {
+    fn has_completed(&self) -> bool {
+        !self.completions.is_empty() || !self.expired_completions.is_empty()
     }
 }
 
 pub struct World {
     pub now: Moment,
     rng: Pcg64Mcg,
-    rough: Rough,
+    fault_profile: FaultProfile,
     policy: Policy,
     committed: CellState,
     index: u64,
     term: u64,
     pub leader: Option<Leader>,
-    next_leader: Moment,
-    committing: Option<Committing>,
-    slots: Vec<Slot>,
+    next_leader_at: Moment,
+    pending_batch: Option<PendingBatch>,
+    slots: Vec<RunnerSlot>,
     messages: BTreeMap<(Moment, u64), Message>,
-    numbers: u64,
-    asked: BTreeMap<RequestToken, (usize, u64, Moment)>,
+    last_number: u64,
+    pending_reports: BTreeMap<RequestToken, (usize, u64, Moment)>,
     specs: BTreeMap<JobId, Arc<JobSpec>>,
-    pub truths: BTreeMap<JobId, Vec<TaskBehavior>>,
-    past: BTreeMap<TaskKey, Past>,
+    pub behaviors: BTreeMap<JobId, Vec<TaskBehavior>>,
+    histories: BTreeMap<TaskKey, TaskHistory>,
     cancelled: BTreeMap<JobId, Moment>,
     pub accepted: BTreeSet<JobId>,
     /// Downtime of a crashed runner, in milliseconds.
-    pub away_ms: std::ops::Range<u64>,
+    pub downtime_ms: std::ops::Range<u64>,
     /// Runs that were lost beside a task that had already made a runner crash before.
-    pub lost_to_repeats: usize,
-    pub broken: Vec<String>,
+    pub runs_lost_to_repeated_crashes: usize,
+    pub violations: Vec<String>,
 }
 
 impl World {
-    pub fn new(seed: u64, runners: usize, rough: Rough) -> Self {
-        Self::with_policy(seed, runners, rough, Policy::default())
+    pub fn new(seed: u64, runners: usize, fault_profile: FaultProfile) -> Self {
+        Self::with_policy(seed, runners, fault_profile, Policy::default())
     }
 
-    pub fn with_policy(seed: u64, runners: usize, rough: Rough, policy: Policy) -> Self {
+    pub fn with_policy(
+        seed: u64,
+        runners: usize,
+        fault_profile: FaultProfile,
+        policy: Policy,
+    ) -> Self {
         let mut world = Self {
             now: Moment::from_millis(1_000),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            rough,
+            fault_profile,
             policy,
             committed: CellState::new(),
             index: 0,
             term: 1,
             leader: None,
-            next_leader: Moment::ZERO,
-            committing: None,
+            next_leader_at: Moment::ZERO,
+            pending_batch: None,
             slots: Vec::new(),
             messages: BTreeMap::new(),
-            numbers: 0,
-            asked: BTreeMap::new(),
+            last_number: 0,
+            pending_reports: BTreeMap::new(),
             specs: BTreeMap::new(),
-            truths: BTreeMap::new(),
-            past: BTreeMap::new(),
+            behaviors: BTreeMap::new(),
+            histories: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             accepted: BTreeSet::new(),
-            away_ms: 200..9_000,
-            lost_to_repeats: 0,
-            broken: Vec::new(),
+            downtime_ms: 200..9_000,
+            runs_lost_to_repeated_crashes: 0,
+            violations: Vec::new(),
         };
-        world.committed.apply(JobCommand::Change(Box::new(change())));
+        world.committed.apply(JobCommand::Change(Box::new(change_set())));
         for at in 0..runners {
             let runner = Some(world.new_runner(at));
-            let (listed, ends) = (BTreeMap::new(), 0);
-            let (next_report, back_at) = (world.now, Moment::ZERO);
-            let cut_until = Moment::ZERO;
-            let grows_at = Moment::ZERO;
-            world.slots.push(Slot {
+            let (unacknowledged_ends, end_count) = (BTreeMap::new(), 0);
+            let (next_report, restarts_at) = (world.now, Moment::ZERO);
+            let partitioned_until = Moment::ZERO;
+            let capacity_returns_at = Moment::ZERO;
+            world.slots.push(RunnerSlot {
                 runner,
                 next_report,
-                back_at,
-                cut_until,
-                listed,
-                ends,
-                grows_at,
+                restarts_at,
+                partitioned_until,
+                unacknowledged_ends,
+                end_count,
+                capacity_returns_at,
             });
         }
         world
     }
 
     fn new_runner(&mut self, at: usize) -> EmulatedRunner {
-        let born = self.unix_ms() + at as u64;
+        let started_ms = self.unix_ms() + at as u64;
         let rack = format!("r{}", at / 4);
-        let mut runner = EmulatedRunner::new(&format!("w{at}"), &rack, born, CAPACITY, self.now);
+        let mut runner =
+            EmulatedRunner::new(&format!("w{at}"), &rack, started_ms, CAPACITY, self.now);
         runner.slow_ppm = self.rng.random_range(0..=SLOWEST_PPM);
-        if self.rough.renames && self.chance(500) {
-            runner.id = format!("w{at}-{born}").into();
+        if self.fault_profile.runner_renames && self.chance(500) {
+            runner.id = format!("w{at}-{started_ms}").into();
         }
-        if self.rough.faults {
+        if self.fault_profile.runner_faults {
             runner.fault = match self.rng.random_range(0..12) {
                 0 => RunnerFault::FailsAll,
                 1 => RunnerFault::TasksStall,
@@ -239,40 +246,40 @@
     }
 
     /// Submits a job through the current leader, again until it is accepted.
-    pub fn submit(&mut self, id: JobId, spec: JobSpec, truths: Vec<TaskBehavior>) {
+    pub fn submit(&mut self, id: JobId, spec: JobSpec, behaviors: Vec<TaskBehavior>) {
         self.specs.insert(id, Arc::new(spec));
-        self.truths.insert(id, truths);
+        self.behaviors.insert(id, behaviors);
     }
 
     pub fn cancel(&mut self, id: JobId) {
-        let at = place();
-        self.ask(CellRequest::Cancel { at, id });
+        let at = queue_address();
+        self.request(CellRequest::Cancel { at, id });
         self.cancelled.entry(id).or_insert(self.now);
     }
 
     pub fn state(&mut self, id: JobId) -> Option<JobState> {
-        match self.ask(CellRequest::State { at: place(), id })? {
+        match self.request(CellRequest::State { at: queue_address(), id })? {
             CellResponse::State(state) => Some(state),
             CellResponse::Failed(_) => Some(JobState::Failed),
             _ => None,
         }
     }
 
-    fn ask(&mut self, ask: CellRequest) -> Option<CellResponse> {
+    fn request(&mut self, request: CellRequest) -> Option<CellResponse> {
         let now = self.now();
-        let token = RequestToken(u64::MAX - self.numbers);
-        self.numbers += 1;
+        let token = RequestToken(u64::MAX - self.last_number);
+        self.last_number += 1;
         let leader = self.leader.as_mut()?;
-        leader.handle_request(now, token, ask);
-        let answers = self.leader.as_mut()?.take_answers();
-        let (own, others): (Vec<_>, Vec<_>) = answers.into_iter().partition(|(t, _)| *t == token);
+        leader.handle_request(now, token, request);
+        let responses = self.leader.as_mut()?.take_answers();
+        let (own, others): (Vec<_>, Vec<_>) = responses.into_iter().partition(|(t, _)| *t == token);
         self.deliver(others);
-        own.into_iter().next().map(|(_, answer)| answer)
+        own.into_iter().next().map(|(_, response)| response)
     }
 
     /// Why a job failed, as its caller sees it.
-    pub fn reason(&mut self, id: JobId) -> Option<Box<str>> {
-        match self.ask(CellRequest::State { at: place(), id })? {
+    pub fn failure_reason(&mut self, id: JobId) -> Option<Box<str>> {
+        match self.request(CellRequest::State { at: queue_address(), id })? {
             CellResponse::Failed(reason) => Some(reason),
             _ => None,
         }
@@ -283,44 +290,44 @@
         (0..self.slots.len()).find(|at| self.running_on(*at).contains(&task))
     }
 
-    pub fn run_for(&mut self, span: Duration) {
-        let until = self.now + span;
+    pub fn run_for(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
     }
 
     pub fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TIME_STEP;
         self.change_leader();
         let now = self.now();
         // The daemon handles a due timer and a waiting message in any order. The simulation
         // always handles the timer first.
         if let Some(leader) = &mut self.leader {
             leader.tick(now);
-            let answers = leader.take_answers();
-            self.deliver(answers);
+            let responses = leader.take_answers();
+            self.deliver(responses);
         }
-        self.resubmit();
+        self.submit_missing();
         self.deliver_messages();
-        self.runners();
+        self.advance_runners();
         self.commit();
         self.propose();
     }
 
     fn change_leader(&mut self) {
-        if self.leader.is_some() && self.chance(self.rough.leader_change) {
+        if self.leader.is_some() && self.chance(self.fault_profile.leader_change_per_mille) {
             // Commands in flight to the log are either committed or lost.
             if self.chance(500) {
                 self.commit_now();
             }
-            self.committing = None;
+            self.pending_batch = None;
             self.leader = None;
-            self.asked.clear();
+            self.pending_reports.clear();
             let gap = self.rng.random_range(400..2_000);
-            self.next_leader = self.now + Duration::from_millis(gap);
+            self.next_leader_at = self.now + Duration::from_millis(gap);
         }
-        if self.leader.is_none() && self.now >= self.next_leader {
+        if self.leader.is_none() && self.now >= self.next_leader_at {
             self.term += 1;
             let cfg = LeaderConfig { policy: self.policy, ..LeaderConfig::default() };
             let jobs = self.committed.clone();
@@ -328,7 +335,7 @@
         }
     }
 
-    fn resubmit(&mut self) {
+    fn submit_missing(&mut self) {
         if self.leader.is_none() || !self.now.0.is_multiple_of(100_000) {
             return;
         }
@@ -340,12 +347,12 @@
             .collect();
         for id in missing {
             let spec = self.specs[&id].clone();
-            self.ask(CellRequest::Submit { at: place(), id, spec });
+            self.request(CellRequest::Submit { at: queue_address(), id, spec });
         }
     }
 
     fn propose(&mut self) {
-        if self.committing.is_some() {
+        if self.pending_batch.is_some() {
             return;
         }
         let Some(leader) = &mut self.leader else { return };
@@ -356,17 +363,17 @@
         leader.batch_appended(self.index + 1);
         let wait = self.rng.random_range(5..60);
         let at = self.now + Duration::from_millis(wait);
-        self.committing = Some(Committing { at, commands });
+        self.pending_batch = Some(PendingBatch { at, commands });
     }
 
     fn commit(&mut self) {
-        if self.committing.as_ref().is_some_and(|batch| self.now >= batch.at) {
+        if self.pending_batch.as_ref().is_some_and(|batch| self.now >= batch.at) {
             self.commit_now();
         }
     }
 
     fn commit_now(&mut self) {
-        let Some(batch) = self.committing.take() else { return };
+        let Some(batch) = self.pending_batch.take() else { return };
         let now = self.now();
         for command in batch.commands {
             self.index += 1;
@@ -380,10 +387,12 @@
         }
     }
 
-    fn deliver(&mut self, answers: Vec<(RequestToken, CellResponse)>) {
-        for (token, answer) in answers {
-            let Some((slot, started_ms, sent)) = self.asked.remove(&token) else { continue };
-            if let CellResponse::Orders(orders) = answer {
+    fn deliver(&mut self, responses: Vec<(RequestToken, CellResponse)>) {
+        for (token, response) in responses {
+            let Some((slot, started_ms, sent)) = self.pending_reports.remove(&token) else {
+                continue;
+            };
+            if let CellResponse::Orders(orders) = response {
                 self.send(Message::Orders { slot, started_ms, sent, orders });
             }
         }
@@ -391,16 +400,18 @@
 
     fn send(&mut self, message: Message) {
         let (Message::Report { slot, .. } | Message::Orders { slot, .. }) = &message;
-        if self.slots[*slot].cut_until > self.now || self.chance(self.rough.lost) {
+        if self.slots[*slot].partitioned_until > self.now
+            || self.chance(self.fault_profile.loss_per_mille)
+        {
             return;
         }
-        let late = self.chance(self.rough.late);
+        let late = self.chance(self.fault_profile.delay_per_mille);
         let wait = match late {
-            true => self.rng.random_range(500..self.rough.late_max_ms),
+            true => self.rng.random_range(500..self.fault_profile.delay_max_ms),
             false => self.rng.random_range(1..30),
         };
-        self.numbers += 1;
-        self.messages.insert((self.now + Duration::from_millis(wait), self.numbers), message);
+        self.last_number += 1;
+        self.messages.insert((self.now + Duration::from_millis(wait), self.last_number), message);
     }
 
     fn deliver_messages(&mut self) {
@@ -409,27 +420,33 @@
                 return;
             }
             match entry.remove() {
-                Message::Report { slot, sent, report } => self.take_report(slot, sent, report),
+                Message::Report { slot, sent, report } => self.receive_report(slot, sent, report),
                 Message::Orders { slot, started_ms, sent, orders } => {
-                    self.take_orders(slot, started_ms, sent, &orders);
+                    self.receive_orders(slot, started_ms, sent, &orders);
                 }
             }
         }
     }
 
-    fn take_report(&mut self, slot: usize, sent: Moment, report: Box<RunnerReport>) {
+    fn receive_report(&mut self, slot: usize, sent: Moment, report: Box<RunnerReport>) {
         let now = self.now();
-        let born = report.started_ms;
+        let started_ms = report.started_ms;
         let Some(leader) = &mut self.leader else { return };
-        self.numbers += 1;
-        let token = RequestToken(self.numbers);
-        self.asked.insert(token, (slot, born, sent));
+        self.last_number += 1;
+        let token = RequestToken(self.last_number);
+        self.pending_reports.insert(token, (slot, started_ms, sent));
         leader.handle_request(now, token, CellRequest::Heartbeat(report));
-        let answers = leader.take_answers();
-        self.deliver(answers);
+        let responses = leader.take_answers();
+        self.deliver(responses);
     }
 
-    fn take_orders(&mut self, slot: usize, started_ms: u64, sent: Moment, orders: &RunnerOrders) {
+    fn receive_orders(
+        &mut self,
+        slot: usize,
+        started_ms: u64,
+        sent: Moment,
+        orders: &RunnerOrders,
+    ) {
         let now = self.now;
         let late = now.since(sent) > Duration::from_secs(1);
         let Some(runner) = self.slots[slot].runner.as_mut() else { return };
@@ -437,10 +454,11 @@
             return;
         }
         for start in &orders.start {
-            self.check_order(slot, start.task, &start.checkpoint);
+            self.check_start_order(slot, start.task, &start.checkpoint);
         }
-        let truths = &self.truths;
-        let behavior = |task: TaskKey| truths.get(&task.job)?.get(usize::from(task.step)).copied();
+        let behaviors = &self.behaviors;
+        let behavior =
+            |task: TaskKey| behaviors.get(&task.job)?.get(usize::from(task.step)).copied();
         let Some(runner) = self.slots[slot].runner.as_mut() else { return };
         runner.apply_orders(now, sent, orders, behavior);
         let pause = if orders.retry_after_ms == 0 { 500 } else { orders.retry_after_ms };
@@ -448,26 +466,26 @@
         self.observe(slot);
     }
 
-    fn runners(&mut self) {
+    fn advance_runners(&mut self) {
         for at in 0..self.slots.len() {
             if self.slots[at].runner.is_none() {
-                if self.now >= self.slots[at].back_at {
+                if self.now >= self.slots[at].restarts_at {
                     let runner = self.new_runner(at);
                     let slot = &mut self.slots[at];
                     slot.runner = Some(runner);
                     slot.next_report = self.now;
-                    slot.listed.clear();
-                    slot.ends = 0;
+                    slot.unacknowledged_ends.clear();
+                    slot.end_count = 0;
                 }
                 continue;
             }
-            if self.chance(self.rough.runner_crash) && self.chance(200) {
-                self.lose(at);
+            if self.chance(self.fault_profile.runner_crash_per_mille) && self.chance(200) {
+                self.crash_for_a_while(at);
                 continue;
             }
-            if self.chance(self.rough.runner_crash) && self.chance(200) {
-                let cut = self.rng.random_range(1_000..9_000);
-                self.slots[at].cut_until = self.now + Duration::from_millis(cut);
+            if self.chance(self.fault_profile.runner_crash_per_mille) && self.chance(200) {
+                let partition_ms = self.rng.random_range(1_000..9_000);
+                self.slots[at].partitioned_until = self.now + Duration::from_millis(partition_ms);
             }
             self.resize(at);
             let now = self.now;
@@ -476,16 +494,16 @@
             }
             let new_ends = self.observe(at);
             if let Some(by) = self.slots[at].runner.as_ref().and_then(EmulatedRunner::crashed_by) {
-                let crashes = &mut self.past.entry(by).or_default().crashes;
+                let crashes = &mut self.histories.entry(by).or_default().crashes;
                 crashes.push(now);
                 if crashes.len() > 1 {
                     let others = self.running_on(at).into_iter().filter(|task| *task != by);
-                    self.lost_to_repeats += others.count();
+                    self.runs_lost_to_repeated_crashes += others.count();
                 }
-                if self.rough.last_words {
-                    self.send_last_words(at);
+                if self.fault_profile.late_last_report {
+                    self.send_late_last_report(at);
                 }
-                self.lose(at);
+                self.crash_for_a_while(at);
                 continue;
             }
             let slot = &mut self.slots[at];
@@ -503,35 +521,39 @@
     }
 
     /// Crashes a runner, which restarts after some seconds.
-    fn lose(&mut self, at: usize) {
-        let away = self.rng.random_range(self.away_ms.clone());
+    fn crash_for_a_while(&mut self, at: usize) {
+        let away = self.rng.random_range(self.downtime_ms.clone());
         self.crash(at, Duration::from_millis(away));
     }
 
-    fn send_last_words(&mut self, at: usize) {
+    fn send_late_last_report(&mut self, at: usize) {
         let Some(runner) = self.slots[at].runner.as_mut() else { return };
         let (sent, report) = (self.now, Box::new(runner.report(self.now)));
-        self.numbers += 1;
-        let arrives = self.now + LAST_WORDS_TAKE;
-        self.messages.insert((arrives, self.numbers), Message::Report { slot: at, sent, report });
+        self.last_number += 1;
+        let arrives = self.now + LAST_REPORT_DELAY;
+        self.messages
+            .insert((arrives, self.last_number), Message::Report { slot: at, sent, report });
     }
 
     /// Lets the capacity of a runner shrink or grow back.
     fn resize(&mut self, at: usize) {
-        if self.now >= self.slots[at].grows_at {
+        if self.now >= self.slots[at].capacity_returns_at {
             self.set_capacity(at, CAPACITY);
         }
-        if self.rough.shrinks > 0 && self.chance(self.rough.shrinks) && self.chance(200) {
+        if self.fault_profile.shrink_per_mille > 0
+            && self.chance(self.fault_profile.shrink_per_mille)
+            && self.chance(200)
+        {
             let cores = self.rng.random_range(0..16);
-            let span = Duration::from_millis(self.rng.random_range(500..12_000));
-            self.shrink(at, cores, span);
+            let duration = Duration::from_millis(self.rng.random_range(500..12_000));
+            self.shrink(at, cores, duration);
         }
     }
 
-    /// Limits a runner to `cores` for `span`.
-    pub fn shrink(&mut self, at: usize, cores: u64, span: Duration) {
+    /// Limits a runner to `cores` for `duration`.
+    pub fn shrink(&mut self, at: usize, cores: u64, duration: Duration) {
         self.set_capacity(at, Resources { millicores: cores * 1_000, ..CAPACITY });
-        self.slots[at].grows_at = self.now + span;
+        self.slots[at].capacity_returns_at = self.now + duration;
     }
 
     fn set_capacity(&mut self, at: usize, capacity: Resources) {
@@ -543,36 +565,43 @@
     /// Records and checks the events of a runner; true if a run ended.
     fn observe(&mut self, at: usize) -> bool {
         let Some(runner) = self.slots[at].runner.as_mut() else { return false };
-        let happened = runner.take_events();
-        let started = happened.iter().any(|event| matches!(event, RunnerEvent::Started { .. }));
+        let events = runner.take_events();
+        let started = events.iter().any(|event| matches!(event, RunnerEvent::Started { .. }));
         if started && !runner.is_within_capacity(self.now) {
-            let (taken, room) = (runner.resources_in_use(), runner.capacity);
-            self.broken.push(format!("w{at} is overcommitted: {taken:?} in use of {room:?}"));
+            let (in_use, capacity) = (runner.resources_in_use(), runner.capacity);
+            self.violations
+                .push(format!("w{at} is overcommitted: {in_use:?} in use of {capacity:?}"));
         }
         let mut ended = false;
-        for event in happened {
+        for event in events {
             match event {
-                RunnerEvent::Started { task, run, at: when } => self.started(at, task, run, when),
+                RunnerEvent::Started { task, run, at: when } => {
+                    self.on_run_started(at, task, run, when)
+                }
                 RunnerEvent::Ended { task, run, outcome, at: when } => {
                     ended = true;
                     let slot = &mut self.slots[at];
-                    slot.ends += 1;
-                    slot.listed.insert(slot.ends, (task, run, outcome));
-                    let past = self.past.entry(task).or_default();
+                    slot.end_count += 1;
+                    slot.unacknowledged_ends.insert(slot.end_count, (task, run, outcome));
+                    let history = self.histories.entry(task).or_default();
                     if outcome == RunOutcome::Done {
-                        past.dones.push(Done { run, at: when, noted: None });
+                        history.completions.push(Completion {
+                            run,
+                            at: when,
+                            acknowledged_at: None,
+                        });
                     }
                 }
-                RunnerEvent::EndsAcknowledged(upto) => self.noted(at, upto),
-                RunnerEvent::LeaseExpired(_) => self.lapsed(at),
+                RunnerEvent::EndsAcknowledged(upto) => self.on_ends_acknowledged(at, upto),
+                RunnerEvent::LeaseExpired(_) => self.on_lease_expired(at),
             }
         }
         ended
     }
 
     /// Stops all faults, so that the remaining jobs must end.
-    pub fn calm_down(&mut self) {
-        self.rough = Rough::CALM;
+    pub fn stop_faults(&mut self) {
+        self.fault_profile = FaultProfile::NO_FAULTS;
         for slot in &mut self.slots {
             if let Some(runner) = &mut slot.runner {
                 runner.fault = RunnerFault::None;
@@ -586,21 +615,21 @@
         }
     }
 
-    /// Drains a runner that announces its end after `span`.
-    pub fn drain_within(&mut self, at: usize, span: Duration) {
+    /// Drains a runner that announces its end after `duration`.
+    pub fn drain_within(&mut self, at: usize, duration: Duration) {
         self.drain(at);
         if let Some(runner) = &mut self.slots[at].runner {
-            runner.terminates_at = Some(self.now + span);
+            runner.terminates_at = Some(self.now + duration);
         }
     }
 
     pub fn crash(&mut self, at: usize, away: Duration) {
         for task in self.running_on(at) {
-            self.past.entry(task).or_default().lost_runners += 1;
+            self.histories.entry(task).or_default().runners_lost += 1;
         }
         self.slots[at].runner = None;
-        self.slots[at].grows_at = self.now;
-        self.slots[at].back_at = self.now + away;
+        self.slots[at].capacity_returns_at = self.now;
+        self.slots[at].restarts_at = self.now + away;
     }
 
     pub fn set_fault(&mut self, at: usize, fault: RunnerFault) {
@@ -613,9 +642,9 @@
         self.slots[at].runner.iter().flat_map(|runner| runner.running()).collect()
     }
 
-    /// Partitions a runner: no message gets through to or from it for `span`.
-    pub fn cut(&mut self, at: usize, span: Duration) {
-        self.slots[at].cut_until = self.now + span;
+    /// Partitions a runner: no message gets through to or from it for `duration`.
+    pub fn partition(&mut self, at: usize, duration: Duration) {
+        self.slots[at].partitioned_until = self.now + duration;
         self.messages.retain(|_, message| match message {
             Message::Report { slot, .. } | Message::Orders { slot, .. } => *slot != at,
         });
@@ -636,7 +665,7 @@
 
     /// Number of runs that were lost with their runners.
     pub fn runs_lost(&self) -> usize {
-        self.past.values().map(|past| past.lost_runners).sum()
+        self.histories.values().map(|history| history.runners_lost).sum()
     }
 
     /// Number of completed jobs.
@@ -649,22 +678,22 @@
 
     /// How often a task made its runner crash.
     pub fn crashes_of(&self, task: TaskKey) -> usize {
-        self.past.get(&task).map_or(0, |past| past.crashes.len())
+        self.histories.get(&task).map_or(0, |history| history.crashes.len())
     }
 
     /// Replaces the leader at once, after committing what is in flight.
     pub fn replace_leader(&mut self) {
         self.commit_now();
         self.leader = None;
-        self.asked.clear();
-        self.next_leader = self.now;
+        self.pending_reports.clear();
+        self.next_leader_at = self.now;
     }
 
     pub fn starts_of(&self, task: TaskKey) -> usize {
-        self.past.get(&task).map_or(0, |past| past.starts.len())
+        self.histories.get(&task).map_or(0, |history| history.starts.len())
     }
 
-    pub fn draw(&mut self, below: u64) -> u64 {
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.rng.random_range(0..below)
     }
 }
@@ -673,11 +702,11 @@
     Resources { millicores: 16_000, memory_mib: 32_000, accelerators: 0 };
 pub const ATTEMPTS: u32 = 3;
 
-pub fn place() -> QueueAddress {
+pub fn queue_address() -> QueueAddress {
     QueueAddress { host: "h".into(), path: "/q/".into() }
 }
 
-pub fn change() -> ChangeSet {
+pub fn change_set() -> ChangeSet {
     let queue = Queue {
         name: "q".into(),
         host: "h".into(),
@@ -695,8 +724,8 @@
 
 /// A job of these steps, and how the tasks of each step really behave.
 pub fn job(steps: Vec<(StepSpec, TaskBehavior)>) -> (JobSpec, Vec<TaskBehavior>) {
-    let (steps, truths): (Vec<_>, Vec<_>) = steps.into_iter().unzip();
-    (JobSpec { payload: "work".into(), steps, schedule: None }, truths)
+    let (steps, behaviors): (Vec<_>, Vec<_>) = steps.into_iter().unzip();
+    (JobSpec { payload: "work".into(), steps, schedule: None }, behaviors)
 }
 
 /// The key of a task in a job without a schedule.
--- a/crates/coordination/tests/directory.rs
+++ b/crates/coordination/tests/directory.rs
@@ -23,41 +23,41 @@
 /// An entry that receives a large table in several parts must not miss runners that change
 /// between two parts.
 #[test]
-fn a_table_told_in_pieces_leaves_nobody_out() {
+fn a_table_sent_in_parts_misses_no_runner() {
     const RUNNERS: usize = 10;
-    const MOST: usize = 3;
+    const PART_MAX: usize = 3;
     let now = Moment::from_millis(10_000);
     let mut directory = Directory::new();
     for at in 0..RUNNERS {
         directory.announce(now, TargetSpec::Runner(runner(at)), 0);
     }
-    let (mut version, mut pieces) = (0, 0);
-    let (mut told, mut unusable) = (BTreeSet::new(), BTreeSet::new());
+    let (mut version, mut parts) = (0, 0);
+    let (mut received, mut unusable) = (BTreeSet::new(), BTreeSet::new());
     while version < directory.version() {
-        let (changes, upto) = directory.changes(version, MOST);
-        assert!(changes.len() <= MOST && upto > version);
+        let (changes, upto) = directory.changes(version, PART_MAX);
+        assert!(changes.len() <= PART_MAX && upto > version);
         for change in changes {
             if !change.usable {
                 unusable.insert(change.spec.name.clone());
             }
-            told.insert(change.spec.name);
+            received.insert(change.spec.name);
         }
-        if pieces == 0 {
+        if parts == 0 {
             // One runner that was sent already, and one that was not.
             directory.leave(&runner(0).name, Incarnation(1));
             directory.leave(&runner(7).name, Incarnation(1));
         }
-        (version, pieces) = (upto, pieces + 1);
+        (version, parts) = (upto, parts + 1);
     }
-    assert_eq!(told.len(), RUNNERS);
+    assert_eq!(received.len(), RUNNERS);
     assert_eq!(unusable, BTreeSet::from([runner(0).name, runner(7).name]));
-    assert!(pieces > RUNNERS / MOST);
+    assert!(parts > RUNNERS / PART_MAX);
 }
 
-fn entry(now: Moment) -> EntryTable {
+fn entry_table(now: Moment) -> EntryTable {
     let mut entries = EntryTable::new(Moment::ZERO);
     let name = Name::new("e1").expect("a name");
-    let hello = EntryReport {
+    let report = EntryReport {
         name,
         incarnation: Incarnation(1),
         caller_address: "127.0.0.1:8080".into(),
@@ -65,7 +65,7 @@
         acked_revision: Revision(0),
         draining: false,
     };
-    entries.record_report(now, &hello);
+    entries.record_report(now, &report);
     entries
 }
 
@@ -77,10 +77,10 @@
 /// A leader that was paused must not suspect all runners at once, or entries refuse every
 /// request.
 #[test]
-fn a_leader_that_stood_still_suspects_nobody_for_it() {
+fn a_paused_leader_suspects_no_runner() {
     const RUNNERS: usize = 6;
     let mut now = Moment::from_millis(10_000);
-    let entries = entry(now);
+    let entries = entry_table(now);
     let mut directory = Directory::new();
     for at in 0..RUNNERS {
         directory.announce(now, TargetSpec::Runner(runner(at)), 0);
--- a/crates/coordination/tests/explain.rs
+++ b/crates/coordination/tests/explain.rs
@@ -1,19 +1,19 @@
 //! Tests that the log lines of the leader alone lead from a failed job to its cause, as the
 //! operators' page describes.
 
-#[path = "cell/desk.rs"]
+#[path = "cell/harness.rs"]
 #[allow(dead_code)]
-mod desk;
+mod harness;
 #[path = "cell/world.rs"]
 #[allow(dead_code)]
 mod world;
 
-use desk::Desk;
+use harness::LeaderHarness;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::cell::RefCell;
 use std::sync::Arc;
 use std::time::Duration;
-use world::{place, step};
+use world::{queue_address, step};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, RequestToken};
 use yuccalink_fakes::emulator::{RunnerFault, TaskBehavior};
 use yuccalink_state::jobs::{JobId, JobSpec};
@@ -23,9 +23,9 @@
 }
 
 /// Captures the log lines of the test's own thread, on which the leader runs.
-struct Keeper;
+struct LogCapture;
 
-impl Log for Keeper {
+impl Log for LogCapture {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -37,9 +37,9 @@
     fn flush(&self) {}
 }
 
-fn keep_lines() {
+fn capture_lines() {
     // Another test of this process may have set the logger; all set the same one.
-    let _ = log::set_logger(&Keeper);
+    let _ = log::set_logger(&LogCapture);
     log::set_max_level(LevelFilter::Info);
 }
 
@@ -50,9 +50,9 @@
     })
 }
 
-fn assert_in_order(lines: &[String], wanted: &[&str]) {
+fn assert_in_order(lines: &[String], expected: &[&str]) {
     let mut rest = lines.iter();
-    for part in wanted {
+    for part in expected {
         assert!(rest.any(|line| line.contains(part)), "no `{part}` in this order: {lines:#?}");
     }
 }
@@ -61,31 +61,31 @@
     TaskBehavior { run_time: Duration::from_millis(work_ms), fails, ..TaskBehavior::default() }
 }
 
-fn rounds(desk: &mut Desk, count: u32) {
+fn report_rounds(harness: &mut LeaderHarness, count: u32) {
     for _ in 0..count {
-        desk.pass(Duration::from_millis(200));
-        desk.round();
+        harness.advance(Duration::from_millis(200));
+        harness.report_round();
     }
 }
 
 /// A job is refused because the log has more to write than it can take. Its only line names the
 /// queue and the time after which the caller may retry.
 #[test]
-fn a_refused_job_has_a_line_with_the_time_to_come_back() {
-    keep_lines();
-    let mut desk = Desk::new(1, None, behavior(500, false));
+fn a_refused_job_has_a_line_with_its_retry_time() {
+    capture_lines();
+    let mut harness = LeaderHarness::new(1, None, behavior(500, false));
     let (spec, _) = step(1, 1, 500);
     let spec = Arc::new(JobSpec { payload: "p".into(), steps: vec![spec], schedule: None });
     // Nothing is committed in between, as if the log were stalled.
     let mut refused = None;
     for number in 1..20_000 {
-        let (now, id) = (desk.clock(), JobId(number));
-        desk.leader.handle_request(
+        let (now, id) = (harness.leader_now(), JobId(number));
+        harness.leader.handle_request(
             now,
             RequestToken(number),
-            CellRequest::Submit { at: place(), id, spec: spec.clone() },
+            CellRequest::Submit { at: queue_address(), id, spec: spec.clone() },
         );
-        if let Some((_, CellResponse::Refused { after_ms })) = desk.leader.take_answers().pop() {
+        if let Some((_, CellResponse::Refused { after_ms })) = harness.leader.take_answers().pop() {
             refused = Some((id, after_ms));
             break;
         }
@@ -99,19 +99,19 @@
 /// A job ends late. Its lines show one stalled run with its runner, its progress and how long it
 /// stalled, the stop, the second run on another runner, and how late the job ended.
 #[test]
-fn a_late_job_leads_to_the_run_that_stood_still() {
-    keep_lines();
-    let mut desk = Desk::new(2, None, behavior(1_000, false));
-    desk.round();
-    desk.runners[0].fault = RunnerFault::TasksStall;
-    desk.runners[1].fault = RunnerFault::TasksStall;
+fn lines_of_a_late_job_show_its_stalled_run() {
+    capture_lines();
+    let mut harness = LeaderHarness::new(2, None, behavior(1_000, false));
+    harness.report_round();
+    harness.runners[0].fault = RunnerFault::TasksStall;
+    harness.runners[1].fault = RunnerFault::TasksStall;
     let (spec, _) = step(1, 2, 1_000);
-    desk.submit(vec![spec]);
-    rounds(&mut desk, 2);
-    let on = usize::from(desk.runners[0].running().next().is_none());
-    desk.runners[1 - on].fault = RunnerFault::None;
-    rounds(&mut desk, 30);
-    let runner = &desk.runners[on].id;
+    harness.submit(vec![spec]);
+    report_rounds(&mut harness, 2);
+    let on = usize::from(harness.runners[0].running().next().is_none());
+    harness.runners[1 - on].fault = RunnerFault::None;
+    report_rounds(&mut harness, 30);
+    let runner = &harness.runners[on].id;
     let lines = lines_of(JobId(1));
     assert_in_order(
         &lines,
@@ -130,13 +130,13 @@
 /// A job fails. Its lines show as many failed runs as the queue has attempts, each on another
 /// runner, which tells that the job is at fault and not the runners.
 #[test]
-fn a_failed_job_leads_to_its_own_fault() {
-    keep_lines();
-    let mut desk = Desk::new(4, None, behavior(300, true));
-    desk.round();
+fn lines_of_a_failed_job_show_its_own_fault() {
+    capture_lines();
+    let mut harness = LeaderHarness::new(4, None, behavior(300, true));
+    harness.report_round();
     let (spec, _) = step(1, 2, 300);
-    desk.submit(vec![spec]);
-    rounds(&mut desk, 60);
+    harness.submit(vec![spec]);
+    report_rounds(&mut harness, 60);
     let lines = lines_of(JobId(1));
     assert_in_order(
         &lines,
@@ -163,15 +163,15 @@
 /// A job ends late though each of its runs was fast. Its last line tells for how long no runner
 /// had capacity for its next task.
 #[test]
-fn a_late_job_says_that_it_waited_for_room() {
-    keep_lines();
-    let mut desk = Desk::new(1, None, behavior(2_000, false));
-    desk.round();
+fn lines_of_a_late_job_show_its_wait_for_capacity() {
+    capture_lines();
+    let mut harness = LeaderHarness::new(1, None, behavior(2_000, false));
+    harness.report_round();
     let (spec, _) = step(1, 12, 2_000);
-    desk.submit_as(JobId(1), vec![spec.clone()]);
-    rounds(&mut desk, 1);
-    desk.submit_as(JobId(2), vec![spec]);
-    rounds(&mut desk, 30);
+    harness.submit_job(JobId(1), vec![spec.clone()]);
+    report_rounds(&mut harness, 1);
+    harness.submit_job(JobId(2), vec![spec]);
+    report_rounds(&mut harness, 30);
     let lines = lines_of(JobId(2));
     let ended = lines.last().expect("a line");
     assert!(ended.contains("ended state=Completed"), "{lines:#?}");
--- a/crates/coordination/tests/incarnations.rs
+++ b/crates/coordination/tests/incarnations.rs
@@ -5,11 +5,11 @@
 #[allow(dead_code)]
 mod world;
 
-#[path = "cell/desk.rs"]
+#[path = "cell/harness.rs"]
 #[allow(dead_code)]
-mod desk;
+mod harness;
 
-use desk::Desk;
+use harness::LeaderHarness;
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, RunnerReport};
 use yuccalink_fakes::emulator::TaskBehavior;
 use yuccalink_state::jobs::{JobCommand, RunnerIncarnation};
@@ -18,7 +18,7 @@
     JobCommand::Meet(RunnerIncarnation { id: id.into(), started_ms, address: address.into() })
 }
 
-fn lease_of(desk: &mut Desk, id: &str, address: &str, started_ms: u64) -> u64 {
+fn lease_of(harness: &mut LeaderHarness, id: &str, address: &str, started_ms: u64) -> u64 {
     let report = RunnerReport {
         runner: id.into(),
         started_ms,
@@ -27,7 +27,7 @@
         address: address.into(),
         ..RunnerReport::default()
     };
-    match desk.ask(CellRequest::Heartbeat(Box::new(report))) {
+    match harness.request(CellRequest::Heartbeat(Box::new(report))) {
         CellResponse::Orders(orders) => orders.lease_ms,
         other => panic!("{other:?}"),
     }
@@ -36,20 +36,20 @@
 /// A new leader must not refuse the reports of a live runner because another runner now has its
 /// former address.
 #[test]
-fn a_runner_that_moved_is_taken_by_a_new_leader() {
+fn a_new_leader_accepts_a_runner_that_moved() {
     let incarnations =
         vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7), incarnation("a", "y:1", 6)];
-    let mut desk = Desk::with(0, None, TaskBehavior::default(), incarnations);
-    assert!(lease_of(&mut desk, "a", "y:1", 6) > 0, "it runs at another address");
-    assert!(lease_of(&mut desk, "b", "x:1", 7) > 0);
-    assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0, "this incarnation has ended");
+    let mut harness = LeaderHarness::with_commands(0, None, TaskBehavior::default(), incarnations);
+    assert!(lease_of(&mut harness, "a", "y:1", 6) > 0, "it runs at another address");
+    assert!(lease_of(&mut harness, "b", "x:1", 7) > 0);
+    assert_eq!(lease_of(&mut harness, "a", "x:1", 5), 0, "this incarnation has ended");
 }
 
 /// A late report of an incarnation must not renew its lease once another runner has its address.
 #[test]
-fn a_life_is_over_once_its_name_or_address_is_anothers() {
+fn an_incarnation_ends_once_another_has_its_name_or_address() {
     let incarnations = vec![incarnation("a", "x:1", 5), incarnation("b", "x:1", 7)];
-    let mut desk = Desk::with(0, None, TaskBehavior::default(), incarnations);
-    assert_eq!(lease_of(&mut desk, "a", "x:1", 5), 0);
-    assert!(lease_of(&mut desk, "b", "x:1", 7) > 0);
+    let mut harness = LeaderHarness::with_commands(0, None, TaskBehavior::default(), incarnations);
+    assert_eq!(lease_of(&mut harness, "a", "x:1", 5), 0);
+    assert!(lease_of(&mut harness, "b", "x:1", 7) > 0);
 }
--- a/crates/coordination/tests/margin_forecast.rs
+++ b/crates/coordination/tests/margin_forecast.rs
@@ -16,9 +16,9 @@
 const BOUND_TO_SHORTEST: f64 = 6.0;
 const REPORT_MS: u64 = 200;
 /// Mean age of the requests in a report, which covers the last half second.
-const FIGURE_AGE_S: f64 = 0.25;
+const REPORTED_AGE_S: f64 = 0.25;
 /// Usual run time of a background task.
-const AHEAD: Duration = Duration::from_millis(2_500);
+const FORECAST_SPAN: Duration = Duration::from_millis(2_500);
 
 fn margin(period_s: f64, phase: f64, at_s: f64) -> f64 {
     let load = 0.48 * (1.0 + 0.5 * ((at_s / period_s + phase) * TAU).sin());
@@ -26,39 +26,44 @@
 }
 
 /// Simulates jobs with a periodic load and returns the learnt forecasts and the true phases.
-fn play(seed: u64, period_s: f64, seconds: u64) -> (MarginForecasts<u32>, Vec<f64>) {
+fn simulate(seed: u64, period_s: f64, seconds: u64) -> (MarginForecasts<u32>, Vec<f64>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let phases: Vec<f64> = (0..12).map(|_| rng.random::<f64>()).collect();
     let mut learnt = Interference::default();
     let serves: ImageKey = learnt.image("serves");
-    let mut loads = MarginForecasts::default();
+    let mut forecasts = MarginForecasts::default();
     for tick in 1..=seconds * 1_000 / REPORT_MS {
         let now = Moment::from_millis(tick * REPORT_MS);
-        let seen_s = (tick * REPORT_MS) as f64 / 1_000.0 - FIGURE_AGE_S;
+        let reported_s = (tick * REPORT_MS) as f64 / 1_000.0 - REPORTED_AGE_S;
         for (job, phase) in phases.iter().enumerate() {
             let job = u32::try_from(job).unwrap();
             let noise = 1.0 + f64::from(rng.random_range(-120..=120)) / 1_000.0;
-            let seen = margin(period_s, *phase, seen_s) * noise;
-            let own = loads.entry(job, now);
-            let freed = learnt.observe(serves, own, seen, &[], now);
-            if let Some(freed) = freed {
-                loads.judge(job, freed, now);
+            let reported = margin(period_s, *phase, reported_s) * noise;
+            let model = forecasts.entry(job, now);
+            let margin_without_background = learnt.observe(serves, model, reported, &[], now);
+            if let Some(margin_without_background) = margin_without_background {
+                forecasts.judge(job, margin_without_background, now);
             }
         }
     }
-    (loads, phases)
+    (forecasts, phases)
 }
 
 /// Mean error of the forecasts, and of the present margin taken as the forecast.
-fn errors(loads: &MarginForecasts<u32>, phases: &[f64], period_s: f64, now_s: u64) -> (f64, f64) {
+fn mean_errors(
+    forecasts: &MarginForecasts<u32>,
+    phases: &[f64],
+    period_s: f64,
+    now_s: u64,
+) -> (f64, f64) {
     let now = Moment::from_millis(now_s * 1_000);
-    let then_s = now_s as f64 + AHEAD.as_secs_f64();
+    let target_s = now_s as f64 + FORECAST_SPAN.as_secs_f64();
     let (mut forecast, mut naive) = (0.0, 0.0);
     for (job, phase) in phases.iter().enumerate() {
-        let swing: &MarginModel = loads.get(u32::try_from(job).unwrap()).unwrap();
-        let behavior = margin(period_s, *phase, then_s);
-        forecast += (swing.margin_at(now + AHEAD) - behavior).abs();
-        naive += (margin(period_s, *phase, now_s as f64) - behavior).abs();
+        let model: &MarginModel = forecasts.get(u32::try_from(job).unwrap()).unwrap();
+        let actual = margin(period_s, *phase, target_s);
+        forecast += (model.margin_at(now + FORECAST_SPAN) - actual).abs();
+        naive += (margin(period_s, *phase, now_s as f64) - actual).abs();
     }
     let count = phases.len() as f64;
     (forecast / count, naive / count)
@@ -68,18 +73,18 @@
 /// when the load is high and the bound is exceeded. The error of a forecast must be below a
 /// third of the error of taking the present margin.
 #[test]
-fn margins_ahead_are_forecast() {
+fn forecasts_beat_the_present_margin() {
     for period_s in [10.0, 20.0] {
-        let (mut forecast_in_all, mut naive_in_all) = (0.0, 0.0);
+        let (mut total_forecast, mut total_naive) = (0.0, 0.0);
         for seed in 0..10 {
-            let (loads, phases) = play(seed, period_s, 40);
-            let (forecast, naive) = errors(&loads, &phases, period_s, 40);
-            forecast_in_all += forecast;
-            naive_in_all += naive;
+            let (forecasts, phases) = simulate(seed, period_s, 40);
+            let (forecast, naive) = mean_errors(&forecasts, &phases, period_s, 40);
+            total_forecast += forecast;
+            total_naive += naive;
         }
         assert!(
-            forecast_in_all * 3.0 < naive_in_all,
-            "period {period_s}: {forecast_in_all:.2} against {naive_in_all:.2}"
+            total_forecast * 3.0 < total_naive,
+            "period {period_s}: {total_forecast:.2} against {total_naive:.2}"
         );
     }
 }
@@ -87,27 +92,27 @@
 /// The period of a deployment is not configured. After 30 s, the chosen candidate must be within
 /// an eighth of the true period.
 #[test]
-fn the_period_is_found() {
-    for (period_s, least, most) in [(10.0, 10.0, 10.0), (20.0, 20.0, 20.0), (14.0, 12.5, 16.0)] {
+fn the_period_is_estimated() {
+    for (period_s, min, max) in [(10.0, 10.0, 10.0), (20.0, 20.0, 20.0), (14.0, 12.5, 16.0)] {
         for seed in 0..10 {
-            let (loads, _) = play(seed, period_s, 30);
-            let found = loads.period_s();
-            assert!(found >= least && found <= most, "seed {seed}: {found} for {period_s}");
+            let (forecasts, _) = simulate(seed, period_s, 30);
+            let period = forecasts.period_s();
+            assert!(period >= min && period <= max, "seed {seed}: {period} for {period_s}");
         }
     }
 }
 
 /// A constant load must not be modelled as an oscillating one.
 #[test]
-fn a_steady_load_stays_steady() {
+fn a_constant_load_has_a_constant_forecast() {
     let mut learnt = Interference::default();
     let serves = learnt.image("serves");
-    let mut swing = MarginModel::new(Moment::ZERO);
+    let mut model = MarginModel::new(Moment::ZERO);
     for tick in 1..=200 {
         let now = Moment::from_millis(tick * REPORT_MS);
-        learnt.observe(serves, &mut swing, 2.0, &[], now);
+        learnt.observe(serves, &mut model, 2.0, &[], now);
     }
     let now = Moment::from_millis(200 * REPORT_MS);
-    let least = swing.min_margin(now, Duration::from_secs(10));
-    assert!(least > 1.8, "{least}");
+    let min = model.min_margin(now, Duration::from_secs(10));
+    assert!(min > 1.8, "{min}");
 }
--- a/crates/coordination/tests/peer_table.rs
+++ b/crates/coordination/tests/peer_table.rs
@@ -13,14 +13,14 @@
     SocketAddr::from(([10, 0, 0, u8::try_from(at + 1).unwrap()], 8082))
 }
 
-fn info(at: usize, disk: bool) -> NodeInfo {
+fn info(at: usize, has_disk: bool) -> NodeInfo {
     NodeInfo {
         name: format!("e{at}").into(),
         zone: "z".into(),
         peer: address(at),
         control: None,
-        replica: disk.then_some(ReplicaId(at as u64 + 1)),
-        may_bootstrap: disk,
+        replica: has_disk.then_some(ReplicaId(at as u64 + 1)),
+        may_bootstrap: has_disk,
     }
 }
 
@@ -30,24 +30,25 @@
 
 /// Processes of a new cell; the first ones are its seeds.
 fn peer_tables(disks: &[bool]) -> Vec<PeerTable> {
-    let peer_table = |(at, disk): (usize, &bool)| PeerTable::new(info(at, *disk), seeds(), true);
+    let peer_table =
+        |(at, has_disk): (usize, &bool)| PeerTable::new(info(at, *has_disk), seeds(), true);
     disks.iter().enumerate().map(peer_table).collect()
 }
 
 /// `to` receives the record of `from` and the replica that `from` would let bootstrap.
-fn hear(all: &mut [PeerTable], to: usize, from: usize, now: Moment) {
-    let (me, founder) = (all[from].me.clone(), all[from].designated());
+fn receive_record(all: &mut [PeerTable], to: usize, from: usize, now: Moment) {
+    let (me, bootstrapper) = (all[from].me.clone(), all[from].designated());
     all[to].record_peer(me, now);
-    all[to].record_bootstrapper(founder, address(from));
+    all[to].record_bootstrapper(bootstrapper, address(from));
 }
 
-fn founders(all: &[PeerTable]) -> Vec<usize> {
+fn bootstrappers(all: &[PeerTable]) -> Vec<usize> {
     (0..all.len())
         .filter(|at| all[*at].me.replica.is_some() && all[*at].should_bootstrap(true))
         .collect()
 }
 
-fn lead(at: usize, term: u64) -> LeaderInfo {
+fn leader_info(at: usize, term: u64) -> LeaderInfo {
     LeaderInfo { term, peer: address(at), control: None, serving: true }
 }
 
@@ -56,44 +57,44 @@
     /// with half of the jobs. In no order of messages may two processes bootstrap. Once all have
     /// heard from all, one does, provided that any has a disk.
     #[test]
-    fn exactly_one_founds(
+    fn exactly_one_process_bootstraps(
         disks in prop::collection::vec(any::<bool>(), 4..8),
-        heard in prop::collection::vec((0usize..8, 0usize..8), 0..60),
+        deliveries in prop::collection::vec((0usize..8, 0usize..8), 0..60),
     ) {
         let now = Moment::from_millis(1_000);
         let mut all = peer_tables(&disks);
-        let mut ever = std::collections::BTreeSet::new();
-        for (to, from) in heard {
+        let mut all_bootstrappers = std::collections::BTreeSet::new();
+        for (to, from) in deliveries {
             let (to, from) = (to % disks.len(), from % disks.len());
             if to != from {
-                hear(&mut all, to, from, now);
+                receive_record(&mut all, to, from, now);
             }
-            ever.extend(founders(&all));
-            prop_assert!(ever.len() <= 1, "{ever:?} of {disks:?}");
+            all_bootstrappers.extend(bootstrappers(&all));
+            prop_assert!(all_bootstrappers.len() <= 1, "{all_bootstrappers:?} of {disks:?}");
         }
         for _ in 0..2 {
             for to in 0..disks.len() {
                 for from in 0..disks.len() {
                     if to != from {
-                        hear(&mut all, to, from, now);
+                        receive_record(&mut all, to, from, now);
                     }
                 }
             }
         }
-        ever.extend(founders(&all));
-        prop_assert_eq!(ever.len(), usize::from(disks.contains(&true)), "{:?}", disks);
+        all_bootstrappers.extend(bootstrappers(&all));
+        prop_assert_eq!(all_bootstrappers.len(), usize::from(disks.contains(&true)), "{:?}", disks);
     }
 }
 
 /// A disk that comes back empty long after the first start must not bootstrap a second cell,
 /// even before its process learns of the first.
 #[test]
-fn nobody_founds_after_the_first_start_or_beside_a_leader() {
+fn no_process_bootstraps_after_the_first_start_or_beside_a_leader() {
     let later = PeerTable::new(info(0, true), seeds(), false);
     assert!(!later.should_bootstrap(true));
     let mut first = PeerTable::new(info(0, true), seeds(), true);
     assert!(first.should_bootstrap(true));
-    first.record_leader(lead(2, 4), address(5), Moment::ZERO);
+    first.record_leader(leader_info(2, 4), address(5), Moment::ZERO);
     assert!(!first.should_bootstrap(true));
     first.clear_leader(address(2), "test");
     assert!(!first.should_bootstrap(true), "the cell exists, though it has no leader now");
@@ -102,19 +103,19 @@
 /// A process that was partitioned reports a leader of an earlier term. Requests must not go back
 /// to that leader, and only a leader's own report makes it count as serving.
 #[test]
-fn an_earlier_leader_is_not_believed_in() {
+fn a_leader_of_an_earlier_term_is_ignored() {
     let now = Moment::from_millis(1_000);
     let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
-    peer_table.record_leader(lead(1, 5), address(1), now);
+    peer_table.record_leader(leader_info(1, 5), address(1), now);
     assert!(
-        peer_table.lead().is_some_and(|lead| lead.serving),
+        peer_table.lead().is_some_and(|leader_info| leader_info.serving),
         "the leader reports itself as serving"
     );
-    peer_table.record_leader(lead(0, 4), address(0), now);
-    assert_eq!(peer_table.lead().map(|lead| lead.peer), Some(address(1)));
-    peer_table.record_leader(lead(2, 6), address(0), now);
-    let told = peer_table.lead().expect("a leader");
-    assert_eq!((told.peer, told.serving), (address(2), false));
+    peer_table.record_leader(leader_info(0, 4), address(0), now);
+    assert_eq!(peer_table.lead().map(|leader_info| leader_info.peer), Some(address(1)));
+    peer_table.record_leader(leader_info(2, 6), address(0), now);
+    let known = peer_table.lead().expect("a leader");
+    assert_eq!((known.peer, known.serving), (address(2), false));
 }
 
 /// A leader becomes unreachable without a connection reset, and requests sent to it would wait
@@ -124,9 +125,9 @@
 fn a_silent_leader_is_dropped() {
     let mut now = Moment::from_millis(1_000);
     let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
-    peer_table.record_leader(lead(1, 5), address(1), now);
+    peer_table.record_leader(leader_info(1, 5), address(1), now);
     now = now + LEAD_FRESH;
-    peer_table.record_leader(lead(1, 5), address(0), now);
+    peer_table.record_leader(leader_info(1, 5), address(0), now);
     peer_table.tick(now);
     assert!(peer_table.lead().is_some(), "it may still answer");
     peer_table.tick(now + Duration::from_millis(1));
--- a/crates/coordination/tests/policy.rs
+++ b/crates/coordination/tests/policy.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use std::time::Duration;
-use world::{Rough, World, step};
+use world::{FaultProfile, World, step};
 use yuccalink_coordination::jobs::policy::{
     BadPolicy, GangsPolicy, OrderBy, OrderPolicy, Policy, Switch,
 };
@@ -48,11 +48,11 @@
 }
 
 /// Simulates jobs of all kinds with lost messages, crashes and leader changes.
-fn play(seed: u64, policy: Policy) -> Vec<String> {
-    let mut world = World::with_policy(seed, 5, Rough::HARD, policy);
+fn run_history(seed: u64, policy: Policy) -> Vec<String> {
+    let mut world = World::with_policy(seed, 5, FaultProfile::HARSH, policy);
     for id in 1..=JOBS {
-        let count = 1 + u32::try_from(world.draw(5)).unwrap_or(0);
-        let (cores, work_ms) = (1 + world.draw(6), 100 + world.draw(2_000));
+        let count = 1 + u32::try_from(world.random_below(5)).unwrap_or(0);
+        let (cores, work_ms) = (1 + world.random_below(6), 100 + world.random_below(2_000));
         let (mut spec, behavior) = step(count, cores, work_ms);
         spec.checkpointing = id.is_multiple_of(2);
         spec.speculative = id.is_multiple_of(3);
@@ -60,29 +60,29 @@
         spec.per_runner_max = u32::from(id.is_multiple_of(4)) * 2;
         let spec = JobSpec { payload: "work".into(), steps: vec![spec], schedule: None };
         world.submit(JobId(id), spec, vec![behavior]);
-        let pause = 100 + world.draw(900);
+        let pause = 100 + world.random_below(900);
         world.run_for(Duration::from_millis(pause));
     }
-    world.calm_down();
+    world.stop_faults();
     world.run_for(Duration::from_secs(40));
-    world.close_all(JOBS)
+    world.final_violations(JOBS)
 }
 
 /// An operator switches a mechanism off to measure its effect. Jobs may take longer, but none
 /// may run twice, be forgotten or start too early.
 #[test]
-fn no_promise_rests_on_a_mechanism() {
+fn no_invariant_depends_on_a_mechanism() {
     for (name, policy) in variants() {
         policy.check().expect("a valid policy");
         for seed in 0..SEEDS {
-            let broken = play(seed, policy);
-            assert!(broken.is_empty(), "without {name}, seed {seed}: {broken:#?}");
+            let violations = run_history(seed, policy);
+            assert!(violations.is_empty(), "without {name}, seed {seed}: {violations:#?}");
         }
     }
 }
 
 #[test]
-fn a_figure_out_of_range_is_named_with_its_bounds() {
+fn a_value_out_of_range_is_reported_with_its_bounds() {
     let order = OrderPolicy { size_weight: -1.0, ..OrderPolicy::default() };
     let bad = Policy::builder().order(order).build().expect_err("a negative weight is invalid");
     assert!(matches!(bad, BadPolicy::OutOfRange { section: "order", name: "size-weight", .. }));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_ships_is_sound() {
+fn the_default_policy_is_valid() {
     assert_eq!(Policy::default().check(), Ok(()));
     assert_eq!(Policy::builder().build(), Ok(Policy::default()));
 }
--- a/crates/coordination/tests/pressure.rs
+++ b/crates/coordination/tests/pressure.rs
@@ -71,7 +71,7 @@
 /// A batch wave fills a worker that also runs a latency-critical task. Only batch tasks are
 /// throttled, until the pressure is well below the limit.
 #[test]
-fn batch_makes_way_for_latency_critical_work() {
+fn batch_tasks_are_throttled_for_latency_critical_ones() {
     use TaskClass::{Batch, LatencyCritical};
     let state = state(true, &[LatencyCritical, Batch, Batch]);
     let mut pressure = Pressure::default();
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn nothing_is_slowed_without_leave_or_need() {
+fn no_task_is_throttled_without_permission_or_need() {
     use TaskClass::{Batch, LatencyCritical};
-    let without_leave = state(false, &[LatencyCritical, Batch]);
-    assert!(throttled(&mut Pressure::default(), &without_leave, 10_000).is_empty());
-    let without_need = state(true, &[Batch, Batch]);
-    assert!(throttled(&mut Pressure::default(), &without_need, 10_000).is_empty());
+    let not_permitted = state(false, &[LatencyCritical, Batch]);
+    assert!(throttled(&mut Pressure::default(), &not_permitted, 10_000).is_empty());
+    let not_needed = state(true, &[Batch, Batch]);
+    assert!(throttled(&mut Pressure::default(), &not_needed, 10_000).is_empty());
 }
--- a/crates/coordination/tests/raft.rs
+++ b/crates/coordination/tests/raft.rs
@@ -42,10 +42,10 @@
     disk: Disk,
     raft: Option<Raft>,
     applied: Vec<u64>,
-    held: Vec<(u64, Envelope)>,
+    awaiting_sync: Vec<(u64, Envelope)>,
     synced: u64,
     /// Clock drift in parts per million; positive if the clock is fast.
-    drift: i64,
+    drift_ppm: i64,
     snapshot_pending: BTreeSet<ReplicaId>,
 }
 
@@ -53,25 +53,25 @@
     rng: Pcg64Mcg,
     now: u64,
     nodes: BTreeMap<ReplicaId, Node>,
-    seats: Vec<ReplicaId>,
+    current_replicas: Vec<ReplicaId>,
     next_id: u64,
     network: Vec<(u64, Envelope)>,
-    cut: BTreeSet<(ReplicaId, ReplicaId)>,
+    blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     leaders: BTreeMap<u64, ReplicaId>,
     log: Vec<Option<u64>>,
     proposals: u64,
     acknowledged: BTreeSet<u64>,
-    waiting: BTreeMap<u64, (u64, ReplicaId, u64)>,
-    calm: bool,
-    step: Duration,
-    slowest: u64,
+    pending_proposals: BTreeMap<u64, (u64, ReplicaId, u64)>,
+    faults_off: bool,
+    time_step: Duration,
+    max_delay_us: u64,
 }
 
-fn member(id: ReplicaId, seat: usize) -> Member {
-    Member { id, name: Name::new(&format!("e{seat}")).expect("a name"), address: "".into() }
+fn member(id: ReplicaId, position: usize) -> Member {
+    Member { id, name: Name::new(&format!("e{position}")).expect("a name"), address: "".into() }
 }
 
-fn number(entry: &LogEntry) -> Option<u64> {
+fn command_number(entry: &LogEntry) -> Option<u64> {
     match &entry.payload {
         Payload::Command(bytes) => Some(u64::from_le_bytes(bytes[..8].try_into().expect("eight"))),
         Payload::Empty | Payload::Members(_) => None,
@@ -86,22 +86,22 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 1_000_000,
             nodes: BTreeMap::new(),
-            seats: Vec::new(),
+            current_replicas: Vec::new(),
             next_id: 0,
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             leaders: BTreeMap::new(),
             log: vec![None],
             proposals: 0,
             acknowledged: BTreeSet::new(),
-            waiting: BTreeMap::new(),
-            calm: false,
-            step: Duration::from_millis(if fast { 5 } else { 20 }),
-            slowest: if fast { 8_000 } else { 150_000 },
+            pending_proposals: BTreeMap::new(),
+            faults_off: false,
+            time_step: Duration::from_millis(if fast { 5 } else { 20 }),
+            max_delay_us: if fast { 8_000 } else { 150_000 },
         };
         for _ in 0..replicas {
             let id = world.new_node();
-            world.seats.push(id);
+            world.current_replicas.push(id);
         }
         world.bootstrap();
         world
@@ -112,12 +112,13 @@
         if self.nodes.values().any(|node| node.raft.as_ref().is_none_or(|raft| !raft.is_empty())) {
             return;
         }
-        let voters = self.seats.iter().enumerate().map(|(at, id)| member(*id, at)).collect();
-        let first = self.seats[0];
+        let voters =
+            self.current_replicas.iter().enumerate().map(|(at, id)| member(*id, at)).collect();
+        let first = self.current_replicas[0];
         let at = self.clock(first);
-        let founder = self.nodes.get_mut(&first).expect("a node").raft.as_mut().expect("up");
-        founder.bootstrap(Members { voters, learners: Vec::new() }, at);
-        self.carry_out(first);
+        let bootstrapper = self.nodes.get_mut(&first).expect("a node").raft.as_mut().expect("up");
+        bootstrapper.bootstrap(Members { voters, learners: Vec::new() }, at);
+        self.process_output(first);
     }
 
     fn new_node(&mut self) -> ReplicaId {
@@ -127,9 +128,9 @@
             disk: Disk::default(),
             raft: None,
             applied: Vec::new(),
-            held: Vec::new(),
+            awaiting_sync: Vec::new(),
             synced: 0,
-            drift: self.rng.random_range(-9_000..=9_000),
+            drift_ppm: self.rng.random_range(-9_000..=9_000),
             snapshot_pending: BTreeSet::new(),
         };
         self.nodes.insert(id, node);
@@ -139,9 +140,9 @@
 
     /// The node's own clock, which drifts within the allowed bound.
     fn clock(&self, id: ReplicaId) -> Moment {
-        let drift = self.nodes[&id].drift;
+        let drift_ppm = self.nodes[&id].drift_ppm;
         let now = i64::try_from(self.now).expect("small");
-        Moment(u64::try_from(now + now / 1_000_000 * drift + 1_000_000).expect("positive"))
+        Moment(u64::try_from(now + now / 1_000_000 * drift_ppm + 1_000_000).expect("positive"))
     }
 
     fn start(&mut self, id: ReplicaId) {
@@ -155,23 +156,23 @@
         };
         node.applied = node.disk.state.clone();
         node.synced = 0;
-        node.held.clear();
+        node.awaiting_sync.clear();
         node.snapshot_pending.clear();
         node.raft = Some(Raft::new(id, restored, seed, at));
     }
 
     /// Simulates a power loss: a prefix of the unsynced writes may have reached the disk.
     fn crash(&mut self, id: ReplicaId) {
-        let survive = self.rng.random_range(0..3);
+        let surviving_writes = self.rng.random_range(0..3);
         let node = self.nodes.get_mut(&id).expect("a node");
-        for _ in 0..survive {
+        for _ in 0..surviving_writes {
             node.disk.sync_one();
         }
         node.disk.unsynced.clear();
         node.raft = None;
     }
 
-    fn carry_out(&mut self, id: ReplicaId) {
+    fn process_output(&mut self, id: ReplicaId) {
         loop {
             let at = self.clock(id);
             let node = self.nodes.get_mut(&id).expect("a node");
@@ -186,7 +187,7 @@
                 break;
             }
             node.disk.unsynced.extend(output.persist);
-            node.held.extend(output.messages);
+            node.awaiting_sync.extend(output.messages);
             node.snapshot_pending.extend(output.need_snapshot);
             if let Some((meta, bytes)) = output.install {
                 let state: Vec<u64> = bytes
@@ -199,22 +200,22 @@
                 node.disk.install(&meta, &state);
                 node.applied = state;
                 raft.installed(Some(meta));
-                node.synced = raft_seq(&node.disk, node.synced);
+                node.synced = synced_seq(&node.disk, node.synced);
             }
             for (index, entry) in output.committed {
                 self.check_committed(id, index, &entry);
                 let node = self.nodes.get_mut(&id).expect("a node");
-                node.applied.extend(number(&entry));
+                node.applied.extend(command_number(&entry));
                 self.acknowledge(id, index, &entry);
             }
             let _ = at;
         }
-        self.offer(id);
-        self.release(id);
-        self.note_leader(id);
+        self.offer_snapshots(id);
+        self.send_synced(id);
+        self.check_single_leader(id);
     }
 
-    fn offer(&mut self, id: ReplicaId) {
+    fn offer_snapshots(&mut self, id: ReplicaId) {
         let at = self.clock(id);
         let node = self.nodes.get_mut(&id).expect("a node");
         let Some(raft) = &mut node.raft else { return };
@@ -232,31 +233,32 @@
         for to in pending {
             raft.offer_snapshot(at, to, meta.clone(), bytes.clone());
         }
-        self.carry_out(id);
+        self.process_output(id);
     }
 
     /// Sends the messages whose writes are synced.
-    fn release(&mut self, id: ReplicaId) {
+    fn send_synced(&mut self, id: ReplicaId) {
         let node = self.nodes.get_mut(&id).expect("a node");
         let synced = node.synced;
-        let (ready, held) =
-            std::mem::take(&mut node.held).into_iter().partition(|(seq, _)| *seq <= synced);
-        node.held = held;
+        let (ready, awaiting_sync) = std::mem::take(&mut node.awaiting_sync)
+            .into_iter()
+            .partition(|(seq, _)| *seq <= synced);
+        node.awaiting_sync = awaiting_sync;
         let ready: Vec<(u64, Envelope)> = ready;
         for (_, envelope) in ready {
-            let copies = if self.calm || self.rng.random_range(0..20) > 0 { 1 } else { 2 };
+            let copies = if self.faults_off || self.rng.random_range(0..20) > 0 { 1 } else { 2 };
             for _ in 0..copies {
-                if !self.calm && self.rng.random_range(0..12) == 0 {
+                if !self.faults_off && self.rng.random_range(0..12) == 0 {
                     continue;
                 }
-                let slow = if self.calm { 5_000 } else { self.slowest };
-                let delay = self.rng.random_range(500..slow);
+                let max_delay = if self.faults_off { 5_000 } else { self.max_delay_us };
+                let delay = self.rng.random_range(500..max_delay);
                 self.network.push((self.now + delay, envelope.clone()));
             }
         }
     }
 
-    fn note_leader(&mut self, id: ReplicaId) {
+    fn check_single_leader(&mut self, id: ReplicaId) {
         let Some(raft) = &self.nodes[&id].raft else { return };
         if raft.role() == Role::Leader {
             let other = self.leaders.insert(raft.term(), id);
@@ -266,23 +268,25 @@
 
     fn check_committed(&mut self, id: ReplicaId, index: u64, entry: &LogEntry) {
         let index = usize::try_from(index).expect("small");
-        let value = Some(number(entry).unwrap_or(u64::MAX - entry.term));
+        let value = Some(command_number(entry).unwrap_or(u64::MAX - entry.term));
         if self.log.len() <= index {
             self.log.resize(index + 1, None);
         }
         match self.log[index] {
             None => self.log[index] = value,
-            known => assert_eq!(known, value, "{id} committed a different entry at {index}"),
+            committed => {
+                assert_eq!(committed, value, "{id} committed a different entry at {index}")
+            }
         }
     }
 
     fn acknowledge(&mut self, id: ReplicaId, index: u64, entry: &LogEntry) {
-        if let Some((number_of, leader, term)) = self.waiting.get(&index).copied()
+        if let Some((expected_number, leader, term)) = self.pending_proposals.get(&index).copied()
             && leader == id
             && entry.term == term
-            && number(entry) == Some(number_of)
+            && command_number(entry) == Some(expected_number)
         {
-            self.acknowledged.insert(number_of);
+            self.acknowledged.insert(expected_number);
         }
     }
 
@@ -292,15 +296,15 @@
             std::mem::take(&mut self.network).into_iter().partition(|(at, _)| *at <= now);
         self.network = later;
         for (_, envelope) in due {
-            let way = (envelope.from, envelope.to);
+            let link = (envelope.from, envelope.to);
             let to = envelope.to;
-            if self.cut.contains(&way) || !self.nodes.contains_key(&to) {
+            if self.blocked_links.contains(&link) || !self.nodes.contains_key(&to) {
                 continue;
             }
             let at = self.clock(to);
             if let Some(raft) = &mut self.nodes.get_mut(&to).expect("a node").raft {
                 raft.step(at, envelope);
-                self.carry_out(to);
+                self.process_output(to);
                 self.check_leases();
             }
         }
@@ -309,7 +313,7 @@
     fn sync_disks(&mut self) {
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in ids {
-            if !self.calm && self.rng.random_range(0..3) == 0 {
+            if !self.faults_off && self.rng.random_range(0..3) == 0 {
                 continue;
             }
             let at = self.clock(id);
@@ -321,7 +325,7 @@
             if let (Some(seq), Some(raft)) = (last, &mut node.raft) {
                 node.synced = seq;
                 raft.persisted(seq, at);
-                self.carry_out(id);
+                self.process_output(id);
             }
         }
     }
@@ -332,7 +336,7 @@
             let at = self.clock(id);
             if let Some(raft) = &mut self.nodes.get_mut(&id).expect("a node").raft {
                 raft.tick(at);
-                self.carry_out(id);
+                self.process_output(id);
             }
         }
     }
@@ -355,12 +359,12 @@
         for id in ids {
             let at = self.clock(id);
             let Some(raft) = &mut self.nodes.get_mut(&id).expect("a node").raft else { continue };
-            let number = self.proposals + 1;
-            let bytes: Arc<[u8]> = number.to_le_bytes().to_vec().into();
+            let command_number = self.proposals + 1;
+            let bytes: Arc<[u8]> = command_number.to_le_bytes().to_vec().into();
             if let Ok(index) = raft.propose(at, vec![bytes]) {
-                self.proposals = number;
-                self.waiting.insert(index, (number, id, raft.term()));
-                self.carry_out(id);
+                self.proposals = command_number;
+                self.pending_proposals.insert(index, (command_number, id, raft.term()));
+                self.process_output(id);
             }
         }
     }
@@ -382,8 +386,8 @@
 
     /// Replaces a VM: its old disk is gone, and the new one must catch up first.
     fn replace(&mut self) {
-        let seat = self.rng.random_range(0..self.seats.len());
-        let old = self.seats[seat];
+        let position = self.rng.random_range(0..self.current_replicas.len());
+        let old = self.current_replicas[position];
         if self.nodes[&old].raft.as_ref().is_some_and(|raft| raft.role() == Role::Leader) {
             return;
         }
@@ -391,7 +395,7 @@
         let repaired = |raft: &Raft| {
             raft.has_committed_in_term()
                 && raft.members_committed()
-                && self.seats.iter().all(|id| raft.members().is_voter(*id))
+                && self.current_replicas.iter().all(|id| raft.members().is_voter(*id))
         };
         if !self.nodes.iter().any(|(id, node)| {
             node.raft.as_ref().is_some_and(|raft| raft.has_lease(self.clock(*id)) && repaired(raft))
@@ -399,12 +403,12 @@
             return;
         }
         self.nodes.remove(&old);
-        self.seats[seat] = self.new_node();
+        self.current_replicas[position] = self.new_node();
     }
 
     /// Changes members after a disk was replaced, as the daemon of the leader does.
     fn repair(&mut self) {
-        for (seat, id) in self.seats.clone().into_iter().enumerate() {
+        for (position, id) in self.current_replicas.clone().into_iter().enumerate() {
             let leaders: Vec<ReplicaId> = self.nodes.keys().copied().collect();
             for leader in leaders {
                 let at = self.clock(leader);
@@ -416,47 +420,47 @@
                     continue;
                 }
                 let mut members = raft.members().clone();
-                let name = Name::new(&format!("e{seat}")).expect("a name");
+                let name = Name::new(&format!("e{position}")).expect("a name");
                 if !members.learners.iter().any(|learner| learner.id == id) {
                     members.learners.retain(|learner| learner.name != name);
-                    members.learners.push(member(id, seat));
+                    members.learners.push(member(id, position));
                 } else if !raft.is_caught_up(id) {
                     continue;
                 } else if members.voters.iter().any(|voter| voter.name == name) {
                     members.voters.retain(|voter| voter.name != name);
                 } else {
                     members.learners.retain(|learner| learner.id != id);
-                    members.voters.push(member(id, seat));
+                    members.voters.push(member(id, position));
                 }
                 let _ = raft.change_members(at, members);
-                self.carry_out(leader);
+                self.process_output(leader);
             }
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         let id = ids[self.rng.random_range(0..ids.len())];
         let other = ids[self.rng.random_range(0..ids.len())];
         match self.rng.random_range(0..15) {
             0 | 1 => self.crash(id),
             2 => {
-                self.cut.insert((id, other));
+                self.blocked_links.insert((id, other));
             }
             3 => {
                 for peer in ids {
-                    self.cut.insert((id, peer));
+                    self.blocked_links.insert((id, peer));
                     if self.rng.random_range(0..2) == 0 {
-                        self.cut.insert((peer, id));
+                        self.blocked_links.insert((peer, id));
                     }
                 }
             }
-            4 | 5 => self.cut.clear(),
+            4 | 5 => self.blocked_links.clear(),
             6 => self.compact(id),
             14 => {
                 if let Some(raft) = &mut self.nodes.get_mut(&id).expect("a node").raft {
                     raft.transfer_leadership();
-                    self.carry_out(id);
+                    self.process_output(id);
                 }
             }
             7 if self.rng.random_range(0..4) == 0 => self.replace(),
@@ -471,7 +475,7 @@
     }
 
     fn step(&mut self) {
-        self.now += u64::try_from(self.step.as_micros()).expect("small");
+        self.now += u64::try_from(self.time_step.as_micros()).expect("small");
         self.deliver();
         self.sync_disks();
         self.tick();
@@ -479,14 +483,14 @@
     }
 
     /// Ends all faults and checks that the group makes progress and has lost nothing.
-    fn finish(&mut self) {
-        self.calm = true;
-        self.cut.clear();
+    fn check_recovery(&mut self) {
+        self.faults_off = true;
+        self.blocked_links.clear();
         let down: Vec<ReplicaId> =
             self.nodes.keys().copied().filter(|id| self.nodes[id].raft.is_none()).collect();
         down.into_iter().for_each(|id| self.start(id));
         self.bootstrap();
-        self.step = Duration::from_millis(20);
+        self.time_step = Duration::from_millis(20);
         for _ in 0..400 {
             self.step();
             self.repair();
@@ -499,7 +503,7 @@
         assert!(
             self.acknowledged.len() > before,
             "no progress after the faults ended: {}",
-            self.shown()
+            self.describe()
         );
         let longest = self
             .nodes
@@ -508,10 +512,10 @@
             .expect("a node")
             .applied
             .clone();
-        let kept: BTreeSet<u64> = longest.iter().copied().collect();
-        let lost: Vec<&u64> = self.acknowledged.difference(&kept).collect();
-        assert!(lost.is_empty(), "acknowledged entries were lost: {lost:?}");
-        assert_eq!(kept.len(), longest.len(), "an entry was applied twice");
+        let applied_numbers: BTreeSet<u64> = longest.iter().copied().collect();
+        let lost_numbers: Vec<&u64> = self.acknowledged.difference(&applied_numbers).collect();
+        assert!(lost_numbers.is_empty(), "acknowledged entries were lost: {lost_numbers:?}");
+        assert_eq!(applied_numbers.len(), longest.len(), "an entry was applied twice");
         for (id, node) in &self.nodes {
             assert!(longest.starts_with(&node.applied), "{id} applied a different entry");
         }
@@ -519,7 +523,7 @@
 }
 
 impl World {
-    fn shown(&self) -> String {
+    fn describe(&self) -> String {
         let show = |(id, node): (&ReplicaId, &Node)| {
             let Some(raft) = &node.raft else { return format!("{id} is down") };
             let ids = |all: &[Member]| all.iter().map(|m| m.id.0).collect::<Vec<_>>();
@@ -541,7 +545,7 @@
 }
 
 /// Messages that wait for writes overtaken by an installed snapshot may be sent.
-fn raft_seq(disk: &Disk, synced: u64) -> u64 {
+fn synced_seq(disk: &Disk, synced: u64) -> u64 {
     disk.unsynced.front().map_or(synced, |write| write.seq - 1)
 }
 
@@ -563,27 +567,27 @@
     }
 }
 
-fn history(seed: u64) {
+fn run_history(seed: u64) {
     let replicas = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut world = World::new(seed, replicas);
     // Some histories have frequent faults, others leave time to recover between two.
-    let pause = [3, 8, 30][usize::try_from(seed % 7 % 3).expect("small")];
+    let fault_one_in = [3, 8, 30][usize::try_from(seed % 7 % 3).expect("small")];
     for _ in 0..STEPS {
         world.step();
         if world.rng.random_range(0..3) == 0 {
             world.propose();
         }
-        if world.rng.random_range(0..pause) == 0 {
-            world.disturb();
+        if world.rng.random_range(0..fault_one_in) == 0 {
+            world.inject_fault();
         }
         if world.rng.random_range(0..5) == 0 {
             world.repair();
         }
     }
-    world.finish();
+    world.check_recovery();
 }
 
-fn setting(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
@@ -592,22 +596,22 @@
 /// leader, and at most one lease is held at a time. No acknowledged entry is lost or applied
 /// twice, and the group makes progress once the faults end.
 #[test]
-fn no_history_breaks_a_promise() {
-    if let Some(seed) = setting("YUCCALINK_SEED") {
-        return history(seed);
+fn random_histories_violate_no_invariant() {
+    if let Some(seed) = env_number("YUCCALINK_SEED") {
+        return run_history(seed);
     }
-    let count = setting("YUCCALINK_HISTORIES").unwrap_or(HISTORIES);
+    let count = env_number("YUCCALINK_HISTORIES").unwrap_or(HISTORIES);
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
     let handles: Vec<_> = (0..threads)
         .map(|thread| {
             std::thread::spawn(move || {
                 for seed in (0..count).filter(|seed| seed % threads == thread) {
-                    let run = std::panic::catch_unwind(|| history(seed));
+                    let run = std::panic::catch_unwind(|| run_history(seed));
                     assert!(run.is_ok(), "reproduce with YUCCALINK_SEED={seed}");
                 }
             })
         })
         .collect();
-    let broken = handles.into_iter().map(|h| h.join()).filter(Result::is_err).count();
-    assert_eq!(broken, 0);
+    let failed_threads = handles.into_iter().map(|h| h.join()).filter(Result::is_err).count();
+    assert_eq!(failed_threads, 0);
 }
--- a/crates/coordination/tests/raft_guards.rs
+++ b/crates/coordination/tests/raft_guards.rs
@@ -42,7 +42,7 @@
 }
 
 /// Confirms all writes and returns the messages to send.
-fn settle(raft: &mut Raft, now: Moment) -> Vec<Envelope> {
+fn sync_and_take_messages(raft: &mut Raft, now: Moment) -> Vec<Envelope> {
     let mut sent = Vec::new();
     loop {
         let output = raft.take();
@@ -57,13 +57,13 @@
 fn step(raft: &mut Raft, now: Moment, from: ReplicaId, message: Message) -> Vec<Envelope> {
     let to = raft.id();
     raft.step(now, Envelope { from, to, message });
-    settle(raft, now)
+    sync_and_take_messages(raft, now)
 }
 
 /// Lets `raft` win an election with the vote of B at `now`, and returns its term.
 fn elect(raft: &mut Raft, now: Moment) -> u64 {
     raft.tick(now);
-    settle(raft, now);
+    sync_and_take_messages(raft, now);
     let term = raft.term() + 1;
     step(raft, now, B, Message::PreVoteReply { term, granted: true });
     step(raft, now, B, Message::VoteReply { term, granted: true });
@@ -86,7 +86,7 @@
 /// A new leader finds an entry of an earlier term on a majority. It must not count as committed
 /// yet, because a leader that never had it could still replace it (Raft paper, figure 8).
 #[test]
-fn entries_of_earlier_terms_are_not_counted_alone() {
+fn entries_of_earlier_terms_are_not_committed_alone() {
     let mut leader = replica(A, 3, &[2]);
     let term = elect(&mut leader, at(900));
     let echo = at(900);
@@ -99,16 +99,16 @@
 /// A voter in contact with its leader is asked for its vote by another replica. The leader may
 /// grant leases that rely on no one else being elected meanwhile.
 #[test]
-fn a_voter_that_hears_its_leader_elects_no_other() {
+fn a_voter_in_contact_with_its_leader_votes_for_no_other() {
     let mut voter = replica(B, 3, &[]);
     step(&mut voter, at(1000), A, heartbeat(3, 1, 1, 1));
     assert!(!granted(&step(&mut voter, at(1100), C, vote(4, false))));
     assert_eq!(voter.term(), 3, "its term does not change either");
     assert!(granted(&step(&mut voter, at(1450), C, vote(4, false))));
-    let mut asked = replica(B, 3, &[]);
-    step(&mut asked, at(1000), A, heartbeat(3, 1, 1, 1));
+    let mut voter_for_transfer = replica(B, 3, &[]);
+    step(&mut voter_for_transfer, at(1000), A, heartbeat(3, 1, 1, 1));
     assert!(
-        granted(&step(&mut asked, at(1100), C, vote(4, true))),
+        granted(&step(&mut voter_for_transfer, at(1100), C, vote(4, true))),
         "the leader itself transfers leadership"
     );
 }
@@ -116,7 +116,7 @@
 /// A voter that restarts right after a heartbeat of its leader no longer knows of it. It must
 /// still not vote for another replica too early.
 #[test]
-fn a_restarted_voter_keeps_its_promise() {
+fn a_restarted_voter_does_not_vote_too_early() {
     let mut voter = replica(B, 3, &[]);
     assert!(!granted(&step(&mut voter, at(100), C, vote(4, false))));
     assert!(granted(&step(&mut voter, at(500), C, vote(4, false))));
@@ -129,12 +129,12 @@
     let term = elect(&mut leader, at(900));
     let echo = at(900);
     step(&mut leader, at(901), B, Message::AppendReply { term, ok: true, index: 2, echo });
-    let two = leader.change_members(at(902), members(&[A]));
-    assert_eq!(two, Err(NotProposed::Busy), "removes two voters at once");
+    let removes_two = leader.change_members(at(902), members(&[A]));
+    assert_eq!(removes_two, Err(NotProposed::Busy), "removes two voters at once");
     assert_eq!(leader.change_members(at(902), members(&[A, B])), Ok(()));
-    let again = leader.change_members(at(903), members(&[A, B, C]));
-    assert_eq!(again, Err(NotProposed::Busy), "the first change is not committed");
-    settle(&mut leader, at(904));
+    let second_change = leader.change_members(at(903), members(&[A, B, C]));
+    assert_eq!(second_change, Err(NotProposed::Busy), "the first change is not committed");
+    sync_and_take_messages(&mut leader, at(904));
     step(&mut leader, at(905), B, Message::AppendReply { term, ok: true, index: 3, echo });
     assert_eq!(leader.change_members(at(906), members(&[A, B, C])), Ok(()));
 }
@@ -165,7 +165,7 @@
 /// A follower has an entry that its leader never had. A heartbeat that matches an earlier entry
 /// must not commit it.
 #[test]
-fn only_what_matches_is_committed() {
+fn only_matching_entries_are_committed() {
     let mut follower = replica(B, 3, &[1, 1]);
     step(&mut follower, at(1), A, heartbeat(3, 2, 1, 3));
     assert_eq!(follower.commit(), 2);
@@ -174,7 +174,7 @@
 /// A new leader does not know which earlier entries are committed. Until an entry of its own
 /// term is, it takes no proposals and grants no leases.
 #[test]
-fn a_leader_waits_until_an_entry_of_its_own_is_agreed() {
+fn a_new_leader_waits_until_an_entry_of_its_term_is_committed() {
     let mut leader = replica(A, 3, &[]);
     let term = elect(&mut leader, at(900));
     assert!(!leader.has_lease(at(900)));
@@ -189,7 +189,7 @@
 /// A leader that transfers leadership must grant no more leases, because the election that it
 /// requests does not wait for them to expire.
 #[test]
-fn a_leader_that_hands_over_grants_nothing() {
+fn a_leader_that_transfers_leadership_grants_no_leases() {
     let mut leader = replica(A, 3, &[]);
     let term = elect(&mut leader, at(900));
     let echo = at(900);
@@ -197,7 +197,7 @@
     assert!(leader.has_lease(at(902)));
     assert!(leader.transfer_leadership());
     assert!(!leader.has_lease(at(902)));
-    let sent = settle(&mut leader, at(902));
+    let sent = sync_and_take_messages(&mut leader, at(902));
     assert!(sent.iter().any(|e| e.to == B && matches!(e.message, Message::TakeOver { .. })));
 }
 
@@ -215,7 +215,7 @@
 /// follower then needs a newer snapshot. If it were offered the same one forever, it would never
 /// catch up, and the loss of another voter would stop all commits.
 #[test]
-fn a_snapshot_that_was_overtaken_is_followed_by_a_newer_one() {
+fn an_outdated_snapshot_is_followed_by_a_newer_one() {
     let mut leader = replica(A, 3, &[1, 1, 1, 1]);
     let term = elect(&mut leader, at(900));
     let echo = at(900);
@@ -227,15 +227,15 @@
     assert_eq!(leader.take().need_snapshot, [C]);
     let old = SnapshotMeta { index: 3, term: 1, members: members(&[A, B, C]) };
     leader.offer_snapshot(at(903), C, old, Arc::from([1, 2]));
-    let has_old = Message::AppendReply { term, ok: true, index: 3, echo };
-    leader.step(at(904), Envelope { from: C, to: A, message: has_old });
+    let has_old_snapshot = Message::AppendReply { term, ok: true, index: 3, echo };
+    leader.step(at(904), Envelope { from: C, to: A, message: has_old_snapshot });
     assert_eq!(leader.take().need_snapshot, [C]);
 }
 
 /// A granted vote or an acknowledged entry must not leave a replica before it is on disk, or the
 /// replica would not know of it after a crash.
 #[test]
-fn a_promise_waits_for_the_disk() {
+fn replies_wait_for_the_disk() {
     let mut voter = replica(B, 3, &[]);
     voter.step(at(900), Envelope { from: C, to: B, message: vote(4, false) });
     let output = voter.take();
--- a/crates/coordination/tests/router.rs
+++ b/crates/coordination/tests/router.rs
@@ -51,7 +51,7 @@
 /// All runners of a service fail every request because the service itself is faulty. Most of
 /// them must stay in use: ejecting all would cause an outage that lasts longer than the fault.
 #[test]
-fn a_fault_of_the_service_cannot_eject_all_runners() {
+fn a_faulty_service_does_not_get_all_runners_ejected() {
     let mut router = router(9, 2);
     for at in 0..2000 {
         let now = Moment::from_millis(at);
@@ -67,36 +67,43 @@
 fn an_ejected_runner_comes_back_by_one_probe() {
     let mut router = router(2, 4);
     let now = Moment::from_millis(10);
-    let mut held = Vec::new();
-    while held.len() < 8 {
-        held.push(granted(&mut router, now));
+    let mut grants = Vec::new();
+    while grants.len() < 8 {
+        grants.push(granted(&mut router, now));
     }
-    let bad = held[0].runner;
-    for grant in held.drain(..) {
-        let ended =
-            if grant.runner == bad { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
-        router.release(now, grant, ended, &mut Vec::new());
+    let failing_runner = grants[0].runner;
+    for grant in grants.drain(..) {
+        let outcome = if grant.runner == failing_runner {
+            RunnerOutcome::Failed
+        } else {
+            RunnerOutcome::Answered
+        };
+        router.release(now, grant, outcome, &mut Vec::new());
     }
     for _ in 0..8 {
         let grant = granted(&mut router, now);
-        let ended =
-            if grant.runner == bad { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
-        router.release(now, grant, ended, &mut Vec::new());
+        let outcome = if grant.runner == failing_runner {
+            RunnerOutcome::Failed
+        } else {
+            RunnerOutcome::Answered
+        };
+        router.release(now, grant, outcome, &mut Vec::new());
     }
-    let Standing::Ejected(until) = router.runner(bad).expect("a runner").standing else {
+    let Standing::Ejected(until) = router.runner(failing_runner).expect("a runner").standing else {
         panic!("the runner is not ejected");
     };
     let grants: Vec<Grant> = (0..5).map(|_| granted(&mut router, until)).collect();
-    let probes: Vec<&Grant> = grants.iter().filter(|grant| grant.runner == bad).collect();
+    let probes: Vec<&Grant> =
+        grants.iter().filter(|grant| grant.runner == failing_runner).collect();
     assert_eq!(probes.len(), 1);
     router.release(until, *probes[0], RunnerOutcome::Answered, &mut Vec::new());
-    assert_eq!(router.runner(bad).expect("a runner").standing, Standing::Open);
+    assert_eq!(router.runner(failing_runner).expect("a runner").standing, Standing::Open);
 }
 
 /// A request that can't be answered before its deadline is refused on arrival, not after
 /// waiting.
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn a_request_that_would_be_late_is_refused_at_once() {
     let mut router = router(1, 1);
     let mut now = Moment::ZERO;
     for _ in 0..40 {
@@ -105,8 +112,8 @@
         router.release(now, grant, RunnerOutcome::Answered, &mut Vec::new());
     }
     granted(&mut router, now);
-    let late = admit(&mut router, now, 1, Duration::from_millis(50));
-    assert!(matches!(late, Admission::Refuse(Refusal::TooLate, _)), "{late:?}");
+    let admission = admit(&mut router, now, 1, Duration::from_millis(50));
+    assert!(matches!(admission, Admission::Refuse(Refusal::TooLate, _)), "{admission:?}");
     assert!(matches!(admit(&mut router, now, 1, Duration::from_secs(1)), Admission::Wait(_)));
 }
 
@@ -131,29 +138,29 @@
         granted(&mut router, now);
     }
     assert!(matches!(admit(&mut router, now, 1, Duration::from_secs(9)), Admission::Wait(_)));
-    let mut turns = Vec::new();
-    router.update_busy_count(now, &name("r0"), 7, &mut turns);
-    assert_eq!(turns.len(), 1);
+    let mut new_grants = Vec::new();
+    router.update_busy_count(now, &name("r0"), 7, &mut new_grants);
+    assert_eq!(new_grants.len(), 1);
 }
 
 #[derive(Clone, Debug)]
-enum Act {
-    Arrive(u32, u64),
-    End(prop::sample::Index, u8),
+enum Action {
+    Admit(u32, u64),
+    Release(prop::sample::Index, u8),
     Abandon(prop::sample::Index),
-    Own(u32, u32),
-    Close(u32),
-    Pass(u64),
+    AddRunner(u32, u32),
+    StopRouting(u32),
+    AdvanceTime(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        6 => (0u32..4, 0u64..2000).prop_map(|(worth, wait)| Act::Arrive(worth, wait)),
-        5 => (any::<prop::sample::Index>(), 0u8..3).prop_map(|(at, how)| Act::End(at, how)),
-        1 => any::<prop::sample::Index>().prop_map(Act::Abandon),
-        1 => (0u32..4, 1u32..4).prop_map(|(at, slots)| Act::Own(at, slots)),
-        1 => (0u32..4).prop_map(Act::Close),
-        2 => (0u64..500).prop_map(Act::Pass),
+        6 => (0u32..4, 0u64..2000).prop_map(|(worth, wait)| Action::Admit(worth, wait)),
+        5 => (any::<prop::sample::Index>(), 0u8..3).prop_map(|(at, how)| Action::Release(at, how)),
+        1 => any::<prop::sample::Index>().prop_map(Action::Abandon),
+        1 => (0u32..4, 1u32..4).prop_map(|(at, slots)| Action::AddRunner(at, slots)),
+        1 => (0u32..4).prop_map(Action::StopRouting),
+        2 => (0u64..500).prop_map(Action::AdvanceTime),
     ]
 }
 
@@ -167,57 +174,57 @@
     /// In every history: no runner has more requests than slots, each waiting request is granted
     /// at most once, and no request goes to a closed runner.
     #[test]
-    fn no_history_overfills_a_runner(acts in proptest::collection::vec(act(), 0..200)) {
+    fn no_history_exceeds_the_slots_of_a_runner(actions in proptest::collection::vec(action(), 0..200)) {
         let mut router = Router::new(name("z"));
         let mut now = Moment::from_millis(1);
-        let mut held: Vec<Grant> = Vec::new();
+        let mut grants: Vec<Grant> = Vec::new();
         let mut waiting: Vec<Ticket> = Vec::new();
-        for act in acts {
-            let mut turns = Vec::new();
-            let before = if matches!(act, Act::End(..)) { held.len().saturating_sub(1) } else { held.len() };
-            match act {
-                Act::Arrive(worth, wait) => {
+        for action in actions {
+            let mut new_grants = Vec::new();
+            let before = if matches!(action, Action::Release(..)) { grants.len().saturating_sub(1) } else { grants.len() };
+            match action {
+                Action::Admit(worth, wait) => {
                     match admit(&mut router, now, worth, Duration::from_millis(wait)) {
-                        Admission::Granted(grant) => held.push(grant),
+                        Admission::Granted(grant) => grants.push(grant),
                         Admission::Wait(ticket) => waiting.push(ticket),
                         Admission::Refuse(..) => {}
                     }
                 }
-                Act::End(at, how) if !held.is_empty() => {
-                    let grant = held.swap_remove(at.index(held.len()));
-                    let ended = [RunnerOutcome::Answered, RunnerOutcome::Failed, RunnerOutcome::Abandoned][usize::from(how)];
-                    router.release(now, grant, ended, &mut turns);
+                Action::Release(at, how) if !grants.is_empty() => {
+                    let grant = grants.swap_remove(at.index(grants.len()));
+                    let outcome = [RunnerOutcome::Answered, RunnerOutcome::Failed, RunnerOutcome::Abandoned][usize::from(how)];
+                    router.release(now, grant, outcome, &mut new_grants);
                 }
-                Act::Abandon(at) if !waiting.is_empty() => {
+                Action::Abandon(at) if !waiting.is_empty() => {
                     let ticket = waiting.swap_remove(at.index(waiting.len()));
                     router.abandon(ticket);
                 }
-                Act::Own(at, count) => {
+                Action::AddRunner(at, count) => {
                     let spec = runner(at, count);
-                    router.add_runner(now, spec, 0, &mut turns);
+                    router.add_runner(now, spec, 0, &mut new_grants);
                 }
-                Act::Close(at) => router.stop_routing_to(&name(&format!("r{at}"))),
-                Act::Pass(ms) => now = now + Duration::from_millis(ms),
-                Act::End(..) | Act::Abandon(_) => {}
+                Action::StopRouting(at) => router.stop_routing_to(&name(&format!("r{at}"))),
+                Action::AdvanceTime(ms) => now = now + Duration::from_millis(ms),
+                Action::Release(..) | Action::Abandon(_) => {}
             }
-            for turn in turns {
-                let known = waiting.iter().position(|ticket| *ticket == turn.ticket);
-                prop_assert!(known.is_some(), "a grant to a request that does not wait");
-                waiting.swap_remove(known.unwrap_or(0));
-                let standing = router.runner(turn.grant.runner).map(|r| r.standing);
+            for new_grant in new_grants {
+                let position = waiting.iter().position(|ticket| *ticket == new_grant.ticket);
+                prop_assert!(position.is_some(), "a grant to a request that does not wait");
+                waiting.swap_remove(position.unwrap_or(0));
+                let standing = router.runner(new_grant.grant.runner).map(|r| r.standing);
                 prop_assert_ne!(standing, Some(Standing::Closed));
-                held.push(turn.grant);
+                grants.push(new_grant.grant);
             }
-            for grant in &held[before.min(held.len())..] {
+            for grant in &grants[before.min(grants.len())..] {
                 let runner = router.runner(grant.runner).expect("a runner");
                 prop_assert!(runner.busy <= runner.spec.slots, "more requests than slots");
             }
             for runner in router.runners() {
-                let here = held
+                let granted_here = grants
                     .iter()
                     .filter(|grant| router.runner(grant.runner).is_some_and(|r| r.spec.name == runner.spec.name))
                     .count();
-                prop_assert_eq!(here, runner.busy as usize);
+                prop_assert_eq!(granted_here, runner.busy as usize);
             }
         }
     }
--- a/crates/coordination/tests/scenarios.rs
+++ b/crates/coordination/tests/scenarios.rs
@@ -6,23 +6,23 @@
 use std::path::PathBuf;
 use yuccalink_coordination::scenario::{parse, run};
 
-fn files() -> Vec<PathBuf> {
+fn scenario_files() -> Vec<PathBuf> {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
-    let mut files: Vec<PathBuf> = fs::read_dir(folder)
+    let mut scenario_files: Vec<PathBuf> = fs::read_dir(folder)
         .expect("the folder of scenarios")
         .map(|entry| entry.expect("an entry").path())
         .filter(|path| path.extension().is_some_and(|ext| ext == "scenario"))
         .collect();
-    files.sort();
-    files
+    scenario_files.sort();
+    scenario_files
 }
 
 #[test]
-fn every_scenario_holds() {
-    let files = files();
-    assert!(files.len() >= 8, "scenarios are missing: {files:?}");
+fn every_scenario_passes() {
+    let scenario_files = scenario_files();
+    assert!(scenario_files.len() >= 8, "scenarios are missing: {scenario_files:?}");
     let mut failures = Vec::new();
-    for path in files {
+    for path in scenario_files {
         let text = fs::read_to_string(&path).expect("a scenario");
         let result = parse(&text).map_err(|e| e.to_string());
         if let Err(what) = result.and_then(|s| run(&s).map_err(|e| e.to_string())) {
--- a/crates/coordination/tests/sizes.rs
+++ b/crates/coordination/tests/sizes.rs
@@ -8,32 +8,32 @@
 mod world;
 
 use std::time::Duration;
-use world::{Rough, World, step};
+use world::{FaultProfile, World, step};
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::jobs::JobState;
 use yuccalink_state::jobs::{JobId, JobSpec};
 
 const RUNNERS: usize = 8;
 const JOBS: u64 = 800;
-const EVERY: Duration = Duration::from_millis(50);
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(50);
 const WORK_MS: u64 = 1_000;
 /// Three times the objective of one step of that run time: a job that ends later is useless.
-const OF_USE_FOR: Duration = Duration::from_secs(9);
+const USEFUL_FOR: Duration = Duration::from_secs(9);
 
 #[derive(Default)]
-struct Served {
-    asked: u32,
+struct ServedShare {
+    total: u32,
     served: u32,
 }
 
-impl Served {
+impl ServedShare {
     fn add(&mut self, served: bool) {
-        self.asked += 1;
+        self.total += 1;
         self.served += u32::from(served);
     }
 
     fn share(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked)
+        f64::from(self.served) / f64::from(self.total)
     }
 }
 
@@ -44,7 +44,7 @@
 fn submit(world: &mut World, id: u64) {
     let (count, cores) = match is_large(id) {
         true => (8, 4),
-        false => (1 + world.draw(3) as u32, 2 + world.draw(2)),
+        false => (1 + world.random_below(3) as u32, 2 + world.random_below(2)),
     };
     let (step, behavior) = step(count, cores, WORK_MS);
     let spec = JobSpec { payload: "work".into(), steps: vec![step], schedule: None };
@@ -52,16 +52,16 @@
 }
 
 /// Shares of all jobs and of the large jobs that end while they are useful.
-fn play(seed: u64) -> (f64, f64) {
-    let mut world = World::new(seed, RUNNERS, Rough::CALM);
+fn served_shares(seed: u64) -> (f64, f64) {
+    let mut world = World::new(seed, RUNNERS, FaultProfile::NO_FAULTS);
     let mut waiting: Vec<(u64, Moment)> = Vec::new();
-    let (mut all, mut large) = (Served::default(), Served::default());
+    let (mut all, mut large) = (ServedShare::default(), ServedShare::default());
     for id in 1..=JOBS {
         submit(&mut world, id);
         waiting.push((id, world.now));
-        world.run_for(EVERY);
+        world.run_for(ARRIVAL_INTERVAL);
         let now = world.now;
-        for (id, _) in waiting.extract_if(.., |(_, at)| now.since(*at) >= OF_USE_FOR) {
+        for (id, _) in waiting.extract_if(.., |(_, at)| now.since(*at) >= USEFUL_FOR) {
             let served = world.state(JobId(id)) == Some(JobState::Completed);
             all.add(served);
             if is_large(id) {
@@ -76,7 +76,7 @@
 #[test]
 fn the_largest_jobs_are_served_at_least_half_as_often_as_all() {
     for seed in 1..=4 {
-        let (all, large) = play(seed);
+        let (all, large) = served_shares(seed);
         assert!(
             all > 0.5,
             "seed {seed}: the capacity is enough for most jobs, but {all:.2} were served"
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -29,7 +29,7 @@
 }
 
 /// Applies every proposed change as if committed, until none is proposed.
-fn settle(mut view: MembershipView, wanted: usize) -> MembershipView {
+fn apply_all_changes(mut view: MembershipView, wanted: usize) -> MembershipView {
     for _ in 0..50 {
         let Some((members, _)) = voters::next(&view, wanted) else { return view };
         let changed = |members: &Members| {
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn a_founder_takes_in_as_many_as_the_tolerance_asks() {
-    let settled = settle(view(&[1], &[], disks(&[2, 3, 4])), 3);
-    assert_eq!(settled.members.voters.len(), 3);
-    assert_eq!(settled.members.learners.len(), 1);
+fn a_bootstrapped_group_adds_as_many_voters_as_the_tolerance_requires() {
+    let after = apply_all_changes(view(&[1], &[], disks(&[2, 3, 4])), 3);
+    assert_eq!(after.members.voters.len(), 3);
+    assert_eq!(after.members.learners.len(), 1);
 }
 
 /// There are two disks in each of four zones. No zone may have three of the five voters, or its
@@ -67,13 +67,13 @@
     for id in 1..=8 {
         all.push(disk(id, &format!("a{id}"), &format!("z{}", (id - 1) / 2)));
     }
-    let settled = settle(view(&[1], &[], all.clone()), 5);
+    let after = apply_all_changes(view(&[1], &[], all.clone()), 5);
     let mut per_zone: BTreeMap<Box<str>, usize> = BTreeMap::new();
-    for voter in &settled.members.voters {
+    for voter in &after.members.voters {
         let at = all.iter().find(|disk| disk.member.id == voter.id).expect("known");
         *per_zone.entry(at.zone.clone()).or_default() += 1;
     }
-    assert_eq!(settled.members.voters.len(), 5);
+    assert_eq!(after.members.voters.len(), 5);
     assert!(per_zone.values().all(|count| *count <= 2), "{per_zone:?}");
 }
 
@@ -81,12 +81,12 @@
 /// for entries that no disk has any more, and the new disk must catch up first. Its voter is
 /// replaced in two changes, and no other voter is removed.
 #[test]
-fn a_replaced_disk_loses_its_seat_at_once() {
+fn a_replaced_disk_loses_its_vote_at_once() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[1, 3, 4]));
     view.disks.push(disk(9, "a2", "z2"));
-    let settled = settle(view, 3);
-    assert_eq!(ids(&settled.members.voters), [1, 3, 4]);
-    assert_eq!(ids(&settled.members.learners), [9]);
+    let after = apply_all_changes(view, 3);
+    assert_eq!(ids(&after.members.voters), [1, 3, 4]);
+    assert_eq!(ids(&after.members.learners), [9]);
 }
 
 /// A voter is partitioned for long, and while it is being replaced another voter loses its disk.
@@ -94,12 +94,12 @@
 /// the group would never commit again. If the new voter is added first, the partitioned one
 /// still has its vote when it is back and completes the majority.
 #[test]
-fn a_silent_voter_keeps_its_seat_until_another_has_one() {
+fn a_silent_voter_stays_until_its_replacement_votes() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[1, 3, 4]));
     view.silent.insert(ReplicaId(2), voters::REPLACE_AFTER);
-    let (beside, _) = voters::next(&view, 3).expect("another votes beside it");
-    assert_eq!(ids(&beside.voters), [1, 2, 3, 4]);
-    view.members = beside;
+    let (with_replacement, _) = voters::next(&view, 3).expect("another votes beside it");
+    assert_eq!(ids(&with_replacement.voters), [1, 2, 3, 4]);
+    view.members = with_replacement;
     let (after, _) = voters::next(&view, 3).expect("the silent voter is removed");
     assert_eq!(ids(&after.voters), [1, 3, 4]);
 }
@@ -117,7 +117,7 @@
 
 /// A voter freezes for two seconds. Replacing it would take two membership changes for no gain.
 #[test]
-fn a_short_silence_costs_no_seat() {
+fn a_short_silence_replaces_no_voter() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[2, 3, 4]));
     view.silent.insert(ReplicaId(2), Duration::from_secs(2));
     assert!(voters::next(&view, 3).is_none());
@@ -128,7 +128,7 @@
 /// Two of three voters are silent. Nothing can be committed without them, and removing one would
 /// leave a majority that has not agreed to anything.
 #[test]
-fn no_seat_is_taken_without_a_live_majority() {
+fn no_voter_is_removed_without_a_live_majority() {
     let mut view = view(&[1, 2, 3], &[4], disks(&[4]));
     for id in [2, 3] {
         view.silent.insert(ReplicaId(id), Duration::from_secs(60));
@@ -149,64 +149,65 @@
 
 /// A failure of a VM.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum VmFailure {
     /// The VM is partitioned and comes back later with its disk.
-    CutOff,
+    Partitioned,
     /// The VM does not come back.
-    Gone,
+    Lost,
     /// The VM is back at its address with an empty disk.
     Replaced,
 }
 
 /// State of a repair: what the leader sees, and which disks are lost.
 #[derive(Clone)]
-struct Repair {
+struct RepairState {
     view: MembershipView,
     lost: Vec<ReplicaId>,
-    cut_off: Vec<ReplicaId>,
+    partitioned: Vec<ReplicaId>,
     next_id: u64,
 }
 
-impl Repair {
+impl RepairState {
     /// Whether the voters whose disks are not lost are a majority; partitioned ones count.
     fn has_majority(&self) -> bool {
         let voters = &self.view.members.voters;
-        let left = voters.iter().filter(|voter| !self.lost.contains(&voter.id)).count();
-        left > voters.len() / 2
+        let remaining = voters.iter().filter(|voter| !self.lost.contains(&voter.id)).count();
+        remaining > voters.len() / 2
     }
 
     fn is_up(&self, id: ReplicaId) -> bool {
-        !self.lost.contains(&id) && !self.cut_off.contains(&id)
+        !self.lost.contains(&id) && !self.partitioned.contains(&id)
     }
 
-    fn strike(&self, at: &Member, fate: Fate) -> Option<Self> {
+    fn fail(&self, at: &Member, failure: VmFailure) -> Option<Self> {
         let mut after = self.clone();
-        match fate {
-            Fate::CutOff => after.cut_off.push(at.id),
-            Fate::Gone | Fate::Replaced => after.lost.push(at.id),
+        match failure {
+            VmFailure::Partitioned => after.partitioned.push(at.id),
+            VmFailure::Lost | VmFailure::Replaced => after.lost.push(at.id),
         }
         after.view.silent.insert(at.id, voters::REPLACE_AFTER);
         after.view.caught_up.retain(|id| *id != at.id);
         after.view.disks.retain(|disk| disk.member.id != at.id);
-        if fate == Fate::Replaced {
+        if failure == VmFailure::Replaced {
             after.view.disks.push(disk(after.next_id, &at.address, &format!("z{}", at.id.0)));
             after.next_id += 1;
         }
         // Any voter that is left may lead.
-        let left = after.view.members.voters.iter().find(|voter| after.is_up(voter.id))?;
-        after.view.own = left.id;
+        let remaining = after.view.members.voters.iter().find(|voter| after.is_up(voter.id))?;
+        after.view.own = remaining.id;
         Some(after)
     }
 
     /// The state after the leader's next change; `None` if it proposes none or has no majority.
-    fn take_step(&self) -> Option<Self> {
+    fn next_change(&self) -> Option<Self> {
         let voters = &self.view.members.voters;
         let up = voters.iter().filter(|voter| self.is_up(voter.id)).count();
         if up <= voters.len() / 2 {
             return None;
         }
         let mut after = self.clone();
-        after.view.members = voters::next(&self.view, voters::wanted(LOSSES)).map(|(to, _)| to)?;
+        after.view.members =
+            voters::next(&self.view, voters::wanted(DISK_LOSSES_TOLERATED)).map(|(to, _)| to)?;
         for member in after.view.members.all().filter(|member| self.is_up(member.id)) {
             after.view.silent.insert(member.id, Duration::ZERO);
             after.view.caught_up.push(member.id);
@@ -216,39 +217,39 @@
 
     /// Tries every failure at this point and at each later one, with at most this many disks
     /// still to lose and VMs to partition, and returns the number of final states reached.
-    fn explore(&self, disks: usize, cuts: usize) -> usize {
+    fn explore(&self, disks: usize, partitions: usize) -> usize {
         assert!(self.has_majority(), "{:?} lost of {:?}", self.lost, self.view.members.voters);
         let up = self.view.members.all().filter(|member| self.is_up(member.id));
-        let mut ends = 0;
+        let mut final_states = 0;
         for member in up {
-            for (fate, disks, cuts) in [
-                (Fate::CutOff, Some(disks), cuts.checked_sub(1)),
-                (Fate::Gone, disks.checked_sub(1), Some(cuts)),
-                (Fate::Replaced, disks.checked_sub(1), Some(cuts)),
+            for (failure, disks, partitions) in [
+                (VmFailure::Partitioned, Some(disks), partitions.checked_sub(1)),
+                (VmFailure::Lost, disks.checked_sub(1), Some(partitions)),
+                (VmFailure::Replaced, disks.checked_sub(1), Some(partitions)),
             ] {
-                if let (Some(disks), Some(cuts)) = (disks, cuts)
-                    && let Some(after) = self.strike(member, fate)
+                if let (Some(disks), Some(partitions)) = (disks, partitions)
+                    && let Some(after) = self.fail(member, failure)
                 {
-                    ends += after.explore(disks, cuts);
+                    final_states += after.explore(disks, partitions);
                 }
             }
         }
-        ends + self.take_step().map_or(1, |after| after.explore(disks, cuts))
+        final_states + self.next_change().map_or(1, |after| after.explore(disks, partitions))
     }
 }
 
-const LOSSES: usize = 2;
+const DISK_LOSSES_TOLERATED: usize = 2;
 
 /// A disk lost between two steps of a repair must not leave the voters without a majority.
 #[test]
 fn no_two_disks_lost_at_any_step_of_a_repair_take_the_majority() {
-    const CUTS: usize = 1;
+    const PARTITIONS: usize = 1;
     for count in 5..=8 {
         let all: Vec<u64> = (1..=count).collect();
-        let (voters, learners) = all.split_at(voters::wanted(LOSSES));
+        let (voters, learners) = all.split_at(voters::wanted(DISK_LOSSES_TOLERATED));
         let view = view(voters, learners, disks(&all));
-        let repair = Repair { view, lost: Vec::new(), cut_off: Vec::new(), next_id: 100 };
-        assert!(repair.explore(LOSSES, CUTS) > 1_000, "{count} disks");
+        let repair = RepairState { view, lost: Vec::new(), partitioned: Vec::new(), next_id: 100 };
+        assert!(repair.explore(DISK_LOSSES_TOLERATED, PARTITIONS) > 1_000, "{count} disks");
     }
 }
 
