--- a/crates/coordination/tests/cell/harness.rs
+++ b/crates/coordination/tests/cell/harness.rs
@@ -1,5 +1,4 @@
-//! Drives a leader whose log commits at once, with runners that report when a test tells them
-//! to.
+//! Drives a leader whose log commits at once, and runners that report when a test says so.
 
 use super::world::{CAPACITY, change_set, queue_address};
 use std::sync::Arc;
--- a/crates/coordination/tests/cell/world.rs
+++ b/crates/coordination/tests/cell/world.rs
@@ -27,7 +27,7 @@
 pub const TIME_STEP: Duration = Duration::from_millis(10);
 /// Unix time at the start of every history.
 const EPOCH_MS: u64 = 1_800_000_000_000;
-/// Largest clock drift of a runner, in parts per million slow.
+/// How much too slow the clock of a runner may be, in parts per million.
 const SLOWEST_PPM: u64 = 20_000;
 
 /// Delay of the last report before a crash, when `late_last_report` is set.
--- a/crates/coordination/tests/crashes.rs
+++ b/crates/coordination/tests/crashes.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Crash counts must outlive the leader: a count kept only in its memory was lost with it.
+/// Crash counts must survive a leader change: a count kept only in memory was lost with the leader.
 #[test]
 fn crashes_are_counted_through_changes_of_leader() {
     let mut world = World::new(3, 12, FaultProfile::NO_FAULTS);
@@ -369,9 +369,17 @@
         world.partition(0, Duration::from_millis(partition_ms));
         world.shrink(0, 4, SECOND * 20);
         world.run_for(SECOND * 15);
-        assert!(world.violations.is_empty(), "cut for {partition_ms} ms: {:#?}", world.violations);
+        assert!(
+            world.violations.is_empty(),
+            "partitioned for {partition_ms} ms: {:#?}",
+            world.violations
+        );
         world.run_for(SECOND * 25);
-        assert_eq!(world.state(JobId(1)), Some(JobState::Completed), "cut for {partition_ms} ms");
+        assert_eq!(
+            world.state(JobId(1)),
+            Some(JobState::Completed),
+            "partitioned for {partition_ms} ms"
+        );
         world.assert_no_violations();
     }
 }
--- a/crates/coordination/tests/raft.rs
+++ b/crates/coordination/tests/raft.rs
@@ -262,7 +262,11 @@
         let Some(raft) = &self.nodes[&id].raft else { return };
         if raft.role() == Role::Leader {
             let other = self.leaders.insert(raft.term(), id);
-            assert!(other.is_none_or(|other| other == id), "two leaders in term {}", raft.term());
+            assert!(
+                other.is_none_or(|other| other == id),
+                "several leaders in term {}",
+                raft.term()
+            );
         }
     }
 
