--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -31,22 +31,22 @@
 
 /// A runner whose filling tasks get less than this share of what they could use is
 /// full.
-const STARVED: f64 = 0.5;
+const STARVED_SHARE: f64 = 0.5;
 /// Age from which a task's figure, of the last half second, is all its own.
-const SETTLED_AFTER: Duration = Duration::from_millis(800);
+const MEASURED_AFTER: Duration = Duration::from_millis(800);
 /// Added to weights that are compared: below this they are all harmless.
 const WEIGHT_FLOOR: f64 = 1.0;
 /// Margin of a serving task that has told no figure yet: as at half load.
-const MARGIN_UNSEEN: f64 = 3.0;
+const DEFAULT_MARGIN: f64 = 3.0;
 
 /// A serving image on a runner, by its task with the least margin of its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Serving {
+pub(super) struct ServingImage {
     pub(super) image: ImageKey,
     /// Until the next orders have their effect.
-    pub(super) own: f64,
+    pub(super) own_margin: f64,
     /// While a task that starts now runs.
-    pub(super) ahead: f64,
+    pub(super) own_margin_ahead: f64,
 }
 
 /// The tasks on one runner, as far as they matter to each other.
@@ -54,24 +54,24 @@
 pub(super) struct Colocation {
     policy: SharingPolicy,
     /// Images that serve there, each once.
-    pub(super) serving: Vec<Serving>,
+    pub(super) serving: Vec<ServingImage>,
     /// Images that fill there, each once, with what they use now.
     pub(super) filling: Vec<BackgroundShare>,
     /// The same, with what they would use at full pace.
-    pub(super) at_full_pace: Vec<BackgroundShare>,
+    pub(super) background_at_full_pace: Vec<BackgroundShare>,
     /// The runner's pool.
     pub(super) pool: Box<str>,
     /// A task that serves there has been over its bound for too long.
-    pub(super) over: bool,
+    pub(super) over_bound: bool,
     capacity: f64,
     /// Processors that opportunistic tasks could use.
-    wanted: f64,
+    opportunistic_need: f64,
     /// Processors that all others use.
-    used: f64,
+    other_use: f64,
     /// Processors that opportunistic tasks could use, of those that have told a
     /// whole figure, and what they do use.
-    settled_need: f64,
-    settled_use: f64,
+    measured_need: f64,
+    measured_use: f64,
     /// Share of the runner that one more task of an image may use, as worked out
     /// since the last start.
     allowed: Vec<(ImageKey, f64)>,
@@ -94,7 +94,7 @@
             let view = runner.view(task, run);
             match step.kind {
                 StepKind::Serving => found.add_serving(step, loads, StepKey::of(task), now),
-                StepKind::Background => found.add_filling(step, view),
+                StepKind::Background => found.add_background(step, view),
             }
         }
         found
@@ -104,39 +104,39 @@
         &mut self,
         step: &StepInfo,
         loads: &MarginForecasts<StepKey>,
-        group: StepKey,
+        step_key: StepKey,
         now: Moment,
     ) {
-        self.used += step.need.millicores as f64 * self.policy.serving_use;
+        self.other_use += step.need.millicores as f64 * self.policy.serving_use;
         let Some(image) = step.image else { return };
-        let own = loads.soon(group, now).unwrap_or(MARGIN_UNSEEN);
-        let ahead = loads.ahead(group, now).unwrap_or(MARGIN_UNSEEN);
+        let own_margin = loads.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin_ahead = loads.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
         match self.serving.iter_mut().find(|serving| serving.image == image) {
             Some(serving) => {
-                serving.own = serving.own.min(own);
-                serving.ahead = serving.ahead.min(ahead);
+                serving.own_margin = serving.own_margin.min(own_margin);
+                serving.own_margin_ahead = serving.own_margin_ahead.min(own_margin_ahead);
             }
-            None => self.serving.push(Serving { image, own, ahead }),
+            None => self.serving.push(ServingImage { image, own_margin, own_margin_ahead }),
         }
     }
 
-    fn add_filling(&mut self, step: &StepInfo, view: Option<&RunView>) {
+    fn add_background(&mut self, step: &StepInfo, view: Option<&RunView>) {
         let need = step.need.millicores as f64;
         let in_use = view.and_then(|view| view.gauge).map(|gauge| gauge as f64);
         let rate = view.and_then(|view| view.rate).unwrap_or(100);
         if step.opportunistic {
-            self.wanted += need;
-            let settled = view.filter(|view| rate == 100 && view.age >= SETTLED_AFTER);
-            if let (Some(_), Some(in_use)) = (settled, in_use) {
-                self.settled_need += need;
-                self.settled_use += in_use;
+            self.opportunistic_need += need;
+            let measured = view.filter(|view| rate == 100 && view.age >= MEASURED_AFTER);
+            if let (Some(_), Some(in_use)) = (measured, in_use) {
+                self.measured_need += need;
+                self.measured_use += in_use;
             }
         } else {
-            self.used += need;
+            self.other_use += need;
         }
         if let Some(image) = step.image {
             add_share(&mut self.filling, image, in_use.unwrap_or(need) / self.capacity);
-            add_share(&mut self.at_full_pace, image, need / self.capacity);
+            add_share(&mut self.background_at_full_pace, image, need / self.capacity);
         }
     }
 
@@ -145,7 +145,7 @@
         let whole = [BackgroundShare { image, share: 1.0 }];
         let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
         let here = here.fold(0.0, f64::max);
-        (learnt.hardness(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
+        (learnt.mean_weight(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
     }
 
     /// The image that serves there, where it is only one.
@@ -157,8 +157,8 @@
     }
 
     /// The least margin of those that serve, with nothing beside them.
-    pub(super) fn least_own(&self) -> f64 {
-        self.serving.iter().map(|serving| serving.own).fold(MARGIN_UNSEEN, f64::min)
+    pub(super) fn min_own_margin(&self) -> f64 {
+        self.serving.iter().map(|serving| serving.own_margin).fold(DEFAULT_MARGIN, f64::min)
     }
 
     /// Counts a task that is about to start.
@@ -167,27 +167,27 @@
         now: Moment,
         step: &StepInfo,
         loads: &MarginForecasts<StepKey>,
-        group: StepKey,
+        step_key: StepKey,
     ) {
         self.allowed.clear();
         match step.kind {
-            StepKind::Serving => self.add_serving(step, loads, group, now),
-            StepKind::Background => self.add_filling(step, None),
+            StepKind::Serving => self.add_serving(step, loads, step_key, now),
+            StepKind::Background => self.add_background(step, None),
         }
     }
 
     /// Whether processors are left that an opportunistic task could use.
-    pub(super) fn has_spare(&self, step: &StepInfo) -> bool {
+    pub(super) fn has_spare_cpu(&self, step: &StepInfo) -> bool {
         let need = step.need.millicores as f64;
-        let starved = self.settled_use < self.settled_need * STARVED;
-        !starved && self.used + self.wanted + need <= self.capacity
+        let starved = self.measured_use < self.measured_need * STARVED_SHARE;
+        !starved && self.other_use + self.opportunistic_need + need <= self.capacity
     }
 
     /// Whether all that serve there are expected to keep their margin beside one
     /// more task of a step, with all that fill at full pace.
-    pub(super) fn bears(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
+    pub(super) fn has_margin_for(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
         let Some(image) = step.image.filter(|_| self.policy.mode.is_on()) else { return true };
-        if self.over {
+        if self.over_bound {
             return false;
         }
         let share = step.need.millicores as f64 / self.capacity;
@@ -202,8 +202,8 @@
 
     fn allowed_share(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let allowed = self.serving.iter().map(|serving| {
-            let taken = learnt.margin_loss(serving.image, &self.at_full_pace);
-            let left = serving.ahead - taken - self.policy.margin_min;
+            let margin_loss = learnt.margin_loss(serving.image, &self.background_at_full_pace);
+            let left = serving.own_margin_ahead - margin_loss - self.policy.margin_min;
             let weight =
                 learnt.margin_loss(serving.image, &[BackgroundShare { image, share: 1.0 }]);
             match left < 0.0 {
@@ -216,8 +216,8 @@
 }
 
 fn add_share(to: &mut Vec<BackgroundShare>, image: ImageKey, share: f64) {
-    match to.iter_mut().find(|filling| filling.image == image) {
-        Some(filling) => filling.share += share,
+    match to.iter_mut().find(|background| background.image == image) {
+        Some(background) => background.share += share,
         None => to.push(BackgroundShare { image, share }),
     }
 }
--- a/crates/coordination/src/jobs/suits.rs
+++ b/crates/coordination/src/jobs/compatibility.rs
@@ -15,7 +15,7 @@
 
 /// Waiting steps looked at for one report; the first in order matter most. A step
 /// beyond them is not looked at, so this is more than an hour of bursts leaves.
-const GROUPS_MAX: usize = 1_024;
+const STEPS_MAX: usize = 1_024;
 
 /// Tasks wait for the rack of their data, or of their step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -92,33 +92,33 @@
 
 impl Leader {
     /// The waiting steps that are looked at for one report, in the common order.
-    pub(super) fn in_turn(&self) -> impl Iterator<Item = WaitingStep<'_>> {
-        self.ready.waiting().take(GROUPS_MAX)
+    pub(super) fn considered_steps(&self) -> impl Iterator<Item = WaitingStep<'_>> {
+        self.ready.waiting().take(STEPS_MAX)
     }
 
     /// The waiting steps as they are offered one runner. Steps that fill keep their places
     /// among the others, and go by how much less their image presses here than on most:
     /// the margin here is best spent by those who find it nowhere else.
-    pub(super) fn order_for(&self, beside: &Colocation) -> Vec<WaitingStep<'_>> {
-        let mut order: Vec<WaitingStep<'_>> = self.in_turn().collect();
-        if self.cfg.policy.matching.mode == Switch::Off || beside.serving.is_empty() {
+    pub(super) fn offer_order(&self, colocation: &Colocation) -> Vec<WaitingStep<'_>> {
+        let mut order: Vec<WaitingStep<'_>> = self.considered_steps().collect();
+        if self.cfg.policy.matching.mode == Switch::Off || colocation.serving.is_empty() {
             return order;
         }
         let mut advantages: BTreeMap<ImageKey, f64> = BTreeMap::new();
         let mut places = Vec::new();
-        let mut fills = Vec::new();
+        let mut background = Vec::new();
         for (at, waiting) in order.iter().enumerate() {
             let Some(image) = waiting.step.image.filter(|_| waiting.step.disturbs()) else {
                 continue;
             };
             let advantage = *advantages
                 .entry(image)
-                .or_insert_with(|| beside.advantage(image, &self.interference));
+                .or_insert_with(|| colocation.advantage(image, &self.interference));
             places.push(at);
-            fills.push((waiting.density * advantage, *waiting));
+            background.push((waiting.density * advantage, *waiting));
         }
-        fills.sort_by(|(a, one), (b, other)| one.class.cmp(&other.class).then(b.total_cmp(a)));
-        for (at, (_, waiting)) in places.into_iter().zip(fills) {
+        background.sort_by(|(a, one), (b, other)| one.class.cmp(&other.class).then(b.total_cmp(a)));
+        for (at, (_, waiting)) in places.into_iter().zip(background) {
             order[at] = waiting;
         }
         order
@@ -126,10 +126,10 @@
 
     /// Whether a step's tasks disturb most that serve, or are to serve themselves: the
     /// others find room beside serving tasks as well.
-    pub(super) fn is_hard(&self, step: &StepInfo) -> bool {
+    pub(super) fn needs_idle_runner(&self, step: &StepInfo) -> bool {
         let hard_weight = self.cfg.policy.gathering.hard_weight;
-        let hard = |image| self.interference.hardness(image) >= hard_weight;
-        step.long_running || step.image.is_some_and(hard)
+        let disturbs_most = |image| self.interference.mean_weight(image) >= hard_weight;
+        step.long_running || step.image.is_some_and(disturbs_most)
     }
 
     pub(super) fn rack_fits(
@@ -137,10 +137,10 @@
         now: Moment,
         job: &Job,
         step: &StepSpec,
-        group: StepKey,
+        step_key: StepKey,
         runner: &Runner,
     ) -> bool {
-        let since = self.ready.since(group).unwrap_or(now);
+        let since = self.ready.since(step_key).unwrap_or(now);
         let policy = &self.cfg.policy.racks;
         if policy.mode == Switch::Off || now.since(since) > policy.wait.to_duration() {
             return true;
@@ -151,8 +151,8 @@
         if !step.rack_affinity {
             return true;
         }
-        let occurrence = job.occurrences.get(group.occurrence as usize);
-        let tasks = occurrence.and_then(|found| found.steps.get(usize::from(group.step)));
+        let occurrence = job.occurrences.get(step_key.occurrence as usize);
+        let tasks = occurrence.and_then(|found| found.steps.get(usize::from(step_key.step)));
         let mut incarnations =
             tasks.into_iter().flat_map(|step| &step.tasks).flat_map(|t| &t.assignments);
         incarnations.all(|assignment| {
@@ -163,50 +163,51 @@
     /// Whether a task gets on with those on a runner. Serving tasks of one image
     /// gather, so that for each filling image there are runners where it disturbs
     /// nobody: among three images a filling one hardly ever suits all.
-    pub(super) fn suits(
+    pub(super) fn is_compatible(
         &self,
         now: Now,
-        group: StepKey,
+        step_key: StepKey,
         step: &StepInfo,
         chosen: &mut Chosen,
     ) -> bool {
-        let since = self.ready.since(group).unwrap_or(now.at);
+        let since = self.ready.since(step_key).unwrap_or(now.at);
         let colocation = &mut chosen.colocation;
         match step.kind {
             StepKind::Background => {
-                let spare = !step.opportunistic || colocation.has_spare(step);
-                if spare && colocation.bears(step, &self.interference) {
+                let spare = !step.opportunistic || colocation.has_spare_cpu(step);
+                if spare && colocation.has_margin_for(step, &self.interference) {
                     return true;
                 }
                 let policy = &self.cfg.policy.patience;
                 policy.mode.is_on()
                     && now.at.since(since) > policy.after.to_duration()
-                    && self.is_idle(&colocation.pool)
-                    && chosen.starts.iter().all(|start| start.task.job != group.job)
-                    && self.runs_of(now, group.job) == 0
+                    && self.is_pool_idle(&colocation.pool)
+                    && chosen.starts.iter().all(|start| start.task.job != step_key.job)
+                    && self.active_runs(now, step_key.job) == 0
             }
             StepKind::Serving => {
                 let own = step.image;
-                let alike = colocation.serving.iter().all(|serving| Some(serving.image) == own);
-                let settled = self.has_waited_alike(now, group);
+                let same_image =
+                    colocation.serving.iter().all(|serving| Some(serving.image) == own);
+                let waited = self.has_waited_for_image(now, step_key);
                 match colocation.serving.is_empty() {
-                    true => settled || !self.room_beside_alike(now, step),
-                    false => alike || settled,
+                    true => waited || !self.has_room_beside_image(now, step),
+                    false => same_image || waited,
                 }
             }
         }
     }
 
     /// Whether a serving step need not wait any longer for a runner of its image.
-    pub(super) fn has_waited_alike(&self, now: Now, group: StepKey) -> bool {
+    pub(super) fn has_waited_for_image(&self, now: Now, step_key: StepKey) -> bool {
         let policy = &self.cfg.policy.gathering;
-        let since = self.ready.since(group).unwrap_or(now.at);
+        let since = self.ready.since(step_key).unwrap_or(now.at);
         now.at.since(since) > policy.wait.to_duration() || policy.mode == Switch::Off
     }
 
     /// Whether a runner that already serves this image has room for one more: then
     /// runners that serve nothing stay free for work that disturbs.
-    fn room_beside_alike(&self, now: Now, step: &StepInfo) -> bool {
+    fn has_room_beside_image(&self, now: Now, step: &StepInfo) -> bool {
         step.image.is_some()
             && self.runners.values().any(|runner| {
                 runner.serves == step.image
@@ -217,15 +218,15 @@
     }
 
     /// How many runs of a job are under way or about to be.
-    pub(super) fn runs_of(&self, now: Now, id: JobId) -> usize {
+    pub(super) fn active_runs(&self, now: Now, id: JobId) -> usize {
         let Some(job) = self.state.job(id) else { return 0 };
         let steps = job.occurrences.iter().flat_map(|occurrence| &occurrence.steps);
         let assignments = steps.flat_map(|step| &step.tasks).flat_map(|task| &task.assignments);
-        let sound = assignments.filter(|assignment| {
+        let active = assignments.filter(|assignment| {
             self.runners
                 .get(&assignment.incarnation)
                 .is_some_and(|runner| runner.reported_recently(now.at))
         });
-        sound.count() + self.starting.keys().filter(|task| task.job == id).count()
+        active.count() + self.starting.keys().filter(|task| task.job == id).count()
     }
 }
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -68,10 +68,13 @@
                     continue;
                 };
                 running += 1;
-                let twice = self.state.task(*task).is_some_and(|state| state.assignments.len() > 1);
-                if twice {
+                let has_copy =
+                    self.state.task(*task).is_some_and(|state| state.assignments.len() > 1);
+                if has_copy {
                     copies += 1;
-                } else if let Some(left) = policy.lag(now, runner, view, step.estimate_ms) {
+                } else if let Some(left) =
+                    policy.straggler_time_left(now, runner, view, step.estimate_ms)
+                {
                     found.push((left, *task));
                 }
             }
@@ -89,10 +92,10 @@
             return;
         }
         for task in &self.laggards {
-            if chosen.starts.len() >= chosen.most {
+            if chosen.starts.len() >= chosen.starts_max {
                 return;
             }
-            if let Some(start) = self.copy_of(*task, runner, chosen) {
+            if let Some(start) = self.copy_start(*task, runner, chosen) {
                 let Some(step) = self.ready.step_of(*task) else { continue };
                 chosen.free = saturating_sub(chosen.free, step.reserved);
                 chosen.starts.push(start);
@@ -100,15 +103,15 @@
         }
     }
 
-    fn copy_of(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<RunStart> {
+    fn copy_start(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<RunStart> {
         let job = self.state.job(task.job)?;
         let step = job.spec.steps.get(usize::from(task.step))?;
         let state = self.state.task(task)?;
         let [original] = state.assignments.as_slice() else { return None };
-        let group = StepKey::of(task);
+        let step_key = StepKey::of(task);
         let chosen_here =
-            chosen.starts.iter().filter(|start| StepKey::of(start.task) == group).count();
-        let here = self.count_here(runner.key, group) as usize + chosen_here;
+            chosen.starts.iter().filter(|start| StepKey::of(start.task) == step_key).count();
+        let count_on_runner = self.task_count_on(runner.key, step_key) as usize + chosen_here;
         let fits = !state.done
             && original.incarnation != runner.key
             && !self.starting.contains_key(&task)
@@ -121,26 +124,34 @@
             && self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
             && step.data_rack.as_ref().is_none_or(|rack| *rack == runner.rack)
-            && (step.per_runner_max == 0 || here < step.per_runner_max as usize);
+            && (step.per_runner_max == 0 || count_on_runner < step.per_runner_max as usize);
         fits.then(|| RunStart { task, run: state.last_run + 1, incarnation: runner.key })
     }
 }
 
 impl CopiesPolicy {
     /// How long a run is expected to take still, where that is much more than a copy would.
-    fn lag(&self, now: Now, runner: &Runner, view: &RunView, estimate_ms: u64) -> Option<Duration> {
+    fn straggler_time_left(
+        &self,
+        now: Now,
+        runner: &Runner,
+        view: &RunView,
+        estimate_ms: u64,
+    ) -> Option<Duration> {
         if view.stopping || !runner.reported_recently(now.at) {
             return None;
         }
         let usual = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
-        let stands = view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
-        let left = match stands {
+        let is_stalled =
+            view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
+        let left = match is_stalled {
             true => usual * self.lags_by + gain,
             false => view.time_left(now.at, estimate_ms),
         };
-        let ran = now.at.since(view.first_seen);
-        let lags = ran > usual / 2 && ran + left > usual * self.lags_by && left > usual + gain;
-        lags.then_some(left)
+        let elapsed = now.at.since(view.first_seen);
+        let is_straggler =
+            elapsed > usual / 2 && elapsed + left > usual * self.lags_by && left > usual + gain;
+        is_straggler.then_some(left)
     }
 }
--- a/crates/coordination/src/jobs/gangs.rs
+++ b/crates/coordination/src/jobs/gangs.rs
@@ -14,9 +14,9 @@
 use yuccalink_state::jobs::{IncarnationKey, Job, JobCommand, RunStart, Step, StepSpec, TaskKey};
 
 /// A runner that has not reported for this long may not do so in time.
-const HEARD_LATELY: Duration = Duration::from_millis(1_200);
+const REPORT_AGE_MAX: Duration = Duration::from_millis(1_200);
 /// Gangs tried at once, so that a tick stays short.
-const TRIED_MAX: usize = 8;
+const GANGS_MAX: usize = 8;
 
 /// Members of a gang share a rack where one has room for all.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,16 +35,21 @@
 impl Leader {
     /// Starts gangs for which there is room.
     pub(super) fn place_gangs(&mut self, now: Now) {
-        let is_gang = |group: &StepKey| {
-            let job = self.state.job(group.job);
-            job.and_then(|j| j.spec.steps.get(usize::from(group.step))).is_some_and(|s| s.gang)
+        let is_gang = |step_key: &StepKey| {
+            let job = self.state.job(step_key.job);
+            job.and_then(|j| j.spec.steps.get(usize::from(step_key.step))).is_some_and(|s| s.gang)
         };
-        let groups: Vec<StepKey> = self.ready.order().filter(is_gang).take(TRIED_MAX).collect();
-        for group in groups {
-            if let Some(starts) = self.gang_starts(now, group) {
-                log::info!("gang job={} step={} members={}", group.job, group.step, starts.len());
+        let step_keys: Vec<StepKey> = self.ready.order().filter(is_gang).take(GANGS_MAX).collect();
+        for step_key in step_keys {
+            if let Some(starts) = self.gang_starts(now, step_key) {
+                log::info!(
+                    "gang job={} step={} members={}",
+                    step_key.job,
+                    step_key.step,
+                    starts.len()
+                );
                 for start in &starts {
-                    self.take_room(group, start.incarnation);
+                    self.reserve_on_runner(step_key, start.incarnation);
                     self.starting.insert(start.task, *start);
                 }
                 self.counts.starts += starts.len() as u64;
@@ -53,8 +58,9 @@
         }
     }
 
-    fn take_room(&mut self, group: StepKey, incarnation: IncarnationKey) {
-        let Some(need) = self.ready.step(group.job, group.step).map(|step| step.reserved) else {
+    fn reserve_on_runner(&mut self, step_key: StepKey, incarnation: IncarnationKey) {
+        let Some(need) = self.ready.step(step_key.job, step_key.step).map(|step| step.reserved)
+        else {
             return;
         };
         if let Some(runner) = self.runners.get_mut(&incarnation) {
@@ -62,31 +68,34 @@
         }
     }
 
-    fn gang_starts(&self, now: Now, group: StepKey) -> Option<Vec<RunStart>> {
-        let job = self.state.job(group.job)?;
-        let spec = job.spec.steps.get(usize::from(group.step))?;
-        let step =
-            job.occurrences.get(group.occurrence as usize)?.steps.get(usize::from(group.step))?;
+    fn gang_starts(&self, now: Now, step_key: StepKey) -> Option<Vec<RunStart>> {
+        let job = self.state.job(step_key.job)?;
+        let spec = job.spec.steps.get(usize::from(step_key.step))?;
+        let step = job
+            .occurrences
+            .get(step_key.occurrence as usize)?
+            .steps
+            .get(usize::from(step_key.step))?;
         let key = |index: usize| TaskKey {
-            job: group.job,
-            occurrence: group.occurrence,
-            step: group.step,
+            job: step_key.job,
+            occurrence: step_key.occurrence,
+            step: step_key.step,
             index: u16::try_from(index).unwrap_or(u16::MAX),
         };
-        let whole = step.tasks.iter().enumerate().all(|(index, task)| {
+        let all_waiting = step.tasks.iter().enumerate().all(|(index, task)| {
             !task.done
                 && task.assignments.is_empty()
                 && !self.starting.contains_key(&key(index))
                 && self.standing(now, key(index)) != CrashSuspicion::HeldBack
         });
-        if !whole {
+        if !all_waiting {
             return None;
         }
         let run = step.tasks.iter().map(|task| task.last_run).max().unwrap_or(0) + 1;
         let candidates = self.gang_candidates(now, job, spec, step);
         let incarnations = match self.cfg.policy.gangs.one_rack {
-            Switch::On => seats(spec, &candidates)?,
-            Switch::Off => seats_among(spec, &candidates)?,
+            Switch::On => assign_in_one_rack(spec, &candidates)?,
+            Switch::Off => assign_members(spec, &candidates)?,
         };
         let starts = incarnations.into_iter().enumerate();
         Some(
@@ -103,7 +112,7 @@
         let fits = |runner: &&Runner| {
             runner.takes_tasks()
                 && &*runner.pool == pool
-                && now.at.since(runner.last_report_at) < HEARD_LATELY
+                && now.at.since(runner.last_report_at) < REPORT_AGE_MAX
                 && self.trust(now, runner) == Trust::Full
                 && spec.required_label.as_ref().is_none_or(|label| runner.has_label(label))
                 && !failed_on(runner.key)
@@ -114,32 +123,34 @@
 
 /// A runner for each member: in one rack where there is one with room, since members
 /// in several racks take twice as long, else wherever there is room.
-fn seats(spec: &StepSpec, candidates: &[&Runner]) -> Option<Vec<IncarnationKey>> {
+fn assign_in_one_rack(spec: &StepSpec, candidates: &[&Runner]) -> Option<Vec<IncarnationKey>> {
     let mut racks: BTreeMap<&str, Vec<&Runner>> = BTreeMap::new();
     for runner in candidates {
         racks.entry(&runner.rack).or_default().push(runner);
     }
     let preferred = spec.data_rack.as_deref().and_then(|rack| racks.get(rack));
-    let in_one_rack =
-        preferred.into_iter().chain(racks.values()).find_map(|runners| seats_among(spec, runners));
-    in_one_rack.or_else(|| seats_among(spec, candidates))
+    let in_one_rack = preferred
+        .into_iter()
+        .chain(racks.values())
+        .find_map(|runners| assign_members(spec, runners));
+    in_one_rack.or_else(|| assign_members(spec, candidates))
 }
 
-fn seats_among(spec: &StepSpec, runners: &[&Runner]) -> Option<Vec<IncarnationKey>> {
+fn assign_members(spec: &StepSpec, runners: &[&Runner]) -> Option<Vec<IncarnationKey>> {
     let need = spec.reserved();
-    let wanted = spec.count as usize;
-    let mut seats = Vec::with_capacity(wanted);
+    let member_count = spec.count as usize;
+    let mut assigned = Vec::with_capacity(member_count);
     for runner in runners {
         let mut free = runner.free;
-        let mut here = 0;
-        while seats.len() < wanted
-            && (spec.per_runner_max == 0 || here < spec.per_runner_max)
+        let mut members_here = 0;
+        while assigned.len() < member_count
+            && (spec.per_runner_max == 0 || members_here < spec.per_runner_max)
             && let Some(rest) = free.minus(need)
         {
             free = rest;
-            here += 1;
-            seats.push(runner.key);
+            members_here += 1;
+            assigned.push(runner.key);
         }
     }
-    (seats.len() == wanted).then_some(seats)
+    (assigned.len() == member_count).then_some(assigned)
 }
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -14,7 +14,7 @@
 //! margin is a wave (see [`super::margin_forecast`]), a pair's weight is constant; one filter with
 //! a variance for each splits what is seen among them.
 
-use super::margin_forecast::{MarginModel, OwnFigure};
+use super::margin_forecast::{MarginModel, OwnMargin};
 use super::policy::Switch;
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
@@ -41,19 +41,19 @@
 }
 
 impl InterferencePolicy {
-    fn start(self) -> Guess {
-        Guess { mean: self.start_mean, variance: self.start_variance }
+    fn initial_weight(self) -> WeightEstimate {
+        WeightEstimate { mean: self.start_mean, variance: self.start_variance }
     }
 }
 
 /// Variance of a weight that has often been seen: pairs change.
 const WEIGHT_VARIANCE_MIN: f64 = 0.3;
 /// A recalled weight's variance is taken this many times as large.
-const RECALLED: f64 = 2.0;
+const RECALLED_VARIANCE_FACTOR: f64 = 2.0;
 /// Margins above this are not believed.
 const MARGIN_MAX: f64 = 6.0;
 /// Margins below this say no more than that the server is saturated.
-const SATURATED: f64 = 0.3;
+const SATURATED_MARGIN: f64 = 0.3;
 /// Noise of a reported tail: a part of the margin, and a floor.
 const NOISE_SHARE: f64 = 0.15;
 const NOISE_FLOOR: f64 = 0.05;
@@ -62,7 +62,7 @@
 
 /// A figure that is not known exactly.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Guess {
+struct WeightEstimate {
     mean: f64,
     variance: f64,
 }
@@ -85,7 +85,7 @@
 pub struct Interference {
     policy: InterferencePolicy,
     images: HashMap<Box<str>, ImageKey>,
-    weights: HashMap<(ImageKey, ImageKey), Guess>,
+    weights: HashMap<(ImageKey, ImageKey), WeightEstimate>,
 }
 
 impl Interference {
@@ -98,8 +98,8 @@
     pub fn recall(&mut self, learnt: &[PairWeight]) {
         for pair in learnt {
             let key = (self.image(&pair.serving), self.image(&pair.filling));
-            let variance = f64::from(pair.variance) * RECALLED;
-            self.weights.insert(key, Guess { mean: f64::from(pair.mean), variance });
+            let variance = f64::from(pair.variance) * RECALLED_VARIANCE_FACTOR;
+            self.weights.insert(key, WeightEstimate { mean: f64::from(pair.mean), variance });
         }
     }
 
@@ -113,11 +113,11 @@
         pairs.sort_unstable_by_key(|(key, _)| **key);
         pairs
             .into_iter()
-            .map(|((serving, filling), guess)| PairWeight {
+            .map(|((serving, filling), estimate)| PairWeight {
                 serving: name(*serving).into(),
                 filling: name(*filling).into(),
-                mean: guess.mean as f32,
-                variance: guess.variance as f32,
+                mean: estimate.mean as f32,
+                variance: estimate.variance as f32,
             })
             .collect()
     }
@@ -133,7 +133,7 @@
     }
 
     /// The key of an image that was seen before.
-    pub fn known(&self, name: &str) -> Option<ImageKey> {
+    pub fn find_image(&self, name: &str) -> Option<ImageKey> {
         self.images.get(name).copied()
     }
 
@@ -154,8 +154,8 @@
     /// }
     /// assert!(learnt.margin_loss(serves, &beside) > before + 1.0);
     /// ```
-    pub fn margin_loss(&self, serving: ImageKey, filling: &[BackgroundShare]) -> f64 {
-        filling.iter().map(|fill| self.weight(serving, fill.image).mean * fill.share).sum()
+    pub fn margin_loss(&self, serving: ImageKey, background: &[BackgroundShare]) -> f64 {
+        background.iter().map(|used| self.weight(serving, used.image).mean * used.share).sum()
     }
 
     /// Learns from one figure: a serving task's margin, and what filled beside it.
@@ -165,43 +165,43 @@
         serving: ImageKey,
         own: &mut MarginModel,
         margin: f64,
-        filling: &[BackgroundShare],
+        background: &[BackgroundShare],
         now: Moment,
-    ) -> Option<OwnFigure> {
-        let fills: Vec<BackgroundShare> =
-            filling.iter().copied().filter(|fill| fill.share > SHARE_MIN).collect();
-        let taken = self.margin_loss(serving, &fills);
+    ) -> Option<OwnMargin> {
+        let relevant: Vec<BackgroundShare> =
+            background.iter().copied().filter(|used| used.share > SHARE_MIN).collect();
+        let margin_loss = self.margin_loss(serving, &relevant);
         let expected = own.predict(now);
-        if margin <= SATURATED && expected.margin - taken <= SATURATED {
+        if margin <= SATURATED_MARGIN && expected.margin - margin_loss <= SATURATED_MARGIN {
             return None;
         }
-        let margin = margin.clamp(SATURATED, MARGIN_MAX);
-        let of_weights: f64 = fills
+        let margin = margin.clamp(SATURATED_MARGIN, MARGIN_MAX);
+        let weight_variance: f64 = relevant
             .iter()
-            .map(|fill| self.weight(serving, fill.image).variance * fill.share.powi(2))
+            .map(|used| self.weight(serving, used.image).variance * used.share.powi(2))
             .sum();
         let noise = NOISE_FLOOR + (NOISE_SHARE * margin).powi(2);
-        let total = expected.variance + noise + of_weights;
-        let error = margin - (expected.margin - taken);
+        let total = expected.variance + noise + weight_variance;
+        let error = margin - (expected.margin - margin_loss);
         own.correct(&expected, error, total);
         let learns = self.policy.mode.is_on();
-        for fill in fills.into_iter().filter(|_| learns) {
-            let start = self.policy.start();
-            let weight = self.weights.entry((serving, fill.image)).or_insert(start);
-            let gain = weight.variance * fill.share / total;
+        for used in relevant.into_iter().filter(|_| learns) {
+            let start = self.policy.initial_weight();
+            let weight = self.weights.entry((serving, used.image)).or_insert(start);
+            let gain = weight.variance * used.share / total;
             weight.mean = (weight.mean - gain * error).max(0.0);
-            weight.variance *= 1.0 - gain * fill.share;
+            weight.variance *= 1.0 - gain * used.share;
             weight.variance = weight.variance.max(WEIGHT_VARIANCE_MIN);
         }
-        Some(OwnFigure { margin: margin + taken, noise: noise + of_weights })
+        Some(OwnMargin { margin: margin + margin_loss, noise: noise + weight_variance })
     }
 
     /// Mean weight of an image against all that serve: how hard it is to place.
-    pub fn hardness(&self, filling: ImageKey) -> f64 {
+    pub fn mean_weight(&self, background: ImageKey) -> f64 {
         let mut sum = 0.0;
         let mut count = 0.0;
-        for ((_, fill), weight) in &self.weights {
-            if *fill == filling {
+        for ((_, image), weight) in &self.weights {
+            if *image == background {
                 sum += weight.mean;
                 count += 1.0;
             }
@@ -209,7 +209,7 @@
         if count > 0.0 { sum / count } else { self.policy.start_mean }
     }
 
-    fn weight(&self, serving: ImageKey, filling: ImageKey) -> Guess {
-        self.weights.get(&(serving, filling)).copied().unwrap_or(self.policy.start())
+    fn weight(&self, serving: ImageKey, background: ImageKey) -> WeightEstimate {
+        self.weights.get(&(serving, background)).copied().unwrap_or(self.policy.initial_weight())
     }
 }
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -86,7 +86,7 @@
     /// Share of full pace.
     pace: f64,
     /// It presses too hard on somebody to stay.
-    hard: bool,
+    presses_hard: bool,
 }
 
 impl Leader {
@@ -95,23 +95,29 @@
     pub(super) fn pace(&mut self, now: Now, key: IncarnationKey) -> Colocation {
         let policy = &self.cfg.policy;
         let Some(runner) = self.runners.get(&key) else { return Colocation::default() };
-        let figures = figures(runner, &self.ready);
+        let samples = samples(runner, &self.ready);
         let mut colocation = self.colocation(now, runner);
-        if !figures.is_empty() {
-            learn(now, &figures, &mut self.interference, &mut self.loads, &colocation.filling);
+        if !samples.is_empty() {
+            update_models(
+                now,
+                &samples,
+                &mut self.interference,
+                &mut self.loads,
+                &colocation.filling,
+            );
             colocation = self.colocation(now, runner);
         }
         let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
         runner.serves = colocation.only_serving();
-        colocation.over = runner.is_over(now.at, &figures, policy.standstill);
-        let allowances = match (colocation.over, policy.pacing.mode) {
-            (true, _) => stand_still(&colocation),
+        colocation.over_bound = runner.is_over_bound(now.at, &samples, policy.standstill);
+        let allowances = match (colocation.over_bound, policy.pacing.mode) {
+            (true, _) => standstill_allowances(&colocation),
             (false, Switch::On) => {
                 allowances(&colocation, &self.interference, &policy.pacing, &policy.moving)
             }
-            (false, Switch::Off) => at_full_pace(&colocation),
+            (false, Switch::Off) => full_pace_allowances(&colocation),
         };
-        self.hold_back(now, key, &allowances, colocation.least_own());
+        self.apply_allowances(now, key, &allowances, colocation.min_own_margin());
         colocation
     }
 
@@ -123,7 +129,13 @@
 
     /// Slows each image to what the margins allow, and gives the pace back; where little
     /// is left, tasks with checkpoints stop, which saves their work, and go elsewhere.
-    fn hold_back(&mut self, now: Now, key: IncarnationKey, allowances: &[Allowance], least: f64) {
+    fn apply_allowances(
+        &mut self,
+        now: Now,
+        key: IncarnationKey,
+        allowances: &[Allowance],
+        own_margin: f64,
+    ) {
         let moving = self.tasks_to_move(now, key, allowances);
         let Some(runner) = self.runners.get_mut(&key) else { return };
         let mut changed = runner.set_paces(now.at, allowances, self.cfg.policy.pacing.settle);
@@ -136,7 +148,7 @@
         if changed {
             let paces: Vec<u8> = runner.paces.values().copied().collect();
             log::info!(
-                "pace runner={} percent={paces:?} moved={} own-margin={least:.2} report={}",
+                "pace runner={} percent={paces:?} moved={} own-margin={own_margin:.2} report={}",
                 runner.id,
                 moving.len(),
                 runner.sequence
@@ -154,26 +166,26 @@
         allowances: &[Allowance],
     ) -> Vec<TaskKey> {
         let policy = &self.cfg.policy.moving;
-        let hard: Vec<ImageKey> = allowances
+        let pressing_images: Vec<ImageKey> = allowances
             .iter()
-            .filter(|allowance| policy.mode.is_on() && allowance.hard)
+            .filter(|allowance| policy.mode.is_on() && allowance.presses_hard)
             .filter(|allowance| allowance.pace < policy.below)
             .map(|allowance| allowance.image)
             .collect();
-        let Some(runner) = self.runners.get(&key).filter(|_| !hard.is_empty()) else {
+        let Some(runner) = self.runners.get(&key).filter(|_| !pressing_images.is_empty()) else {
             return Vec::new();
         };
         let mut moving = Vec::new();
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
-            let presses = step.image.is_some_and(|image| hard.contains(&image));
+            let presses = step.image.is_some_and(|image| pressing_images.contains(&image));
             let moves = self.state.task(*task).map_or(0, |task| task.last_run);
             if presses
                 && !view.stopping
                 && step.checkpointing
                 && step.disturbs()
                 && moves < policy.runs_max
-                && !(self.is_idle(&runner.pool) && self.runs_of(now, task.job) <= 1)
+                && !(self.is_pool_idle(&runner.pool) && self.active_runs(now, task.job) <= 1)
             {
                 moving.push(*task);
             }
@@ -183,14 +195,22 @@
 }
 
 /// All that may disturb stops working.
-fn stand_still(colocation: &Colocation) -> Vec<Allowance> {
-    let still = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 0.0, hard: false };
-    colocation.at_full_pace.iter().map(still).collect()
+fn standstill_allowances(colocation: &Colocation) -> Vec<Allowance> {
+    let paused = |background: &BackgroundShare| Allowance {
+        image: background.image,
+        pace: 0.0,
+        presses_hard: false,
+    };
+    colocation.background_at_full_pace.iter().map(paused).collect()
 }
 
-fn at_full_pace(colocation: &Colocation) -> Vec<Allowance> {
-    let full = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 1.0, hard: false };
-    colocation.at_full_pace.iter().map(full).collect()
+fn full_pace_allowances(colocation: &Colocation) -> Vec<Allowance> {
+    let full = |background: &BackgroundShare| Allowance {
+        image: background.image,
+        pace: 1.0,
+        presses_hard: false,
+    };
+    colocation.background_at_full_pace.iter().map(full).collect()
 }
 
 /// What all margins together allow each image.
@@ -200,24 +220,27 @@
     pacing: &PacingPolicy,
     moving: &MovingPolicy,
 ) -> Vec<Allowance> {
-    let mut all = at_full_pace(colocation);
+    let mut all = full_pace_allowances(colocation);
     for serving in &colocation.serving {
-        let pressures: Vec<Pressure> = colocation
-            .at_full_pace
+        let pressures: Vec<ImagePressure> = colocation
+            .background_at_full_pace
             .iter()
-            .map(|fill| Pressure {
-                image: fill.image,
-                share: fill.share,
-                taken: learnt.margin_loss(serving.image, &[*fill]),
+            .map(|background| ImagePressure {
+                image: background.image,
+                share: background.share,
+                margin_loss: learnt.margin_loss(serving.image, &[*background]),
             })
             .collect();
-        for (image, pace) in share_out(serving.own - pacing.margin_aim, pressures.clone()) {
+        for (image, pace) in
+            allocate_margin(serving.own_margin - pacing.margin_aim, pressures.clone())
+        {
             let Some(allowance) = all.iter_mut().find(|known| known.image == image) else {
                 continue;
             };
             let pressure = pressures.iter().find(|pressure| pressure.image == image);
             allowance.pace = allowance.pace.min(pace);
-            allowance.hard |= pressure.is_some_and(|pressure| pressure.taken >= moving.pressure);
+            allowance.presses_hard |=
+                pressure.is_some_and(|pressure| pressure.margin_loss >= moving.pressure);
         }
     }
     all
@@ -226,22 +249,22 @@
 /// What an image at full pace takes of one serving task's margin, with its share of the
 /// runner.
 #[derive(Clone, Copy, Debug)]
-struct Pressure {
+struct ImagePressure {
     image: ImageKey,
     share: f64,
-    taken: f64,
+    margin_loss: f64,
 }
 
-impl Pressure {
+impl ImagePressure {
     fn weight(&self) -> f64 {
-        self.taken / self.share.max(1e-6)
+        self.margin_loss / self.share.max(1e-6)
     }
 }
 
 /// Shares a margin out among the images that press on it, the gentlest first: so most
 /// processors work for the same margin. Returns the paces of those that are slowed.
-fn share_out(margin: f64, mut pressures: Vec<Pressure>) -> Vec<(ImageKey, f64)> {
-    let total: f64 = pressures.iter().map(|pressure| pressure.taken).sum();
+fn allocate_margin(margin: f64, mut pressures: Vec<ImagePressure>) -> Vec<(ImageKey, f64)> {
+    let total: f64 = pressures.iter().map(|pressure| pressure.margin_loss).sum();
     if total < PRESSURE_MIN {
         return Vec::new();
     }
@@ -249,10 +272,10 @@
     let mut left = margin.max(0.0);
     let mut slowed = Vec::new();
     for pressure in pressures {
-        if pressure.taken <= left {
-            left -= pressure.taken;
+        if pressure.margin_loss <= left {
+            left -= pressure.margin_loss;
         } else {
-            slowed.push((pressure.image, left / pressure.taken));
+            slowed.push((pressure.image, left / pressure.margin_loss));
             left = 0.0;
         }
     }
@@ -260,44 +283,44 @@
 }
 
 /// What the tasks of one serving job on a runner show.
-pub(super) struct Figure {
-    group: StepKey,
+pub(super) struct MarginSample {
+    step_key: StepKey,
     image: ImageKey,
     margin: f64,
 }
 
 /// The figures of the tasks that serve. Tasks of one job on one runner share their load
 /// and their neighbours, so only the first is taken: the others tell nothing new.
-fn figures(runner: &Runner, ready: &ReadyQueue) -> Vec<Figure> {
-    let mut figures: Vec<Figure> = Vec::new();
+fn samples(runner: &Runner, ready: &ReadyQueue) -> Vec<MarginSample> {
+    let mut samples: Vec<MarginSample> = Vec::new();
     for (task, view) in &runner.running {
         let Some(step) = ready.step_of(*task) else { continue };
         if step.kind != StepKind::Serving || view.percent < 100 {
             continue;
         }
         let (Some(image), Some(gauge)) = (step.image, view.gauge) else { continue };
-        let group = StepKey::of(*task);
-        if figures.iter().all(|figure| figure.group != group) {
+        let step_key = StepKey::of(*task);
+        if samples.iter().all(|sample| sample.step_key != step_key) {
             let margin = step.tail_bound_ms as f64 / (gauge as f64).max(1.0);
-            figures.push(Figure { group, image, margin });
+            samples.push(MarginSample { step_key, image, margin });
         }
     }
-    figures
+    samples
 }
 
 /// Learns from a runner's figures how loads swing and which images press on which.
-fn learn(
+fn update_models(
     now: Now,
-    figures: &[Figure],
+    samples: &[MarginSample],
     learnt: &mut Interference,
     loads: &mut MarginForecasts<StepKey>,
-    filling: &[BackgroundShare],
+    background: &[BackgroundShare],
 ) {
-    for figure in figures {
-        let own = loads.entry(figure.group, now.at);
-        let freed = learnt.observe(figure.image, own, figure.margin, filling, now.at);
-        let Some(freed) = freed else { continue };
-        if loads.judge(figure.group, freed, now.at) {
+    for sample in samples {
+        let own = loads.entry(sample.step_key, now.at);
+        let own_margin = learnt.observe(sample.image, own, sample.margin, background, now.at);
+        let Some(own_margin) = own_margin else { continue };
+        if loads.judge(sample.step_key, own_margin, now.at) {
             log::info!("loads period={}s", loads.period_s());
         }
     }
@@ -305,8 +328,13 @@
 
 impl Runner {
     /// Whether a task that serves has been over its bound for too long.
-    fn is_over(&mut self, now: Moment, figures: &[Figure], policy: StandstillPolicy) -> bool {
-        if figures.iter().all(|figure| figure.margin >= 1.0) {
+    fn is_over_bound(
+        &mut self,
+        now: Moment,
+        samples: &[MarginSample],
+        policy: StandstillPolicy,
+    ) -> bool {
+        if samples.iter().all(|sample| sample.margin >= 1.0) {
             self.over_since = None;
             return false;
         }
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -29,7 +29,7 @@
         let mut chosen = Chosen {
             starts: Vec::new(),
             free: runner.free,
-            most: starts_allowed(trust, runner),
+            starts_max: starts_allowed(trust, runner),
             colocation,
         };
         if self.trial_on(now, runner).is_some() {
@@ -37,22 +37,22 @@
         }
         self.pick_suspect(now, key, &mut chosen);
         if !chosen.starts.is_empty() {
-            return self.take_chosen(key, chosen);
+            return self.apply_chosen(key, chosen);
         }
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let kept_free = self.kept_free.get(&key).is_some_and(|kept| now.at < kept.until);
         let mut later = Vec::new();
-        let serves_nothing = chosen.colocation.serving.is_empty();
-        for WaitingStep { group, step, .. } in self.offered(&chosen) {
+        let no_serving_tasks = chosen.colocation.serving.is_empty();
+        for WaitingStep { step_key, step, .. } in self.offered_steps(&chosen) {
             if !chosen.free.covers(step.reserved) {
                 continue;
             }
-            if chosen.most == 0 {
+            if chosen.starts_max == 0 {
                 // A task that lasts loses nothing by another failure, and must not wait
                 // beside room that only a distrusted runner has.
-                if step.long_running && self.has_waited(now, group) {
-                    chosen.most = 1;
-                    self.pick_of(now, runner, trust, group, &mut chosen);
+                if step.long_running && self.has_waited_for_runner(now, step_key) {
+                    chosen.starts_max = 1;
+                    self.pick_from_step(now, runner, trust, step_key, &mut chosen);
                     break;
                 }
                 continue;
@@ -60,26 +60,26 @@
             if kept_free && !step.long_running && step.reserved.millicores > 0 {
                 continue;
             }
-            if serves_nothing && !self.is_hard(step) {
-                later.push(group);
+            if no_serving_tasks && !self.needs_idle_runner(step) {
+                later.push(step_key);
                 continue;
             }
-            if chosen.starts.len() >= chosen.most {
+            if chosen.starts.len() >= chosen.starts_max {
                 break;
             }
-            self.pick_of(now, runner, trust, group, &mut chosen);
+            self.pick_from_step(now, runner, trust, step_key, &mut chosen);
         }
-        for group in later {
-            if chosen.starts.len() >= chosen.most {
+        for step_key in later {
+            if chosen.starts.len() >= chosen.starts_max {
                 break;
             }
-            self.pick_of(now, runner, trust, group, &mut chosen);
+            self.pick_from_step(now, runner, trust, step_key, &mut chosen);
         }
         self.pick_copies(runner, trust, &mut chosen);
-        self.take_chosen(key, chosen)
+        self.apply_chosen(key, chosen)
     }
 
-    fn take_chosen(&mut self, key: IncarnationKey, chosen: Chosen) -> Vec<RunStart> {
+    fn apply_chosen(&mut self, key: IncarnationKey, chosen: Chosen) -> Vec<RunStart> {
         let Chosen { starts, free, colocation, .. } = chosen;
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
@@ -89,10 +89,10 @@
     }
 
     /// The waiting steps in the order for a runner; none where no task would fit.
-    fn offered(&self, chosen: &Chosen) -> Vec<WaitingStep<'_>> {
+    fn offered_steps(&self, chosen: &Chosen) -> Vec<WaitingStep<'_>> {
         let fits = |waiting: WaitingStep<'_>| chosen.free.covers(waiting.step.reserved);
-        match self.in_turn().any(fits) {
-            true => self.order_for(&chosen.colocation),
+        match self.considered_steps().any(fits) {
+            true => self.offer_order(&chosen.colocation),
             false => Vec::new(),
         }
     }
@@ -102,35 +102,37 @@
         runner.health.trust(now.at, &self.cfg.policy.distrust)
     }
 
-    fn pick_of(
+    fn pick_from_step(
         &self,
         now: Now,
         runner: &Runner,
         trust: Trust,
-        group: StepKey,
+        step_key: StepKey,
         chosen: &mut Chosen,
     ) {
-        let Some(info) = self.ready.step(group.job, group.step) else { return };
-        if !chosen.free.covers(info.reserved) || !self.suits(now, group, info, chosen) {
+        let Some(info) = self.ready.step(step_key.job, step_key.step) else { return };
+        if !chosen.free.covers(info.reserved) || !self.is_compatible(now, step_key, info, chosen) {
             return;
         }
-        let Some((job, step)) = self.may_host(now, runner, group) else { return };
-        let mut seats = self.seats(runner, group, step);
+        let Some((job, step)) = self.may_host(now, runner, step_key) else { return };
+        let mut seats = self.seats(runner, step_key, step);
         for index in 0..step.count {
-            if chosen.starts.len() >= chosen.most || seats == 0 {
+            if chosen.starts.len() >= chosen.starts_max || seats == 0 {
                 return;
             }
             let index = u16::try_from(index).unwrap_or(u16::MAX);
-            let (occurrence, step_at) = (group.occurrence, group.step);
-            let task = TaskKey { job: group.job, occurrence, step: step_at, index };
+            let (occurrence, step_at) = (step_key.occurrence, step_key.step);
+            let task = TaskKey { job: step_key.job, occurrence, step: step_at, index };
             let Some(run) = self.next_run(now, job, step, task, runner.key, trust) else {
                 continue;
             };
-            if !chosen.free.covers(info.reserved) || !self.suits(now, group, info, chosen) {
+            if !chosen.free.covers(info.reserved)
+                || !self.is_compatible(now, step_key, info, chosen)
+            {
                 return;
             }
             chosen.free = saturating_sub(chosen.free, info.reserved);
-            chosen.colocation.started(now.at, info, &self.loads, group);
+            chosen.colocation.started(now.at, info, &self.loads, step_key);
             chosen.starts.push(RunStart { task, run, incarnation: runner.key });
             seats -= 1;
         }
@@ -141,23 +143,23 @@
         &self,
         now: Now,
         runner: &Runner,
-        group: StepKey,
+        step_key: StepKey,
     ) -> Option<(&Job, &StepSpec)> {
-        let job = self.state.job(group.job)?;
-        let step = job.spec.steps.get(usize::from(group.step))?;
-        let may = self.pool_of(job) == &*runner.pool
+        let job = self.state.job(step_key.job)?;
+        let step = job.spec.steps.get(usize::from(step_key.step))?;
+        let allowed = self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
             && !step.gang
-            && self.ticket_fits(now, group, runner)
-            && self.rack_fits(now.at, job, step, group, runner);
-        may.then_some((job, step))
+            && self.ticket_fits(now, step_key, runner)
+            && self.rack_fits(now.at, job, step, step_key, runner);
+        allowed.then_some((job, step))
     }
 
     /// How many more tasks of a step a runner may have beside those that it has.
-    pub(super) fn seats(&self, runner: &Runner, group: StepKey, step: &StepSpec) -> u32 {
+    pub(super) fn seats(&self, runner: &Runner, step_key: StepKey, step: &StepSpec) -> u32 {
         match step.per_runner_max {
             0 => step.count,
-            most => most.saturating_sub(self.count_here(runner.key, group)),
+            most => most.saturating_sub(self.task_count_on(runner.key, step_key)),
         }
     }
 
@@ -208,13 +210,14 @@
         queue.map_or(&*job.pool, |queue| &*queue.pool)
     }
 
-    fn ticket_fits(&self, now: Now, group: StepKey, runner: &Runner) -> bool {
-        !self.needs_ticket(group) || self.advice.ticket(group, runner.key, now.at).is_some()
+    fn ticket_fits(&self, now: Now, step_key: StepKey, runner: &Runner) -> bool {
+        !self.needs_ticket(step_key) || self.advice.ticket(step_key, runner.key, now.at).is_some()
     }
 
-    pub(super) fn count_here(&self, incarnation: IncarnationKey, group: StepKey) -> u32 {
+    pub(super) fn task_count_on(&self, incarnation: IncarnationKey, step_key: StepKey) -> u32 {
         let same = |task: TaskKey| {
-            (task.job, task.occurrence, task.step) == (group.job, group.occurrence, group.step)
+            (task.job, task.occurrence, task.step)
+                == (step_key.job, step_key.occurrence, step_key.step)
         };
         let held = self.state.assigned_runs(incarnation).filter(|(task, _)| same(*task)).count();
         let starting =
@@ -227,7 +230,7 @@
 pub(super) struct Chosen {
     pub(super) starts: Vec<RunStart>,
     pub(super) free: Resources,
-    pub(super) most: usize,
+    pub(super) starts_max: usize,
     pub(super) colocation: Colocation,
 }
 
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -5,6 +5,7 @@
 //! so that a mechanism can be switched off, or a figure changed, without a rebuild.
 
 pub use super::colocation::SharingPolicy;
+pub use super::compatibility::{GatheringPolicy, MatchingPolicy, PatiencePolicy, RacksPolicy};
 pub use super::copies::CopiesPolicy;
 pub use super::gangs::GangsPolicy;
 pub use super::heartbeat::LeavingPolicy;
@@ -15,7 +16,6 @@
 pub use super::room::KeptFreePolicy;
 pub use super::runner::DistrustPolicy;
 pub use super::sizes::SizesPolicy;
-pub use super::suits::{GatheringPolicy, MatchingPolicy, PatiencePolicy, RacksPolicy};
 pub use super::suspects::SuspectsPolicy;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -136,7 +136,7 @@
 impl std::error::Error for BadPolicy {}
 
 /// A figure and what it may be.
-type Bound = (&'static str, &'static str, f64, f64, f64);
+type BoundedSetting = (&'static str, &'static str, f64, f64, f64);
 
 impl Policy {
     /// Begins with what ships.
@@ -164,7 +164,7 @@
     /// assert!(policy.check().is_err());
     /// ```
     pub fn check(&self) -> Result<(), BadPolicy> {
-        for (section, name, value, least, most) in self.figures() {
+        for (section, name, value, least, most) in self.bounded_settings() {
             // A value that is no number is in no range.
             if !(least..=most).contains(&value) {
                 return Err(BadPolicy::OutOfRange { section, name, value, least, most });
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    fn figures(&self) -> [Bound; 18] {
+    fn bounded_settings(&self) -> [BoundedSetting; 18] {
         let runs_max = f64::from(self.moving.runs_max);
         [
             ("order", "size-weight", self.order.size_weight, 0.0, 2.0),
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -6,11 +6,11 @@
 //! job late; an order by worth for each core-second left finishes as many as
 //! there is room for, and lets those fall behind that could not be prompt anyway.
 
-use super::estimate::{Lateness, Shape};
+use super::estimate::{JobEstimate, Lateness};
 use super::interference::{ImageKey, Interference};
 use super::policy::Switch;
 use super::routes::Routes;
-use super::sizes::{Candidate, Size, Sizes, SizesPolicy};
+use super::sizes::{Candidate, SizeClass, Sizes, SizesPolicy};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -81,16 +81,16 @@
 
 /// Whose turn it is when room comes free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum StartClass {
     /// Tasks that last, have run and are down: their users are without them. Room for one
     /// of these sizes comes free now and then, and short work or another job's larger
     /// task would take it each time, for ever.
-    Again,
+    Interrupted,
     /// Short work on processors of its own that can still be prompt: it gives the
     /// room back within a second, where a task that lasts keeps it for minutes.
-    Short,
+    ShortOnTime,
     /// Tasks that last.
-    Lasting,
+    LongRunning,
     /// All others.
     Other,
 }
@@ -98,9 +98,9 @@
 /// Where a step stands in the order; smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    turn: Turn,
+    start_class: StartClass,
     /// Drawn to the front for its size.
-    front: Reverse<bool>,
+    boosted: Reverse<bool>,
     lateness: Lateness,
     priority: u32,
     /// Worth for each core-second left, below nothing so that more comes first.
@@ -110,7 +110,7 @@
 
 /// The part of a rank that goes before density.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct RankClass(Turn, Reverse<bool>, Lateness, u32);
+pub(super) struct RankClass(StartClass, Reverse<bool>, Lateness, u32);
 
 /// What a step's tasks are to their neighbours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -164,22 +164,22 @@
 /// What the leader keeps of a job beside its replicated state.
 #[derive(Debug)]
 pub(super) struct JobInfo {
-    came: Moment,
-    shape: Shape,
+    arrived_at: Moment,
+    estimate: JobEstimate,
     steps: Vec<StepInfo>,
     objective: Duration,
     priority: u32,
-    lasts: bool,
+    long_running: bool,
     scheduled: bool,
-    size: Size,
+    size: SizeClass,
     /// Whether it ended in time is counted.
-    judged: bool,
+    outcome_recorded: bool,
 }
 
 /// A step with waiting tasks, as it is offered to a runner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitingStep<'a> {
-    pub(super) group: StepKey,
+    pub(super) step_key: StepKey,
     pub(super) step: &'a StepInfo,
     /// What two steps must have in common to be compared by density.
     pub(super) class: RankClass,
@@ -188,22 +188,22 @@
 
 /// A step with waiting tasks.
 #[derive(Clone, Debug)]
-struct Group {
+struct WaitingEntry {
     /// When it first had tasks to start.
     since: Moment,
     rank: Rank,
     /// It lasts and has a task that has run.
-    down: bool,
+    interrupted: bool,
 }
 
 /// All of them.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
     policy: OrderPolicy,
-    groups: BTreeMap<StepKey, Group>,
+    entries: BTreeMap<StepKey, WaitingEntry>,
     order: BTreeMap<(Rank, StepKey), StepInfo>,
-    metas: HashMap<JobId, JobInfo>,
-    means: HashMap<Box<str>, f64>,
+    job_infos: HashMap<JobId, JobInfo>,
+    mean_work: HashMap<Box<str>, f64>,
     scheduled: BTreeSet<JobId>,
     sizes: Sizes,
 }
@@ -215,7 +215,7 @@
 
     /// Whether a step has a task that has run and is down.
     pub(super) fn has_interrupted_task(&self, key: StepKey) -> bool {
-        self.groups.get(&key).is_some_and(|group| group.down)
+        self.entries.get(&key).is_some_and(|entry| entry.interrupted)
     }
 
     /// Keeps what is needed of a job that came in at `came`.
@@ -223,50 +223,50 @@
         &mut self,
         id: JobId,
         job: &Job,
-        came: Moment,
+        arrived_at: Moment,
         routes: &Routes,
         learnt: &mut Interference,
     ) {
-        let shape = Shape::of(&job.spec);
-        let mean = self.means.entry(job.queue.clone()).or_insert(shape.work);
-        *mean += (shape.work - *mean) * MEAN_WEIGHT;
+        let estimate = JobEstimate::of(&job.spec);
+        let mean = self.mean_work.entry(job.queue.clone()).or_insert(estimate.total_work);
+        *mean += (estimate.total_work - *mean) * MEAN_WEIGHT;
         let queue = routes.queue(&job.queue);
         let scheduled = job.spec.schedule.is_some();
         if scheduled {
             self.scheduled.insert(id);
         }
-        let lasts = job.spec.steps.iter().any(|step| step.long_running);
-        let size = match lasts || scheduled {
-            true => Size::Usual,
-            false => self.sizes.meet(&job.queue, shape.work),
+        let long_running = job.spec.steps.iter().any(|step| step.long_running);
+        let size = match long_running || scheduled {
+            true => SizeClass::Typical,
+            false => self.sizes.classify(&job.queue, estimate.total_work),
         };
-        let meta = JobInfo {
-            came,
-            objective: shape.objective(queue),
-            shape,
+        let info = JobInfo {
+            arrived_at,
+            objective: estimate.objective(queue),
+            estimate,
             steps: job.spec.steps.iter().map(|step| StepInfo::of(step, learnt)).collect(),
             priority: queue.map_or(u32::MAX, |queue| queue.priority),
-            lasts,
+            long_running,
             scheduled,
             size,
-            judged: lasts || scheduled,
+            outcome_recorded: long_running || scheduled,
         };
-        self.metas.insert(id, meta);
+        self.job_infos.insert(id, info);
     }
 
     /// How long ago a job came in, and within what time it was to end.
     pub(super) fn age_and_objective(&self, id: JobId, now: Moment) -> Option<(Duration, Duration)> {
-        self.metas.get(&id).map(|meta| (now.since(meta.came), meta.objective))
+        self.job_infos.get(&id).map(|info| (now.since(info.arrived_at), info.objective))
     }
 
     /// Another change set is in force.
     pub(super) fn changed(&mut self, jobs: &CellState, routes: &Routes) {
-        for (id, meta) in &mut self.metas {
+        for (id, info) in &mut self.job_infos {
             let Some(job) = jobs.job(*id) else { continue };
             // A job whose queue is gone keeps what it came with.
             if let Some(queue) = routes.queue(&job.queue) {
-                meta.objective = meta.shape.objective(Some(queue));
-                meta.priority = queue.priority;
+                info.objective = info.estimate.objective(Some(queue));
+                info.priority = queue.priority;
             }
         }
     }
@@ -276,58 +276,64 @@
         for key in self.keys_of(id) {
             self.remove(key);
         }
-        self.metas.remove(&id);
+        self.job_infos.remove(&id);
         self.scheduled.remove(&id);
-        self.sizes.forget(id);
+        self.sizes.remove_job(id);
     }
 
     /// A job has ended.
     pub(super) fn ended(&mut self, id: JobId, job: &Job, now: Moment) {
         if job.phase == JobPhase::Cancelled {
-            return self.sizes.forget(id);
+            return self.sizes.remove_job(id);
         }
-        let Some(meta) = self.metas.get(&id) else { return };
-        let in_time = job.phase == JobPhase::Completed && now.since(meta.came) <= meta.objective;
-        self.judge(id, job, in_time);
+        let Some(info) = self.job_infos.get(&id) else { return };
+        let on_time =
+            job.phase == JobPhase::Completed && now.since(info.arrived_at) <= info.objective;
+        self.record_outcome(id, job, on_time);
     }
 
-    fn judge(&mut self, id: JobId, job: &Job, in_time: bool) {
-        let Some(meta) = self.metas.get_mut(&id) else { return };
-        if !std::mem::replace(&mut meta.judged, true) {
-            self.sizes.ended(id, &job.queue, meta.size, in_time);
+    fn record_outcome(&mut self, id: JobId, job: &Job, on_time: bool) {
+        let Some(info) = self.job_infos.get_mut(&id) else { return };
+        if !std::mem::replace(&mut info.outcome_recorded, true) {
+            self.sizes.record_outcome(id, &job.queue, info.size, on_time);
         }
     }
 
-    fn is_unjudged(&self, id: JobId) -> bool {
-        self.metas.get(&id).is_some_and(|meta| !meta.judged)
+    fn is_outcome_open(&self, id: JobId) -> bool {
+        self.job_infos.get(&id).is_some_and(|info| !info.outcome_recorded)
     }
 
     /// Judges jobs that can no longer end in time, and draws others to the front whose size
     /// is behind; `room` has, for each pool, the processors that no task that lasts holds.
-    pub(super) fn draw_by_size(&mut self, jobs: &CellState, room: &BTreeMap<Box<str>, u64>) {
-        let late = |(_, group): &(&StepKey, &Group)| group.rank.lateness != Lateness::Prompt;
-        let late = self.groups.iter().filter(late).map(|(key, _)| key.job);
-        let late: Vec<JobId> = late.filter(|id| self.is_unjudged(*id)).collect();
+    pub(super) fn boost_by_size(
+        &mut self,
+        jobs: &CellState,
+        available_cpu: &BTreeMap<Box<str>, u64>,
+    ) {
+        let late = |(_, entry): &(&StepKey, &WaitingEntry)| entry.rank.lateness != Lateness::OnTime;
+        let late = self.entries.iter().filter(late).map(|(key, _)| key.job);
+        let late: Vec<JobId> = late.filter(|id| self.is_outcome_open(*id)).collect();
         for id in late {
             if let Some(job) = jobs.job(id) {
-                self.judge(id, job, false);
+                self.record_outcome(id, job, false);
             }
         }
-        let in_turn = self.order.keys().filter(|(rank, _)| rank.turn == Turn::Short);
+        let in_turn =
+            self.order.keys().filter(|(rank, _)| rank.start_class == StartClass::ShortOnTime);
         for (_, key) in in_turn {
-            let (Some(job), Some(meta)) = (jobs.job(key.job), self.metas.get(&key.job)) else {
+            let (Some(job), Some(info)) = (jobs.job(key.job), self.job_infos.get(&key.job)) else {
                 continue;
             };
-            if meta.size == Size::Usual || meta.judged {
+            if info.size == SizeClass::Typical || info.outcome_recorded {
                 continue;
             }
             let Some(spec) = job.spec.steps.get(usize::from(key.step)) else { continue };
-            self.sizes.draw(Candidate {
+            self.sizes.boost(Candidate {
                 id: key.job,
                 queue: &job.queue,
-                size: meta.size,
+                size: info.size,
                 millicores: spec.need.millicores * u64::from(spec.count),
-                room_millicores: room.get(&job.pool).copied().unwrap_or(0),
+                available_millicores: available_cpu.get(&job.pool).copied().unwrap_or(0),
             });
         }
     }
@@ -335,12 +341,12 @@
     pub(super) fn keys_of(&self, id: JobId) -> Vec<StepKey> {
         let from = StepKey { job: id, occurrence: 0, step: 0 };
         let to = StepKey { job: id, occurrence: u32::MAX, step: u16::MAX };
-        self.groups.range(from..=to).map(|(key, _)| *key).collect()
+        self.entries.range(from..=to).map(|(key, _)| *key).collect()
     }
 
     fn remove(&mut self, key: StepKey) {
-        if let Some(group) = self.groups.remove(&key) {
-            self.order.remove(&(group.rank, key));
+        if let Some(entry) = self.entries.remove(&key) {
+            self.order.remove(&(entry.rank, key));
         }
     }
 
@@ -358,10 +364,10 @@
             }
         }
         for key in keys {
-            if !self.groups.contains_key(key) {
+            if !self.entries.contains_key(key) {
                 let rank = self.rank(jobs, *key, now, now);
-                let down = self.has_down(jobs, *key);
-                self.groups.insert(*key, Group { since: now, rank, down });
+                let interrupted = self.has_interrupted(jobs, *key);
+                self.entries.insert(*key, WaitingEntry { since: now, rank, interrupted });
                 if let Some(step) = self.step(key.job, key.step) {
                     self.order.insert((rank, *key), *step);
                 }
@@ -371,16 +377,16 @@
 
     /// Ranks all steps anew: time has passed, work was done.
     pub(super) fn rank_all(&mut self, jobs: &CellState, now: Moment) {
-        let mut groups = std::mem::take(&mut self.groups);
-        for (key, group) in &mut groups {
-            group.rank = self.rank(jobs, *key, now, group.since);
-            group.down = self.has_down(jobs, *key);
+        let mut entries = std::mem::take(&mut self.entries);
+        for (key, entry) in &mut entries {
+            entry.rank = self.rank(jobs, *key, now, entry.since);
+            entry.interrupted = self.has_interrupted(jobs, *key);
         }
-        let place = |(key, group): (&StepKey, &Group)| {
-            self.step(key.job, key.step).map(|step| ((group.rank, *key), *step))
+        let ranked = |(key, entry): (&StepKey, &WaitingEntry)| {
+            self.step(key.job, key.step).map(|step| ((entry.rank, *key), *step))
         };
-        self.order = groups.iter().filter_map(place).collect();
-        self.groups = groups;
+        self.order = entries.iter().filter_map(ranked).collect();
+        self.entries = entries;
     }
 
     /// The steps, the first to be started first.
@@ -390,10 +396,10 @@
 
     /// The same, with what placement asks of them.
     pub(super) fn waiting(&self) -> impl Iterator<Item = WaitingStep<'_>> {
-        self.order.iter().map(|((rank, group), step)| WaitingStep {
-            group: *group,
+        self.order.iter().map(|((rank, step_key), step)| WaitingStep {
+            step_key: *step_key,
             step,
-            class: RankClass(rank.turn, rank.front, rank.lateness, rank.priority),
+            class: RankClass(rank.start_class, rank.boosted, rank.lateness, rank.priority),
             density: -(rank.density as f64),
         })
     }
@@ -406,24 +412,24 @@
     /// Whether a job has tasks that last or occurrences to come: it has no time by which
     /// it is to end.
     pub(super) fn lasts_or_comes_later(&self, id: JobId) -> bool {
-        self.metas.get(&id).is_none_or(|meta| meta.lasts || meta.scheduled)
+        self.job_infos.get(&id).is_none_or(|info| info.long_running || info.scheduled)
     }
 
     /// Whether nobody waits for a job any more.
     pub(super) fn is_overdue(&self, id: JobId, now: Moment) -> bool {
-        let Some(meta) = self.metas.get(&id) else { return false };
-        let age = now.since(meta.came);
-        Shape::lateness(meta.objective, age, Duration::ZERO) == Lateness::Overdue
+        let Some(info) = self.job_infos.get(&id) else { return false };
+        let age = now.since(info.arrived_at);
+        JobEstimate::lateness(info.objective, age, Duration::ZERO) == Lateness::Overdue
     }
 
     /// When a step first had tasks to start.
     pub(super) fn since(&self, key: StepKey) -> Option<Moment> {
-        self.groups.get(&key).map(|group| group.since)
+        self.entries.get(&key).map(|entry| entry.since)
     }
 
     /// A step of a job.
     pub(super) fn step(&self, job: JobId, step: u16) -> Option<&StepInfo> {
-        self.metas.get(&job)?.steps.get(usize::from(step))
+        self.job_infos.get(&job)?.steps.get(usize::from(step))
     }
 
     /// A task's step.
@@ -433,12 +439,12 @@
 
     /// Whether nothing waits.
     pub(super) fn is_empty(&self) -> bool {
-        self.groups.is_empty()
+        self.entries.is_empty()
     }
 
     /// How many steps wait.
     pub(super) fn len(&self) -> usize {
-        self.groups.len()
+        self.entries.len()
     }
 
     /// How many tasks wait in them.
@@ -448,7 +454,7 @@
             let step = occurrence.steps.get(usize::from(key.step))?;
             Some(step.tasks.iter().filter(|task| !task.done && task.assignments.is_empty()).count())
         };
-        self.groups.keys().filter_map(waiting).sum()
+        self.entries.keys().filter_map(waiting).sum()
     }
 
     /// Jobs with a schedule.
@@ -456,50 +462,51 @@
         self.scheduled.iter().copied().collect()
     }
 
-    fn has_down(&self, jobs: &CellState, key: StepKey) -> bool {
-        let lasts = self.step(key.job, key.step).is_some_and(|step| step.long_running);
-        lasts && jobs.job(key.job).is_some_and(|job| has_run_before(job, key))
+    fn has_interrupted(&self, jobs: &CellState, key: StepKey) -> bool {
+        let long_running = self.step(key.job, key.step).is_some_and(|step| step.long_running);
+        long_running && jobs.job(key.job).is_some_and(|job| has_run_before(job, key))
     }
 
     fn rank(&self, jobs: &CellState, key: StepKey, now: Moment, since: Moment) -> Rank {
         let last = Rank {
-            turn: Turn::Other,
-            front: Reverse(false),
+            start_class: StartClass::Other,
+            boosted: Reverse(false),
             lateness: Lateness::Overdue,
             priority: u32::MAX,
             density: 0,
             since,
         };
-        let (Some(job), Some(meta)) = (jobs.job(key.job), self.metas.get(&key.job)) else {
+        let (Some(job), Some(info)) = (jobs.job(key.job), self.job_infos.get(&key.job)) else {
             return last;
         };
-        let Some(step) = meta.steps.get(usize::from(key.step)) else { return last };
-        let priority = meta.priority;
+        let Some(step) = info.steps.get(usize::from(key.step)) else { return last };
+        let priority = info.priority;
         if step.long_running {
             // The largest first, so that the small ones fill what is left.
             let density = -i64::try_from(step.need.millicores).unwrap_or(i64::MAX);
             let again = self.policy.again_first.is_on() && has_run_before(job, key);
-            let turn = if again { Turn::Again } else { Turn::Lasting };
-            return Rank { turn, lateness: Lateness::Prompt, priority, density, ..last };
+            let start_class = if again { StartClass::Interrupted } else { StartClass::LongRunning };
+            return Rank { start_class, lateness: Lateness::OnTime, priority, density, ..last };
         }
-        let mean = self.means.get(&job.queue).copied().unwrap_or(0.0);
-        let left = meta.shape.work_left(job);
-        let density = meta.shape.density(left, mean, self.policy.size_weight);
-        let lateness = meta.lateness(key.step, now);
-        let short = lateness == Lateness::Prompt && !step.opportunistic;
-        let turn = match short && self.policy.short_first.is_on() {
-            true => Turn::Short,
-            false => Turn::Other,
+        let mean = self.mean_work.get(&job.queue).copied().unwrap_or(0.0);
+        let left = info.estimate.work_left(job);
+        let density = info.estimate.density(left, mean, self.policy.size_weight);
+        let lateness = info.lateness(key.step, now);
+        let short = lateness == Lateness::OnTime && !step.opportunistic;
+        let start_class = match short && self.policy.short_first.is_on() {
+            true => StartClass::ShortOnTime,
+            false => StartClass::Other,
         };
-        let front = Reverse(turn == Turn::Short && self.sizes.is_front(key.job));
-        let alike = Rank { turn, front, lateness: Lateness::Prompt, priority: 0, ..last };
+        let boosted =
+            Reverse(start_class == StartClass::ShortOnTime && self.sizes.is_boosted(key.job));
+        let alike = Rank { start_class, boosted, lateness: Lateness::OnTime, priority: 0, ..last };
         match self.policy.by {
             OrderBy::Worth => {
                 let density = -((density * DENSITY_SCALE) as i64);
                 Rank { lateness, priority, density, ..alike }
             }
-            OrderBy::Deadline => Rank { since: meta.came + meta.objective, ..alike },
-            OrderBy::Arrival => Rank { since: meta.came, ..alike },
+            OrderBy::Deadline => Rank { since: info.arrived_at + info.objective, ..alike },
+            OrderBy::Arrival => Rank { since: info.arrived_at, ..alike },
         }
     }
 }
@@ -514,10 +521,11 @@
 
 impl JobInfo {
     fn lateness(&self, step: u16, now: Moment) -> Lateness {
-        if self.lasts || self.scheduled {
-            return Lateness::Prompt;
+        if self.long_running || self.scheduled {
+            return Lateness::OnTime;
         }
-        let tail = self.shape.tails.get(usize::from(step)).copied().unwrap_or_default();
-        Shape::lateness(self.objective, now.since(self.came), tail)
+        let path_to_end =
+            self.estimate.paths_to_end.get(usize::from(step)).copied().unwrap_or_default();
+        JobEstimate::lateness(self.objective, now.since(self.arrived_at), path_to_end)
     }
 }
--- a/crates/coordination/src/jobs/room.rs
+++ b/crates/coordination/src/jobs/room.rs
@@ -53,16 +53,16 @@
 pub(super) struct KeptFree {
     pub(super) until: Moment,
     /// For tasks that have never run.
-    first: bool,
+    for_first_run: bool,
 }
 
 /// Processors of a pool, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
-struct PoolRoom {
-    all: u64,
+struct PoolCapacity {
+    total: u64,
     free: u64,
     /// Held by tasks that last.
-    lasting: u64,
+    long_running: u64,
 }
 
 impl Leader {
@@ -76,17 +76,17 @@
         let starting = self.starting.values().filter(|start| start.incarnation == key);
         taken.extend(starting.map(|start| (start.task, start.run)));
         let mut free = runner.capacity;
-        let mut lasting_millicores = 0;
+        let mut long_running_millicores = 0;
         for (task, _) in taken {
             let Some(step) = self.ready.step_of(task) else { continue };
             free = saturating_sub(free, step.reserved);
             if step.long_running {
-                lasting_millicores += step.reserved.millicores;
+                long_running_millicores += step.reserved.millicores;
             }
         }
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
-            runner.lasting_millicores = lasting_millicores;
+            runner.lasting_millicores = long_running_millicores;
         }
     }
 
@@ -127,26 +127,28 @@
         }
         let runners_max = (self.runners.len() / policy.one_in.max(1)).max(1);
         self.kept_free.retain(|_, kept| now.at < kept.until);
-        let waits = |group: &StepKey| {
-            let step = self.ready.step(group.job, group.step);
-            step.is_some_and(|step| step.long_running) && self.has_waited(now, *group)
+        let has_waited = |step_key: &StepKey| {
+            let step = self.ready.step(step_key.job, step_key.step);
+            step.is_some_and(|step| step.long_running) && self.has_waited_for_runner(now, *step_key)
         };
-        let groups: Vec<StepKey> = self.ready.order().filter(waits).take(runners_max).collect();
-        for group in groups {
-            let first = !self.ready.has_interrupted_task(group);
-            let firsts = self.kept_free.values().filter(|kept| kept.first).count();
+        let step_keys: Vec<StepKey> =
+            self.ready.order().filter(has_waited).take(runners_max).collect();
+        for step_key in step_keys {
+            let for_first_run = !self.ready.has_interrupted_task(step_key);
+            let kept_for_first_run =
+                self.kept_free.values().filter(|kept| kept.for_first_run).count();
             if self.kept_free.len() >= runners_max {
                 return;
             }
-            if first && firsts >= policy.first_runners_max {
+            if for_first_run && kept_for_first_run >= policy.first_runners_max {
                 continue;
             }
-            let Some(need) = self.ready.step(group.job, group.step).map(|step| step.reserved)
+            let Some(need) = self.ready.step(step_key.job, step_key.step).map(|step| step.reserved)
             else {
                 continue;
             };
-            let Some(job) = self.state.job(group.job) else { continue };
-            let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
+            let Some(job) = self.state.job(step_key.job) else { continue };
+            let Some(step) = job.spec.steps.get(usize::from(step_key.step)) else { continue };
             let fits = |runner: &&Runner| {
                 runner.takes_tasks()
                     && &*runner.pool == self.pool_of(job)
@@ -154,75 +156,84 @@
                     && !self.kept_free.contains_key(&runner.key)
                     && runner.reported_recently(now.at)
                     && (step.per_runner_max == 0
-                        || self.count_here(runner.key, group) < step.per_runner_max)
-                    && self.free_without_short(runner).covers(need)
+                        || self.task_count_on(runner.key, step_key) < step.per_runner_max)
+                    && self.free_after_short_tasks(runner).covers(need)
             };
             let Some(key) = self.runners.values().find(fits).map(|runner| runner.key) else {
                 continue;
             };
             self.kept_free
-                .insert(key, KeptFree { until: now.at + policy.span.to_duration(), first });
+                .insert(key, KeptFree { until: now.at + policy.span.to_duration(), for_first_run });
         }
     }
 
     /// What is free on a runner once its short tasks have ended.
-    fn free_without_short(&self, runner: &Runner) -> Resources {
+    fn free_after_short_tasks(&self, runner: &Runner) -> Resources {
         let short = self.state.assigned_runs(runner.key).filter_map(|(task, _)| {
             self.ready.step_of(task).filter(|step| !step.long_running).map(|step| step.reserved)
         });
         short.fold(runner.free, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
-    pub(super) fn has_waited(&self, now: Now, group: StepKey) -> bool {
+    pub(super) fn has_waited_for_runner(&self, now: Now, step_key: StepKey) -> bool {
         let policy = &self.cfg.policy.kept_free;
-        let wait =
-            if self.ready.has_interrupted_task(group) { policy.after } else { policy.first_after };
+        let wait = if self.ready.has_interrupted_task(step_key) {
+            policy.after
+        } else {
+            policy.first_after
+        };
         let wait = wait.to_duration();
-        self.ready.since(group).is_some_and(|since| now.at.since(since) > wait)
+        self.ready.since(step_key).is_some_and(|since| now.at.since(since) > wait)
     }
 
     /// Whether at least half of a pool's processors are not even reserved.
-    pub(super) fn is_idle(&self, pool: &str) -> bool {
+    pub(super) fn is_pool_idle(&self, pool: &str) -> bool {
         self.idle_pools.contains(pool)
     }
 
     /// Finds the pools of which half is idle, and draws jobs to the front by what pools have.
     pub(super) fn measure_pools(&mut self) {
-        let mut sums: BTreeMap<&str, PoolRoom> = BTreeMap::new();
+        let mut sums: BTreeMap<&str, PoolCapacity> = BTreeMap::new();
         for runner in self.runners.values() {
             let sum = sums.entry(&runner.pool).or_default();
             sum.free += runner.free.millicores;
-            sum.all += runner.capacity.millicores;
-            sum.lasting += runner.lasting_millicores;
+            sum.total += runner.capacity.millicores;
+            sum.long_running += runner.lasting_millicores;
         }
-        let left = |sum: &PoolRoom| sum.all.saturating_sub(sum.lasting);
-        let not_lasting = sums.iter().map(|(pool, sum)| (Box::from(*pool), left(sum))).collect();
-        let idle = sums.into_iter().filter(|(_, sum)| sum.free * 2 >= sum.all);
+        let left = |sum: &PoolCapacity| sum.total.saturating_sub(sum.long_running);
+        let not_long_running =
+            sums.iter().map(|(pool, sum)| (Box::from(*pool), left(sum))).collect();
+        let idle = sums.into_iter().filter(|(_, sum)| sum.free * 2 >= sum.total);
         self.idle_pools = idle.map(|(pool, _)| Box::from(pool)).collect();
-        self.ready.draw_by_size(&self.state, &not_lasting);
+        self.ready.boost_by_size(&self.state, &not_long_running);
     }
 
     /// Counts the tasks that last and wait for room, or are on their way to.
     pub(super) fn count_moving_out(&mut self) {
-        let is_lasting = |task: TaskKey| self.ready.step_of(task).is_some_and(|s| s.long_running);
+        let is_long_running =
+            |task: TaskKey| self.ready.step_of(task).is_some_and(|s| s.long_running);
         let leaving = self.runners.values().filter(|runner| !runner.takes_tasks());
         let stopping = leaving
             .flat_map(|runner| &runner.running)
-            .filter(|(task, view)| view.stopping && is_lasting(**task));
+            .filter(|(task, view)| view.stopping && is_long_running(**task));
         let waiting: u32 = self
             .ready
             .order()
-            .filter(|group| self.ready.step(group.job, group.step).is_some_and(|s| s.long_running))
-            .filter_map(|group| self.state.job(group.job).map(|job| waiting_tasks(job, group)))
+            .filter(|step_key| {
+                self.ready.step(step_key.job, step_key.step).is_some_and(|s| s.long_running)
+            })
+            .filter_map(|step_key| {
+                self.state.job(step_key.job).map(|job| waiting_tasks(job, step_key))
+            })
             .sum();
         self.moving_out = waiting + u32::try_from(stopping.count()).unwrap_or(u32::MAX);
     }
 }
 
 /// How many tasks of a step wait.
-pub(super) fn waiting_tasks(job: &Job, group: StepKey) -> u32 {
-    let occurrence = job.occurrences.get(group.occurrence as usize);
-    let step = occurrence.and_then(|found| found.steps.get(usize::from(group.step)));
+pub(super) fn waiting_tasks(job: &Job, step_key: StepKey) -> u32 {
+    let occurrence = job.occurrences.get(step_key.occurrence as usize);
+    let step = occurrence.and_then(|found| found.steps.get(usize::from(step_key.step)));
     let tasks = step.into_iter().flat_map(|step| &step.tasks);
     let count = tasks.filter(|task| !task.done && task.assignments.is_empty()).count();
     u32::try_from(count).unwrap_or(u32::MAX)
--- a/crates/coordination/src/jobs/sizes.rs
+++ b/crates/coordination/src/jobs/sizes.rs
@@ -17,12 +17,12 @@
 /// Jobs of a queue from which its sizes are told apart.
 const RECENT_MIN: usize = 20;
 /// Where the largest jobs of a queue begin, and those that come before them.
-const LARGEST_FROM: f64 = 0.9;
-const LARGE_FROM: f64 = 0.7;
+const LARGEST_QUANTILE: f64 = 0.9;
+const LARGE_QUANTILE: f64 = 0.7;
 /// What an outcome still counts for after each further one of its size.
-const FADING: f64 = 0.95;
+const OUTCOME_DECAY: f64 = 0.95;
 /// Outcomes, as they fade, from which a size is judged.
-const JUDGED_FROM: f64 = 2.0;
+const OUTCOMES_MIN: f64 = 2.0;
 
 /// A size that falls behind its queue is drawn to the front.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,9 +45,9 @@
 
 /// Where a job stands among its queue's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) enum Size {
+pub(super) enum SizeClass {
     /// Seven in ten.
-    Usual,
+    Typical,
     /// The fifth below the largest.
     Large,
     /// The largest tenth.
@@ -56,19 +56,19 @@
 
 /// How often jobs ended in time, the latest counting most.
 #[derive(Clone, Copy, Debug, Default)]
-struct Record {
+struct OnTimeRecord {
     ended: f64,
-    in_time: f64,
+    on_time: f64,
 }
 
-impl Record {
-    fn add(&mut self, in_time: bool) {
-        self.ended = self.ended * FADING + 1.0;
-        self.in_time = self.in_time * FADING + f64::from(u8::from(in_time));
+impl OnTimeRecord {
+    fn add(&mut self, on_time: bool) {
+        self.ended = self.ended * OUTCOME_DECAY + 1.0;
+        self.on_time = self.on_time * OUTCOME_DECAY + f64::from(u8::from(on_time));
     }
 
     fn share(&self) -> Option<f64> {
-        (self.ended >= JUDGED_FROM).then(|| self.in_time / self.ended)
+        (self.ended >= OUTCOMES_MIN).then(|| self.on_time / self.ended)
     }
 }
 
@@ -77,13 +77,13 @@
     /// Core-seconds of the latest jobs, and the same in order.
     recent: VecDeque<f64>,
     sorted: Vec<f64>,
-    all: Record,
-    large: Record,
-    largest: Record,
+    all: OnTimeRecord,
+    large: OnTimeRecord,
+    largest: OnTimeRecord,
 }
 
 impl QueueSizes {
-    fn meet(&mut self, work: f64) -> Size {
+    fn classify(&mut self, work: f64) -> SizeClass {
         if self.recent.len() == RECENT_MAX
             && let Some(oldest) = self.recent.pop_front()
         {
@@ -94,22 +94,22 @@
         let at = self.sorted.partition_point(|known| *known < work);
         self.sorted.insert(at, work);
         if self.sorted.len() < RECENT_MIN {
-            return Size::Usual;
+            return SizeClass::Typical;
         }
-        let below = at as f64 / self.sorted.len() as f64;
-        match below {
-            _ if below >= LARGEST_FROM => Size::Largest,
-            _ if below >= LARGE_FROM => Size::Large,
-            _ => Size::Usual,
+        let rank = at as f64 / self.sorted.len() as f64;
+        match rank {
+            _ if rank >= LARGEST_QUANTILE => SizeClass::Largest,
+            _ if rank >= LARGE_QUANTILE => SizeClass::Large,
+            _ => SizeClass::Typical,
         }
     }
 
-    fn ended(&mut self, size: Size, in_time: bool) {
-        self.all.add(in_time);
+    fn record_outcome(&mut self, size: SizeClass, on_time: bool) {
+        self.all.add(on_time);
         match size {
-            Size::Usual => {}
-            Size::Large => self.large.add(in_time),
-            Size::Largest => self.largest.add(in_time),
+            SizeClass::Typical => {}
+            SizeClass::Large => self.large.add(on_time),
+            SizeClass::Largest => self.largest.add(on_time),
         }
     }
 }
@@ -120,12 +120,12 @@
     policy: SizesPolicy,
     queues: HashMap<Box<str>, QueueSizes>,
     /// Jobs at the front, with the processors that they take.
-    front: HashMap<JobId, Front>,
+    boosted: HashMap<JobId, BoostedJob>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Front {
-    size: Size,
+struct BoostedJob {
+    size: SizeClass,
     millicores: u64,
 }
 
@@ -134,11 +134,11 @@
 pub(super) struct Candidate<'a> {
     pub(super) id: JobId,
     pub(super) queue: &'a str,
-    pub(super) size: Size,
+    pub(super) size: SizeClass,
     /// What the tasks of its next step take together.
     pub(super) millicores: u64,
     /// What its pool has beside tasks that last.
-    pub(super) room_millicores: u64,
+    pub(super) available_millicores: u64,
 }
 
 impl Sizes {
@@ -147,55 +147,61 @@
     }
 
     /// A job of so many core-seconds came in.
-    pub(super) fn meet(&mut self, queue: &str, work: f64) -> Size {
+    pub(super) fn classify(&mut self, queue: &str, work: f64) -> SizeClass {
         match self.queues.get_mut(queue) {
-            Some(known) => known.meet(work),
-            None => self.queues.entry(queue.into()).or_default().meet(work),
+            Some(known) => known.classify(work),
+            None => self.queues.entry(queue.into()).or_default().classify(work),
         }
     }
 
     /// A job ended, or can no longer end in time.
-    pub(super) fn ended(&mut self, id: JobId, queue: &str, size: Size, in_time: bool) {
-        self.front.remove(&id);
+    pub(super) fn record_outcome(
+        &mut self,
+        id: JobId,
+        queue: &str,
+        size: SizeClass,
+        on_time: bool,
+    ) {
+        self.boosted.remove(&id);
         if let Some(known) = self.queues.get_mut(queue) {
-            known.ended(size, in_time);
+            known.record_outcome(size, on_time);
         }
     }
 
     /// A job needs nothing any more.
-    pub(super) fn forget(&mut self, id: JobId) {
-        self.front.remove(&id);
+    pub(super) fn remove_job(&mut self, id: JobId) {
+        self.boosted.remove(&id);
     }
 
     /// Whether a job is at the front.
-    pub(super) fn is_front(&self, id: JobId) -> bool {
-        self.front.contains_key(&id)
+    pub(super) fn is_boosted(&self, id: JobId) -> bool {
+        self.boosted.contains_key(&id)
     }
 
     /// Draws a job to the front if its size is behind and there is a place.
-    pub(super) fn draw(&mut self, job: Candidate<'_>) {
-        if self.policy.mode == Switch::Off || self.is_front(job.id) {
+    pub(super) fn boost(&mut self, job: Candidate<'_>) {
+        if self.policy.mode == Switch::Off || self.is_boosted(job.id) {
             return;
         }
         if !self.is_behind(job.queue, job.size) {
             return;
         }
-        let taken: u64 = self.front.values().map(|front| front.millicores).sum();
-        let places = job.room_millicores as f64 * self.policy.room;
-        let first = self.front.values().all(|front| front.size != job.size);
-        if first || (taken + job.millicores) as f64 <= places {
-            let front = Front { size: job.size, millicores: job.millicores };
-            self.front.insert(job.id, front);
+        let taken: u64 = self.boosted.values().map(|boosted| boosted.millicores).sum();
+        let boosted_max = job.available_millicores as f64 * self.policy.room;
+        let first = self.boosted.values().all(|boosted| boosted.size != job.size);
+        if first || (taken + job.millicores) as f64 <= boosted_max {
+            let boosted = BoostedJob { size: job.size, millicores: job.millicores };
+            self.boosted.insert(job.id, boosted);
             log::info!("job={} drawn to the front: its size is behind in {}", job.id, job.queue);
         }
     }
 
-    fn is_behind(&self, queue: &str, size: Size) -> bool {
+    fn is_behind(&self, queue: &str, size: SizeClass) -> bool {
         let Some(known) = self.queues.get(queue) else { return false };
         let record = match size {
-            Size::Usual => return false,
-            Size::Large => known.large,
-            Size::Largest => known.largest,
+            SizeClass::Typical => return false,
+            SizeClass::Large => known.large,
+            SizeClass::Largest => known.largest,
         };
         match (record.share(), known.all.share()) {
             (Some(own), Some(all)) => own < all * self.policy.behind,
