--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -1,4 +1,4 @@
-//! Who shares a runner: what serves, what fills, and the room that is really left.
+//! Tasks that share a runner, and the CPU and margin that are left for more.
 
 use super::interference::{BackgroundShare, ImageKey, Interference};
 use super::margin_forecast::MarginForecasts;
@@ -10,16 +10,18 @@
 use std::time::Duration;
 use yuccalink_state::jobs::CellState;
 
-/// What may start beside serving tasks.
+/// Limits on what may start beside serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SharingPolicy {
-    /// Whether margins are minded at a start; otherwise only processors are.
+    /// Whether a start must leave the serving tasks enough margin; otherwise only free
+    /// CPU is checked.
     pub mode: Switch,
-    /// Margin that every serving task must keep, as expected, beside one more filling
-    /// task: above its bound, since its own load may grow before the next figure.
+    /// Expected margin that every serving task must keep when one more background task
+    /// starts. It is above the bound, since the serving task's own load may grow before
+    /// the next sample.
     pub margin_min: f64,
-    /// Part of its reserved processors that a serving task is taken to use.
+    /// Share of its reserved CPU that a serving task is assumed to use.
     pub serving_use: f64,
 }
 
@@ -29,56 +31,57 @@
     }
 }
 
-/// A runner whose filling tasks get less than this share of what they could use is
-/// full.
+/// A runner counts as full if its opportunistic tasks get less than this share of the CPU
+/// that they could use.
 const STARVED_SHARE: f64 = 0.5;
-/// Age from which a task's figure, of the last half second, is all its own.
+/// Age of a run from which its CPU sample, which covers the last half second, contains
+/// only its own use.
 const MEASURED_AFTER: Duration = Duration::from_millis(800);
-/// Added to weights that are compared: below this they are all harmless.
+/// Added to weights before they are compared: weights below it are all harmless.
 const WEIGHT_FLOOR: f64 = 1.0;
-/// Margin of a serving task that has told no figure yet: as at half load.
+/// Margin assumed for a serving task without samples: that of a server at half load.
 const DEFAULT_MARGIN: f64 = 3.0;
 
-/// A serving image on a runner, by its task with the least margin of its own.
+/// A serving image on a runner, with the smallest own margin of its tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct ServingImage {
     pub(super) image: ImageKey,
-    /// Until the next orders have their effect.
+    /// Smallest own margin until the next orders take effect.
     pub(super) own_margin: f64,
-    /// While a task that starts now runs.
+    /// Smallest own margin while a task that starts now runs.
     pub(super) own_margin_ahead: f64,
 }
 
-/// The tasks on one runner, as far as they matter to each other.
+/// Tasks colocated on one runner, summed by image.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Colocation {
     policy: SharingPolicy,
-    /// Images that serve there, each once.
+    /// Serving images, each once.
     pub(super) serving: Vec<ServingImage>,
-    /// Images that fill there, each once, with what they use now.
+    /// Background images, each once, with their current CPU use.
     pub(super) filling: Vec<BackgroundShare>,
-    /// The same, with what they would use at full pace.
+    /// Background images, each once, with their CPU use at full pace.
     pub(super) background_at_full_pace: Vec<BackgroundShare>,
-    /// The runner's pool.
+    /// Pool of the runner.
     pub(super) pool: Box<str>,
-    /// A task that serves there has been over its bound for too long.
+    /// Whether a serving task has been over its bound for too long.
     pub(super) over_bound: bool,
     capacity: f64,
-    /// Processors that opportunistic tasks could use.
+    /// CPU that opportunistic tasks could use, in millicores.
     opportunistic_need: f64,
-    /// Processors that all others use.
+    /// CPU used by all other tasks, in millicores.
     other_use: f64,
-    /// Processors that opportunistic tasks could use, of those that have told a
-    /// whole figure, and what they do use.
+    /// CPU that opportunistic tasks with a complete sample could use, and the CPU that
+    /// they do use, in millicores.
     measured_need: f64,
     measured_use: f64,
-    /// Share of the runner that one more task of an image may use, as worked out
-    /// since the last start.
+    /// Share of the runner that one more task of an image may use, cached until the next
+    /// start.
     allowed: Vec<(ImageKey, f64)>,
 }
 
 impl Colocation {
-    /// Those of a runner by its last report and by what is on its way there.
+    /// Returns the colocation on a runner by its last report and the orders under way.
     pub(super) fn of(
         now: Moment,
         runner: &Runner,
@@ -140,7 +143,8 @@
         }
     }
 
-    /// How much less an image presses on those that serve here than on most, as a factor.
+    /// Returns how much less an image interferes with the serving tasks here than with
+    /// those elsewhere, as a factor.
     pub(super) fn advantage(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let whole = [BackgroundShare { image, share: 1.0 }];
         let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
@@ -148,7 +152,7 @@
         (learnt.mean_weight(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
     }
 
-    /// The image that serves there, where it is only one.
+    /// Returns the serving image if there is only one.
     pub(super) fn only_serving(&self) -> Option<ImageKey> {
         match self.serving.as_slice() {
             [only] => Some(only.image),
@@ -156,12 +160,12 @@
         }
     }
 
-    /// The least margin of those that serve, with nothing beside them.
+    /// Returns the smallest own margin of the serving images.
     pub(super) fn min_own_margin(&self) -> f64 {
         self.serving.iter().map(|serving| serving.own_margin).fold(DEFAULT_MARGIN, f64::min)
     }
 
-    /// Counts a task that is about to start.
+    /// Adds a task that is about to start.
     pub(super) fn started(
         &mut self,
         now: Moment,
@@ -176,15 +180,15 @@
         }
     }
 
-    /// Whether processors are left that an opportunistic task could use.
+    /// Returns whether an opportunistic task of this step would find unused CPU.
     pub(super) fn has_spare_cpu(&self, step: &StepInfo) -> bool {
         let need = step.need.millicores as f64;
         let starved = self.measured_use < self.measured_need * STARVED_SHARE;
         !starved && self.other_use + self.opportunistic_need + need <= self.capacity
     }
 
-    /// Whether all that serve there are expected to keep their margin beside one
-    /// more task of a step, with all that fill at full pace.
+    /// Returns whether all serving tasks are expected to keep their margin with one more
+    /// task of a step and all background tasks at full pace.
     pub(super) fn has_margin_for(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
         let Some(image) = step.image.filter(|_| self.policy.mode.is_on()) else { return true };
         if self.over_bound {
--- a/crates/coordination/src/jobs/compatibility.rs
+++ b/crates/coordination/src/jobs/compatibility.rs
@@ -1,5 +1,5 @@
-//! Which runners suit a step's tasks: racks, neighbours, and what a runner is offered
-//! first.
+//! Which runners are compatible with a step's tasks, by rack and colocated tasks, and in
+//! which order steps are offered to a runner.
 
 use super::colocation::Colocation;
 use super::interference::ImageKey;
@@ -13,18 +13,19 @@
 use std::collections::BTreeMap;
 use yuccalink_state::jobs::{Job, JobId, StepSpec};
 
-/// Waiting steps looked at for one report; the first in order matter most. A step
-/// beyond them is not looked at, so this is more than an hour of bursts leaves.
+/// Waiting steps considered for one report, the first in order. Steps beyond the limit are
+/// not considered, so it exceeds the backlog that an hour of bursts leaves.
 const STEPS_MAX: usize = 1_024;
 
-/// Tasks wait for the rack of their data, or of their step.
+/// Lets tasks wait for a runner in the rack of their data or of their step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RacksPolicy {
-    /// Whether they do.
+    /// Whether tasks wait for their rack.
     pub mode: Switch,
-    /// How long: tasks elsewhere take twice as long, so a wait of a fraction of the usual
-    /// task pays.
+    /// How long a task waits for its rack, in milliseconds, before it may run elsewhere.
+    /// Tasks elsewhere take twice as long, so waiting for a fraction of the usual run
+    /// time pays.
     #[serde(rename = "wait-ms")]
     pub wait: Millis,
 }
@@ -35,18 +36,19 @@
     }
 }
 
-/// Serving tasks of one image gather, so that for each filling image there are runners
-/// where it disturbs nobody.
+/// Places serving tasks of one image together, so that for each background image there
+/// are runners where it slows no serving task.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct GatheringPolicy {
-    /// Whether they do.
+    /// Whether serving tasks are grouped by image.
     pub mode: Switch,
-    /// How long a serving task waits for a runner whose serving tasks are of its image.
+    /// How long a serving task waits for a runner that serves only its image, in
+    /// milliseconds, before it may run beside other serving images.
     #[serde(rename = "wait-ms")]
     pub wait: Millis,
-    /// Mean weight of a filling image, against all that serve, from which it is given
-    /// the runners that serve nothing before others are.
+    /// Mean weight of a background image, over all serving images, from which it gets
+    /// runners without serving tasks before other images do.
     pub hard_weight: f64,
 }
 
@@ -56,16 +58,16 @@
     }
 }
 
-/// One task of a job that has nothing running starts on any runner, at the pace that its
-/// neighbours bear, while half of the pool is idle: without it, a job whose image
-/// disturbs all that serve would wait for ever while processors are idle. One only:
-/// runners full of slowed tasks take nothing that suits them.
+/// Starts one task of a job that has nothing running on any runner, at the pace that the
+/// margins there allow, while half of the pool is idle. Without it, a job whose image
+/// slows all serving tasks would wait for ever beside idle CPU. Only one task is started,
+/// since runners full of slowed tasks cannot take compatible ones.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PatiencePolicy {
-    /// Whether it does.
+    /// Whether such a task is started.
     pub mode: Switch,
-    /// How long the job waits before.
+    /// How long the job waits before, in milliseconds.
     #[serde(rename = "after-ms")]
     pub after: Millis,
 }
@@ -76,11 +78,12 @@
     }
 }
 
-/// Filling images go where they press less than elsewhere.
+/// Offers background images to the runners where they interfere least.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct MatchingPolicy {
-    /// Whether they do; otherwise each runner takes them in the common order.
+    /// Whether background steps are reordered for each runner; otherwise every runner is
+    /// offered them in the common order.
     pub mode: Switch,
 }
 
@@ -91,14 +94,15 @@
 }
 
 impl Leader {
-    /// The waiting steps that are looked at for one report, in the common order.
+    /// Iterates over the waiting steps considered for one report, in the common order.
     pub(super) fn considered_steps(&self) -> impl Iterator<Item = WaitingStep<'_>> {
         self.ready.waiting().take(STEPS_MAX)
     }
 
-    /// The waiting steps as they are offered one runner. Steps that fill keep their places
-    /// among the others, and go by how much less their image presses here than on most:
-    /// the margin here is best spent by those who find it nowhere else.
+    /// Returns the waiting steps in the order in which they are offered to one runner.
+    /// Background steps keep the positions of background steps, but are sorted by how
+    /// much less their image interferes here than elsewhere: the margin here is best
+    /// spent on images that find none elsewhere.
     pub(super) fn offer_order(&self, colocation: &Colocation) -> Vec<WaitingStep<'_>> {
         let mut order: Vec<WaitingStep<'_>> = self.considered_steps().collect();
         if self.cfg.policy.matching.mode == Switch::Off || colocation.serving.is_empty() {
@@ -124,8 +128,9 @@
         order
     }
 
-    /// Whether a step's tasks disturb most that serve, or are to serve themselves: the
-    /// others find room beside serving tasks as well.
+    /// Returns whether a step's tasks slow most serving tasks or are long-running. Such
+    /// steps are offered runners without serving tasks first, since all others find
+    /// capacity beside serving tasks as well.
     pub(super) fn needs_idle_runner(&self, step: &StepInfo) -> bool {
         let hard_weight = self.cfg.policy.gathering.hard_weight;
         let disturbs_most = |image| self.interference.mean_weight(image) >= hard_weight;
@@ -160,9 +165,10 @@
         })
     }
 
-    /// Whether a task gets on with those on a runner. Serving tasks of one image
-    /// gather, so that for each filling image there are runners where it disturbs
-    /// nobody: among three images a filling one hardly ever suits all.
+    /// Returns whether a task of a step is compatible with the tasks on a runner. Serving
+    /// tasks of one image are placed together, so that for each background image there
+    /// are runners where it slows no serving task: a background image is hardly ever
+    /// compatible with all of three serving images.
     pub(super) fn is_compatible(
         &self,
         now: Now,
@@ -198,15 +204,16 @@
         }
     }
 
-    /// Whether a serving step need not wait any longer for a runner of its image.
+    /// Returns whether a serving step no longer waits for a runner that serves its image.
     pub(super) fn has_waited_for_image(&self, now: Now, step_key: StepKey) -> bool {
         let policy = &self.cfg.policy.gathering;
         let since = self.ready.since(step_key).unwrap_or(now.at);
         now.at.since(since) > policy.wait.to_duration() || policy.mode == Switch::Off
     }
 
-    /// Whether a runner that already serves this image has room for one more: then
-    /// runners that serve nothing stay free for work that disturbs.
+    /// Returns whether a runner that already serves this image has capacity for one more
+    /// task. Runners without serving tasks then stay free for background tasks that
+    /// interfere.
     fn has_room_beside_image(&self, now: Now, step: &StepInfo) -> bool {
         step.image.is_some()
             && self.runners.values().any(|runner| {
@@ -217,7 +224,8 @@
             })
     }
 
-    /// How many runs of a job are under way or about to be.
+    /// Returns how many runs of a job are assigned to responsive runners or are about to
+    /// start.
     pub(super) fn active_runs(&self, now: Now, id: JobId) -> usize {
         let Some(job) = self.state.job(id) else { return 0 };
         let steps = job.occurrences.iter().flat_map(|occurrence| &occurrence.steps);
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -1,11 +1,11 @@
-//! Second copies of tasks that lag behind, for steps that allow them: the first copy to
-//! finish counts.
+//! Second copies of stragglers, for steps that allow them: the first copy to finish
+//! counts.
 //!
-//! The pattern answered here: a sixth of the runners turn four to six times as slow for
-//! some seconds, or their tasks stand still, while they report as ever. A short task
-//! there takes as long as its job may take in all. A copy elsewhere ends within one
-//! usual length; it costs its own work once more, so only tasks that lag get one, only
-//! in room that nobody waits for, and only so many at once.
+//! The expected fault is that a sixth of the runners become four to six times as slow for
+//! some seconds, or their tasks stall, while they report as usual. A short task there
+//! takes as long as its whole job may take. A copy elsewhere ends within one usual run
+//! time but repeats the work. Therefore only stragglers are copied, only into capacity
+//! that no waiting task needs, and only a limited number at once.
 
 use super::leader::{Leader, Now};
 use super::place::{Chosen, label_fits};
@@ -17,26 +17,28 @@
 use std::time::Duration;
 use yuccalink_state::jobs::{RunStart, TaskKey};
 
-/// Tasks that lag get second copies, where their step allows it.
+/// Starts second copies of stragglers whose step allows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CopiesPolicy {
-    /// Whether they do.
+    /// Whether copies are started.
     pub mode: Switch,
-    /// A run lags that is expected to take this many times as long as the guess. Guesses
-    /// are half off in the usual case, and a sound run beside busy ones takes more than
-    /// half as long again as guessed.
+    /// A run that is expected to take this many times its estimate is a straggler.
+    /// Estimates are usually off by half, and a sound run on a busy runner takes more
+    /// than 1.5 times its estimate.
     pub lags_by: u32,
-    /// Least time that a copy must be expected to save: ordering it takes a third of that.
+    /// Shortest time that a copy must be expected to save, in milliseconds; ordering it
+    /// takes a third of that.
     #[serde(rename = "gain-ms")]
     pub gain: Millis,
-    /// A run whose figure has not moved for this long may stand still; two reports come
-    /// in that time.
+    /// Time without progress, in milliseconds, after which a run counts as stalled; two
+    /// reports arrive in that time.
     #[serde(rename = "unmoved-ms")]
     pub unmoved: Millis,
-    /// One task in this many that run may have a copy,
+    /// One in this many running tasks whose step allows copies may have a copy.
     pub one_in: usize,
-    /// and always this many: the last tasks of a job are few, and all of them may lag.
+    /// Copies allowed at any time: the last tasks of a job are few, and all of them may
+    /// be stragglers.
     pub at_least: usize,
 }
 
@@ -54,7 +56,7 @@
 }
 
 impl Leader {
-    /// Finds the tasks that lag behind, the worst first.
+    /// Finds the stragglers, those with the most time left first.
     pub(super) fn find_laggards(&mut self, now: Now) {
         let policy = self.cfg.policy.copies;
         if policy.mode == Switch::Off {
@@ -79,14 +81,14 @@
                 }
             }
         }
-        // Both runs of a task that has a copy were counted.
+        // `copies` counts both runs of a task that has a copy.
         let budget = (running / policy.one_in).max(policy.at_least);
         found.sort_unstable_by(|a, b| b.cmp(a));
         found.truncate(budget.saturating_sub(copies / 2));
         self.laggards = found.into_iter().map(|(_, task)| task).collect();
     }
 
-    /// Starts copies in what room is left on a runner.
+    /// Starts copies in the capacity that is left on a runner.
     pub(super) fn pick_copies(&self, runner: &Runner, trust: Trust, chosen: &mut Chosen) {
         if trust != Trust::Full {
             return;
@@ -115,7 +117,7 @@
         let fits = !state.done
             && original.incarnation != runner.key
             && !self.starting.contains_key(&task)
-            // A failure of the copy beside one of the original would end the job.
+            // A failure of the copy after one of the original would end the job.
             && state.failures == 0
             && self.may_have_copy(task)
             && !step.gang
@@ -130,7 +132,8 @@
 }
 
 impl CopiesPolicy {
-    /// How long a run is expected to take still, where that is much more than a copy would.
+    /// Returns the remaining time of a run if it is a straggler and a copy would save
+    /// enough time.
     fn straggler_time_left(
         &self,
         now: Now,
--- a/crates/coordination/src/jobs/estimate.rs
+++ b/crates/coordination/src/jobs/estimate.rs
@@ -1,42 +1,43 @@
-//! How long jobs take, from what teams guess, and what a finished job is worth.
+//! Estimates of how long jobs take, from the run times that teams declare, and of what a
+//! finished job is worth.
 //!
-//! Guesses are up to 90 % off, so nothing here is a promise: the figures only
-//! order jobs against each other.
+//! Declared run times are up to 90 % off. The estimates therefore only order jobs
+//! relative to each other.
 
 use std::time::Duration;
 use yuccalink_state::jobs::{Job, JobSpec, Queue};
 
-/// Least time a task is taken to need, so that a guess of nothing orders no job
-/// before all others.
+/// Shortest run time assumed for a task, so that a declared run time of zero does not put
+/// a job before all others.
 const TASK_MIN: Duration = Duration::from_millis(60);
-/// A job that took up to this many times its objective still counts a little.
+/// A job that ends within this many times its objective still has some worth.
 const LATE_FACTOR: u32 = 3;
 /// Part of a job's worth that does not depend on its work.
 const WORTH_FIXED: f64 = 0.3;
 /// Part of a job's worth that grows with its work.
 const WORTH_PER_WORK: f64 = 0.7;
 
-/// Where a job stands against its objective.
+/// Expected end of a job relative to its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lateness {
-    /// It can be done within its objective.
+    /// The job can still end within its objective.
     OnTime,
-    /// It can be done within three times its objective, which counts a little.
+    /// The job can still end within three times its objective, which has some worth.
     Late,
-    /// Nobody waits for it any more, but it was accepted.
+    /// The job was accepted, but its result no longer counts.
     Overdue,
 }
 
-/// What a job's description says of its length and work.
+/// Length and work of a job by its description.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobEstimate {
-    /// For each step: from its start to the job's end, at the least.
+    /// For each step, the shortest time from its start to the end of the job.
     pub(super) paths_to_end: Vec<Duration>,
-    /// The longest chain.
+    /// Length of the longest chain of dependent steps.
     pub(super) critical_path: Duration,
-    /// Core-seconds of each step's one task.
+    /// Core-seconds of one task of each step.
     pub(super) task_work: Vec<f64>,
-    /// Core-seconds of all.
+    /// Core-seconds of all tasks of the job.
     pub(super) total_work: f64,
 }
 
@@ -45,7 +46,7 @@
         let length = |ms: u64| Duration::from_millis(ms).max(TASK_MIN);
         let mut paths_to_end: Vec<Duration> =
             spec.steps.iter().map(|step| length(step.estimate_ms)).collect();
-        // Steps only come after earlier ones, so one pass from the end is enough.
+        // Steps depend on earlier steps only, so one pass from the end is enough.
         for at in (0..spec.steps.len()).rev() {
             let own = paths_to_end[at];
             for dependency in &spec.steps[at].depends_on {
@@ -71,22 +72,22 @@
         Self { paths_to_end, critical_path, task_work, total_work }
     }
 
-    /// Time within which the job counts as prompt.
+    /// Returns the time within which the job must end to be on time.
     pub(super) fn objective(&self, queue: Option<&Queue>) -> Duration {
         let slack = queue.map_or(1.0, |queue| queue.slack.clamp(1.0, 100.0));
         let extra = queue.map_or(0, |queue| queue.objective_ms);
         self.critical_path.mul_f64(slack) + Duration::from_millis(extra)
     }
 
-    /// Core-seconds that are not done yet.
+    /// Returns the core-seconds that are left to do.
     pub(super) fn work_left(&self, job: &Job) -> f64 {
         let Some(occurrence) = job.occurrences.last() else { return self.total_work };
         let steps = occurrence.steps.iter().zip(&self.task_work);
         steps.map(|(step, per_task)| f64::from(step.left) * per_task).sum()
     }
 
-    /// Where a job stands that came in `age` ago and whose next step has `tail`
-    /// before it.
+    /// Returns the lateness of a job of this age. `path_to_end` is the shortest time from
+    /// the start of its next step to the end of the job.
     pub(super) fn lateness(objective: Duration, age: Duration, path_to_end: Duration) -> Lateness {
         let earliest_end = age + path_to_end;
         if earliest_end <= objective {
@@ -98,10 +99,10 @@
         }
     }
 
-    /// Worth for each core-second that is left, against other jobs of its queue
-    /// whose mean work is `mean`. A job that is nearly done comes before one
-    /// that has just begun: it frees its caller for the least room. The size left
-    /// counts by `size_weight`.
+    /// Returns the worth per core-second left, relative to other jobs of the queue, whose
+    /// mean work is `mean`. A job that is nearly done comes before one that has just
+    /// begun, since it takes the least capacity until its caller has the result.
+    /// `size_weight` is the exponent of the work left.
     pub(super) fn density(&self, left: f64, mean: f64, size_weight: f64) -> f64 {
         let mean = if mean > 0.0 { mean } else { self.total_work.max(1e-3) };
         (WORTH_FIXED + WORTH_PER_WORK * self.total_work / mean) / left.max(1e-3).powf(size_weight)
--- a/crates/coordination/src/jobs/gangs.rs
+++ b/crates/coordination/src/jobs/gangs.rs
@@ -1,6 +1,7 @@
-//! Gangs: all tasks of a step start together or not at all, so room for all of them
-//! is found over many runners at once. Each runner is told with its next report,
-//! which comes within a second; the members wait for each other that long.
+//! Gangs: all tasks of a step start together or not at all, so capacity for all of them
+//! must be found on several runners at once. Each runner receives its order in the
+//! response to its next report, within a second; members that start earlier wait that
+//! long for the others.
 
 use super::leader::{Leader, Now, OnCommit};
 use super::policy::Switch;
@@ -13,16 +14,17 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, Job, JobCommand, RunStart, Step, StepSpec, TaskKey};
 
-/// A runner that has not reported for this long may not do so in time.
+/// A runner without a report for this long may not report in time to start its member.
 const REPORT_AGE_MAX: Duration = Duration::from_millis(1_200);
-/// Gangs tried at once, so that a tick stays short.
+/// Most gangs considered in one tick, which keeps the tick short.
 const GANGS_MAX: usize = 8;
 
-/// Members of a gang share a rack where one has room for all.
+/// Places the members of a gang in one rack, if one has capacity for all.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct GangsPolicy {
-    /// Whether they do; otherwise they go wherever there is room.
+    /// Whether a single rack is preferred; otherwise members run wherever there is
+    /// capacity.
     pub one_rack: Switch,
 }
 
@@ -33,7 +35,7 @@
 }
 
 impl Leader {
-    /// Starts gangs for which there is room.
+    /// Starts the waiting gangs for which there is capacity.
     pub(super) fn place_gangs(&mut self, now: Now) {
         let is_gang = |step_key: &StepKey| {
             let job = self.state.job(step_key.job);
@@ -121,8 +123,8 @@
     }
 }
 
-/// A runner for each member: in one rack where there is one with room, since members
-/// in several racks take twice as long, else wherever there is room.
+/// Returns a runner for each member, in one rack if possible, since members in several
+/// racks take twice as long; otherwise wherever there is capacity.
 fn assign_in_one_rack(spec: &StepSpec, candidates: &[&Runner]) -> Option<Vec<IncarnationKey>> {
     let mut racks: BTreeMap<&str, Vec<&Runner>> = BTreeMap::new();
     for runner in candidates {
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -1,18 +1,18 @@
-//! How much tasks that fill disturb tasks that serve, learnt from late figures.
+//! Learns from delayed samples how much background tasks slow serving tasks.
 //!
-//! The pattern answered here: every runner hosts serving tasks that reserve most of
-//! its processors and use half, and opportunistic work of a few images takes the
-//! rest. About half of the pairs of images do not mind each other; in the others a
-//! filling task on a tenth of a runner makes a serving task's tail several times as
-//! long. Which pairs those are is known to nobody and seen half a second late, while
-//! a serving task's own load swings as much within ten seconds.
+//! In the expected load, every runner hosts serving tasks that reserve most of its CPU
+//! and use half of that, and opportunistic tasks of a few images use the rest. About half
+//! of the pairs of images do not interfere; in the others, a background task on a tenth
+//! of a runner makes a serving task's tail latency several times as long. Which pairs
+//! interfere is not known beforehand and shows half a second late, while a serving task's
+//! own load varies as much within ten seconds.
 //!
-//! What is followed is the *margin*, bound divided by tail: 1 at the bound, more
-//! below it. A server's tail grows as `1 / (1 - load)`, so its margin falls in a
-//! straight line with its load and with whatever presses on it:
-//! `margin = own - sum(weight * share of the runner in use)`. The serving job's own
-//! margin is a wave (see [`super::margin_forecast`]), a pair's weight is constant; one filter with
-//! a variance for each splits what is seen among them.
+//! The tracked quantity is the *margin*, bound divided by tail latency: 1 at the bound,
+//! more below it. A server's tail latency grows as `1 / (1 - load)`, so its margin falls
+//! linearly with its load and with the CPU use of background tasks: `margin = own -
+//! sum(weight * share of the runner in use)`. The serving job's own margin is a wave (see
+//! [`super::margin_forecast`]), and the weight of a pair is constant. One filter with a
+//! variance for each attributes each sample to them.
 
 use super::margin_forecast::{MarginModel, OwnMargin};
 use super::policy::Switch;
@@ -21,16 +21,16 @@
 use std::collections::HashMap;
 use yuccalink_state::jobs::PairWeight;
 
-/// What is learnt of pairs of images.
+/// How the interference of image pairs is learnt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct InterferencePolicy {
-    /// Whether anything is learnt; otherwise each pair stays as it starts.
+    /// Whether weights are learnt; otherwise each pair keeps its initial weight.
     pub mode: Switch,
-    /// Weight of a pair that was never seen together: margin that a filling task on the
-    /// whole runner would take. Most pairs are harmless, and some are three times as bad.
+    /// Initial weight of a pair: the margin that a background task on the whole runner
+    /// would cost. Most pairs are harmless, and some are three times as bad as this.
     pub start_mean: f64,
-    /// Its variance.
+    /// Variance of the initial weight.
     pub start_variance: f64,
 }
 
@@ -46,41 +46,41 @@
     }
 }
 
-/// Variance of a weight that has often been seen: pairs change.
+/// Lower limit of a weight's variance, however often it was observed, since pairs change.
 const WEIGHT_VARIANCE_MIN: f64 = 0.3;
-/// A recalled weight's variance is taken this many times as large.
+/// Factor for the variance of weights taken over from an earlier leader.
 const RECALLED_VARIANCE_FACTOR: f64 = 2.0;
-/// Margins above this are not believed.
+/// Upper limit of a sampled margin.
 const MARGIN_MAX: f64 = 6.0;
-/// Margins below this say no more than that the server is saturated.
+/// Margins below this only show that the server is saturated.
 const SATURATED_MARGIN: f64 = 0.3;
-/// Noise of a reported tail: a part of the margin, and a floor.
+/// Noise of a sampled margin: a share of the margin, and a minimum variance.
 const NOISE_SHARE: f64 = 0.15;
 const NOISE_FLOOR: f64 = 0.05;
-/// A share of a runner that is too small to teach anything.
+/// Smallest share of a runner from which weights are learnt.
 const SHARE_MIN: f64 = 0.003;
 
-/// A figure that is not known exactly.
+/// Estimate of a weight with its variance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct WeightEstimate {
     mean: f64,
     variance: f64,
 }
 
-/// An image, numbered in the order of first sight.
+/// Number of an image, in the order in which images were first seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ImageKey(u32);
 
-/// Processors of a runner that tasks of one image use, as a share of all it has.
+/// CPU of a runner used by background tasks of one image.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackgroundShare {
-    /// The image.
+    /// Image of the tasks.
     pub image: ImageKey,
-    /// Of the runner's processors.
+    /// Share of the runner's CPU, from 0 to 1.
     pub share: f64,
 }
 
-/// What was learnt of pairs so far.
+/// Learnt weights of all image pairs.
 #[derive(Debug, Default)]
 pub struct Interference {
     policy: InterferencePolicy,
@@ -89,12 +89,12 @@
 }
 
 impl Interference {
-    /// Nothing learnt yet.
+    /// Creates an instance without learnt weights.
     pub fn new(policy: InterferencePolicy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Begins with what an earlier leader learnt, a little less sure of it.
+    /// Takes over the weights of an earlier leader, with a larger variance.
     pub fn recall(&mut self, learnt: &[PairWeight]) {
         for pair in learnt {
             let key = (self.image(&pair.serving), self.image(&pair.filling));
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What a later leader may begin with.
+    /// Returns the learnt weights for a later leader.
     pub fn learned_weights(&self) -> Vec<PairWeight> {
         let mut names: Vec<(&ImageKey, &str)> =
             self.images.iter().map(|(name, key)| (key, &**name)).collect();
@@ -122,7 +122,7 @@
             .collect()
     }
 
-    /// The key of an image.
+    /// Returns the key of an image, adding the image if needed.
     pub fn image(&mut self, name: &str) -> ImageKey {
         if let Some(key) = self.images.get(name) {
             return *key;
@@ -132,12 +132,12 @@
         key
     }
 
-    /// The key of an image that was seen before.
+    /// Returns the key of an image that was seen before.
     pub fn find_image(&self, name: &str) -> Option<ImageKey> {
         self.images.get(name).copied()
     }
 
-    /// What `filling` takes of a serving task's margin.
+    /// Returns the margin that `background` costs a serving task.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -158,8 +158,9 @@
         background.iter().map(|used| self.weight(serving, used.image).mean * used.share).sum()
     }
 
-    /// Learns from one figure: a serving task's margin, and what filled beside it.
-    /// Returns the margin freed of what is taken to press on it, if it told anything.
+    /// Learns from one sample: a serving task's margin and the background tasks beside
+    /// it. Returns the own margin that the sample implies, unless the server is
+    /// saturated.
     pub fn observe(
         &mut self,
         serving: ImageKey,
@@ -196,7 +197,8 @@
         Some(OwnMargin { margin: margin + margin_loss, noise: noise + weight_variance })
     }
 
-    /// Mean weight of an image against all that serve: how hard it is to place.
+    /// Returns the mean weight of a background image over all serving images seen beside
+    /// it.
     pub fn mean_weight(&self, background: ImageKey) -> f64 {
         let mut sum = 0.0;
         let mut count = 0.0;
--- a/crates/coordination/src/jobs/margin_forecast.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -1,13 +1,14 @@
-//! The load of a job that serves, which swings: how far its tasks' own margin will fall
-//! within the next seconds.
+//! Forecasts of the periodic load of serving jobs: how far the own margin of their tasks
+//! will fall within the next seconds.
 //!
-//! The pattern answered here: every serving job's load goes up and down by half within
-//! ten to twenty seconds, all its tasks together, each job in a phase of its own. A task
-//! that fills beside it lives two to three seconds, so what counts is the margin ahead,
-//! not the one that is seen; a mean, a sine and a cosine explain most of it.
+//! The expected load of each serving job varies by half of its mean, with a period of ten
+//! to twenty seconds. All tasks of a job vary together, and each job has its own phase. A
+//! background task beside it runs for two to three seconds, so the margin of the next
+//! seconds matters, not the current one. A mean, a sine and a cosine explain most of the
+//! variation.
 //!
-//! One filter for each job follows the three; the period is common to all and is found
-//! by the periods' errors in forecasts of some seconds.
+//! One Kalman filter per job tracks these three parts. All jobs share one period, chosen
+//! by the errors of forecasts a few seconds ahead.
 
 use super::policy::{Millis, Switch};
 use crate::moment::Moment;
@@ -16,17 +17,18 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// What is foreseen of the loads of serving tasks.
+/// Forecasts of the load of serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ForecastPolicy {
-    /// Whether waves are followed; otherwise a load is taken to stay as it is.
+    /// Whether periodic loads are modelled; otherwise each load is taken to be constant.
     pub mode: Switch,
-    /// How far ahead a pace looks: what is ordered now has its effect until then, with
-    /// the runner's next report and the time that a pace takes.
+    /// Forecast span for paces, in milliseconds: an order given now takes effect within
+    /// it, including the runner's next report and the time that a change of pace takes.
     #[serde(rename = "effect-ms")]
     pub effect: Millis,
-    /// How far ahead a start looks: a filling task runs about that long.
+    /// Forecast span for starts, in milliseconds: about as long as a background task
+    /// runs.
     #[serde(rename = "ahead-ms")]
     pub ahead: Millis,
 }
@@ -37,63 +39,63 @@
     }
 }
 
-/// Mean margin of a job nothing is known of, at half load on a server whose bound is
-/// six times its shortest answer, and its variance.
+/// Initial mean margin of an unknown job, and its variance: the margin at half load on a
+/// server whose bound is six times its shortest response time.
 const INITIAL_MEAN: f64 = 3.0;
 const INITIAL_MEAN_VARIANCE: f64 = 0.5;
-/// Variance of the sine's and the cosine's part before they are seen: loads swing by
-/// half of their mean, which is 1.5 of a margin, in an unknown phase.
+/// Initial variance of the sine and cosine parts: loads vary by half of their mean, which
+/// is 1.5 of a margin, in an unknown phase.
 const INITIAL_WAVE_VARIANCE: f64 = 1.1;
-/// Added to each variance in a second, as phases and amplitudes drift.
+/// Growth of each variance per second, as phases and amplitudes drift.
 const VARIANCE_DRIFT_PER_S: f64 = 0.01;
-/// Variance that no part exceeds, however long it was not seen.
+/// Upper limit of each variance, however long the job has not been sampled.
 const VARIANCE_MAX: f64 = 1.5;
-/// A reported tail is that of the last half second: it is this old in the mean.
+/// Mean age of a reported tail latency, which covers the last half second.
 const SAMPLE_AGE: Duration = Duration::from_millis(250);
-/// Own margins outside of this are not believed.
+/// Expected margins are clamped to this range.
 const MARGIN_MIN: f64 = 0.8;
 const MARGIN_MAX: f64 = 6.0;
-/// Step in which a forecast is looked through for its least value.
+/// Interval at which a forecast is evaluated to find its minimum.
 const FORECAST_STEP: Duration = Duration::from_millis(500);
 
-/// Periods that are tried, in seconds: from the shortest in which a runner's reports
-/// show a wave to the longest that a task that fills could care about. A filter follows
-/// a wave that is an eighth off its period.
+/// Candidate periods, in seconds: from the shortest at which a runner's reports show a
+/// wave to the longest that matters for a background task. A filter can follow a wave
+/// whose period differs from its own by an eighth.
 const PERIODS_S: [f64; 8] = [5.0, 6.5, 8.0, 10.0, 12.5, 16.0, 20.0, 25.0];
-/// The one believed at first.
+/// Index of the initial period in [`PERIODS_S`].
 const INITIAL_PERIOD_INDEX: usize = 3;
-/// Jobs whose figures are followed with all periods.
+/// Most jobs whose samples are tracked with all periods.
 const PROBE_JOBS_MAX: usize = 8;
-/// How far ahead the periods' forecasts are judged: a quarter of a long wave.
+/// How far ahead forecasts are evaluated to compare periods: a quarter of a long wave.
 const EVALUATION_HORIZON: Duration = Duration::from_secs(3);
-/// Weight of one error in a period's running mean: some 200 figures count.
+/// Weight of one error in the running mean of a period: about 200 samples count.
 const ERROR_WEIGHT: f64 = 0.005;
-/// A forecast that is further off counts as this far off, squared.
+/// Upper limit of a squared forecast error.
 const SQUARED_ERROR_MAX: f64 = 4.0;
-/// Errors that a period must have been judged by before it can be chosen.
+/// Errors counted for a period before it can be chosen.
 const ERRORS_MIN: u32 = 100;
-/// A period replaces the one believed when its error is this much smaller.
+/// A period replaces the current one if its mean error is below this share of the current
+/// one's.
 const REPLACEMENT_ERROR_RATIO: f64 = 0.8;
 
-/// The margin that the tasks of one job would have with nothing beside them, as a
-/// function of time: a mean and a wave.
+/// Model of a job's own margin as a function of time: a mean and a wave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MarginModel {
-    /// Radians in a second.
+    /// Radians per second.
     frequency: f64,
-    /// Mean, cosine's and sine's part.
+    /// Mean, cosine part and sine part.
     parts: [f64; 3],
     variance: [[f64; 3]; 3],
     at: Moment,
 }
 
 impl MarginModel {
-    /// That of a job nothing is known of.
+    /// Creates the model of a job of which nothing is known.
     pub fn new(now: Moment) -> Self {
         Self::with_period(PERIODS_S[INITIAL_PERIOD_INDEX], now)
     }
 
-    /// A load that is taken to stay as it is: a wave that takes for ever.
+    /// Creates the model of a constant load: its period is infinite.
     fn steady(now: Moment) -> Self {
         Self::with_period(f64::INFINITY, now)
     }
@@ -111,13 +113,13 @@
         }
     }
 
-    /// The expected margin at a moment.
+    /// Returns the expected margin at a moment.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
     /// use yuccalink_coordination::jobs::margin_forecast::MarginModel;
-    /// let swing = MarginModel::new(Moment::ZERO);
-    /// assert!(swing.margin_at(Moment::from_millis(700)) > 1.0);
+    /// let model = MarginModel::new(Moment::ZERO);
+    /// assert!(model.margin_at(Moment::from_millis(700)) > 1.0);
     /// ```
     pub fn margin_at(&self, at: Moment) -> f64 {
         let basis = self.basis_at(at);
@@ -125,7 +127,7 @@
         margin.clamp(MARGIN_MIN, MARGIN_MAX)
     }
 
-    /// The least expected margin from a moment on.
+    /// Returns the smallest expected margin within a span from a moment on.
     pub fn min_margin(&self, from: Moment, span: Duration) -> f64 {
         let steps = span.as_millis() / FORECAST_STEP.as_millis();
         let steps = u32::try_from(steps).unwrap_or(0);
@@ -133,14 +135,14 @@
         margins.fold(MARGIN_MAX, f64::min)
     }
 
-    /// How each part is seen in a margin at a moment.
+    /// Returns the factor of each part in the margin at a moment.
     fn basis_at(&self, at: Moment) -> [f64; 3] {
         let angle = self.frequency * at.since(Moment::ZERO).as_secs_f64();
         let (sin, cos) = angle.sin_cos();
         [1.0, cos, sin]
     }
 
-    /// What a figure that comes in at `now` is expected to show, and its variance.
+    /// Predicts the margin and its variance for a sample received at `now`.
     pub(super) fn predict(&mut self, now: Moment) -> Expected {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
@@ -158,8 +160,8 @@
         Expected { margin, variance, gains }
     }
 
-    /// Corrects the parts by an error of what was expected, whose variance in all was
-    /// `total`.
+    /// Corrects the parts by the error of a prediction. `total` is the variance of that
+    /// error.
     pub(super) fn correct(&mut self, expected: &Expected, error: f64, total: f64) {
         for row in 0..3 {
             self.parts[row] += expected.gains[row] / total * error;
@@ -170,12 +172,12 @@
     }
 }
 
-/// What a filter expects of a figure.
+/// Prediction of a filter for one sample.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Expected {
     pub(super) margin: f64,
     pub(super) variance: f64,
-    /// Covariance of each part with the figure.
+    /// Covariance of each part with the sample.
     gains: [f64; 3],
 }
 
@@ -183,16 +185,16 @@
     Moment::ZERO + now.since(Moment::ZERO).saturating_sub(SAMPLE_AGE)
 }
 
-/// A margin freed of what presses on it.
+/// Own margin of a serving task, as estimated from one sample.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnMargin {
-    /// As it would have been with nothing beside the task.
+    /// Margin that the task would have had without colocated background tasks.
     pub margin: f64,
-    /// Its variance.
+    /// Variance of this margin.
     pub noise: f64,
 }
 
-/// All serving jobs' loads, by a key for each job.
+/// Margin models of all serving jobs, with one key per job.
 #[derive(Debug)]
 pub struct MarginForecasts<K> {
     policy: ForecastPolicy,
@@ -202,14 +204,15 @@
     period_errors: [PeriodError; PERIODS_S.len()],
 }
 
-/// How well a period forecasts.
+/// Running mean of the squared forecast errors of one period.
 #[derive(Clone, Copy, Debug, Default)]
 struct PeriodError {
     error: f64,
     count: u32,
 }
 
-/// A job followed with all periods: now, and as it was at the last look.
+/// A job tracked with all periods: its current models, and the models at the last
+/// evaluation.
 #[derive(Debug)]
 struct PeriodProbe<K> {
     job: K,
@@ -234,27 +237,29 @@
 where
     K: Copy + Eq + Hash,
 {
-    /// Nothing seen yet.
+    /// Creates forecasts without any samples.
     pub fn new(policy: ForecastPolicy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// The least margin of a job until an order has its effect, if anything is known.
+    /// Returns the smallest margin of a job until an order takes effect, if its load is
+    /// known.
     pub(super) fn min_margin_until_effect(&self, job: K, now: Moment) -> Option<f64> {
         self.get(job).map(|model| model.min_margin(now, self.policy.effect.to_duration()))
     }
 
-    /// The least margin of a job while a task that starts now runs, if anything is known.
+    /// Returns the smallest margin of a job while a task that starts now runs, if its
+    /// load is known.
     pub(super) fn min_margin_for_start(&self, job: K, now: Moment) -> Option<f64> {
         self.get(job).map(|model| model.min_margin(now, self.policy.ahead.to_duration()))
     }
 
-    /// What is known of a job's load, if anything.
+    /// Returns the model of a job, if its load is known.
     pub fn get(&self, job: K) -> Option<&MarginModel> {
         self.models.get(&job)
     }
 
-    /// What is known of a job's load, to be learnt from.
+    /// Returns the model of a job for updates, creating it if needed.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -273,12 +278,12 @@
         })
     }
 
-    /// The period that is believed, in seconds.
+    /// Returns the current period, in seconds.
     pub fn period_s(&self) -> f64 {
         PERIODS_S[self.period_index]
     }
 
-    /// Forgets jobs that do not stay.
+    /// Removes the jobs that do not satisfy the predicate.
     pub fn keep<F>(&mut self, is_kept: F)
     where
         F: Fn(K) -> bool,
@@ -287,7 +292,8 @@
         self.probes.retain(|probe| is_kept(probe.job));
     }
 
-    /// Judges the periods by one figure; true when another is believed from now on.
+    /// Updates the errors of all periods by one sample. Returns whether the current
+    /// period changed.
     pub fn judge(&mut self, job: K, sample: OwnMargin, now: Moment) -> bool {
         if self.policy.mode == Switch::Off {
             return false;
@@ -311,7 +317,8 @@
         self.choose_period(now)
     }
 
-    /// Where a job stands among the witnesses, if it is one or there is a seat.
+    /// Returns the index of a job among the probes. Adds the job if there are fewer
+    /// probes than the limit.
     fn probe_index(&mut self, job: K, now: Moment) -> Option<usize> {
         let known = self.probes.iter().position(|probe| probe.job == job);
         if known.is_none() && self.probes.len() < PROBE_JOBS_MAX {
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -1,5 +1,6 @@
-//! When a serving task's margin runs out: whoever presses on it is slowed by as much
-//! as is needed, or moved away where little would be left of its pace.
+//! Pacing of background tasks: when a serving task's margin runs out, the background
+//! tasks that slow it are slowed as much as needed, or moved to other runners if little
+//! of their pace would be left.
 
 use super::colocation::Colocation;
 use super::interference::{BackgroundShare, ImageKey, Interference};
@@ -12,22 +13,22 @@
 use serde::{Deserialize, Serialize};
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
-/// Pressure, in margin, that is not worth an order.
+/// Margin loss too small to be worth an order.
 const PRESSURE_MIN: f64 = 0.1;
-/// Steps in which paces are given, in percent, so that few orders are needed.
+/// Granularity of paces, in percent; coarse steps need few orders.
 const PACE_STEP: f64 = 5.0;
 
-/// Filling tasks are slowed where a serving task's margin runs out.
+/// Slows background tasks where a serving task's margin runs out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PacingPolicy {
-    /// Whether they are.
+    /// Whether background tasks are slowed.
     pub mode: Switch,
-    /// Margin that is aimed at, of the least that is forecast: what is left covers the
-    /// forecast's error.
+    /// Target for the smallest forecast margin. The part above 1 covers the forecast's
+    /// error.
     pub margin_aim: f64,
-    /// Least time before a pace is raised again: one report. Forecasts know when a load
-    /// falls.
+    /// Shortest time after a change of pace before a pace is raised, in milliseconds: one
+    /// report. Forecasts already tell when a load falls.
     #[serde(rename = "settle-ms")]
     pub settle: Millis,
 }
@@ -38,19 +39,20 @@
     }
 }
 
-/// Filling tasks with checkpoints that would be slowed to little go elsewhere.
+/// Moves background tasks with checkpoints that would be slowed to little of their pace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct MovingPolicy {
-    /// Whether they do.
+    /// Whether background tasks are moved.
     pub mode: Switch,
-    /// Share of full pace below which they are moved: elsewhere they do more.
+    /// Share of full pace below which tasks are moved, because they do more on another
+    /// runner.
     pub below: f64,
-    /// Pressure, in margin, from which an image is moved: half a usual margin. Less than
-    /// that is borne again as soon as the serving task's own load has swung back.
+    /// Margin loss from which the tasks of an image are moved: half a usual margin. A
+    /// smaller loss is acceptable again as soon as the serving task's own load falls.
     pub pressure: f64,
-    /// A task in this run or a later one is not moved any more: it seems to disturb
-    /// wherever it goes, and only its pace is left.
+    /// Tasks whose run number has reached this value are not moved any more, only slowed,
+    /// since they seem to interfere on every runner.
     pub runs_max: u32,
 }
 
@@ -60,15 +62,16 @@
     }
 }
 
-/// Everything that may disturb stands still beside a serving task that is over its bound.
+/// Stops all background tasks beside a serving task that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StandstillPolicy {
-    /// Whether it does.
+    /// Whether background tasks are stopped.
     pub mode: Switch,
-    /// How long the task is over its bound before, whatever is believed of it: a wrong
-    /// belief must not cost its users more than a few seconds. Figures are half a second
-    /// old, and an order takes as long.
+    /// Time for which a serving task is over its bound, in milliseconds, before
+    /// background tasks are stopped whatever the learnt weights say, so that a wrong
+    /// weight costs users no more than a few seconds. Samples are half a second old, and
+    /// an order takes as long to have an effect.
     #[serde(rename = "after-ms")]
     pub after: Millis,
 }
@@ -79,19 +82,19 @@
     }
 }
 
-/// What a runner's margins allow an image that fills there.
+/// What the margins on a runner allow a background image there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Allowance {
     image: ImageKey,
-    /// Share of full pace.
+    /// Allowed share of full pace, from 0 to 1.
     pace: f64,
-    /// It presses too hard on somebody to stay.
+    /// Whether the image costs a serving task so much margin that it is to be moved.
     presses_hard: bool,
 }
 
 impl Leader {
-    /// Learns from a report, and acts on margins that run out. Returns who shares the
-    /// runner.
+    /// Learns from a report and adjusts the paces on the runner. Returns the colocation
+    /// on the runner.
     pub(super) fn pace(&mut self, now: Now, key: IncarnationKey) -> Colocation {
         let policy = &self.cfg.policy;
         let Some(runner) = self.runners.get(&key) else { return Colocation::default() };
@@ -121,14 +124,15 @@
         colocation
     }
 
-    /// Who shares a runner, by its last report and by what is on its way there.
+    /// Returns the colocation on a runner by its last report and the orders under way.
     pub(super) fn colocation(&self, now: Now, runner: &Runner) -> Colocation {
         let sharing = self.cfg.policy.sharing;
         Colocation::of(now.at, runner, &self.state, &self.ready, &self.loads, sharing)
     }
 
-    /// Slows each image to what the margins allow, and gives the pace back; where little
-    /// is left, tasks with checkpoints stop, which saves their work, and go elsewhere.
+    /// Sets the pace of each image to what the margins allow, up or down. Where little
+    /// pace is left, tasks with checkpoints are stopped, which saves their work, so that
+    /// they run elsewhere.
     fn apply_allowances(
         &mut self,
         now: Now,
@@ -156,9 +160,10 @@
         }
     }
 
-    /// Tasks that press hard and have little pace left. A job's only run stays, slowed:
-    /// beside idle processors a job with nothing running would wait for room that its
-    /// image finds nowhere.
+    /// Returns the tasks to move: those that cost much margin and have little pace left.
+    /// The only run of a job stays, slowed, while the pool is idle: otherwise the job
+    /// might have nothing running while it waits for a compatible runner that does not
+    /// exist.
     fn tasks_to_move(
         &self,
         now: Now,
@@ -194,7 +199,7 @@
     }
 }
 
-/// All that may disturb stops working.
+/// Stops all background tasks.
 fn standstill_allowances(colocation: &Colocation) -> Vec<Allowance> {
     let paused = |background: &BackgroundShare| Allowance {
         image: background.image,
@@ -213,7 +218,7 @@
     colocation.background_at_full_pace.iter().map(full).collect()
 }
 
-/// What all margins together allow each image.
+/// Returns the pace that all margins together allow each image.
 fn allowances(
     colocation: &Colocation,
     learnt: &Interference,
@@ -246,8 +251,8 @@
     all
 }
 
-/// What an image at full pace takes of one serving task's margin, with its share of the
-/// runner.
+/// Margin that a background image at full pace costs one serving task, and the image's
+/// share of the runner.
 #[derive(Clone, Copy, Debug)]
 struct ImagePressure {
     image: ImageKey,
@@ -261,8 +266,9 @@
     }
 }
 
-/// Shares a margin out among the images that press on it, the gentlest first: so most
-/// processors work for the same margin. Returns the paces of those that are slowed.
+/// Allocates a margin to the images that reduce it, those with the lowest loss per share
+/// first, so that as much CPU as possible works for the same margin. Returns the paces of
+/// the images that are slowed.
 fn allocate_margin(margin: f64, mut pressures: Vec<ImagePressure>) -> Vec<(ImageKey, f64)> {
     let total: f64 = pressures.iter().map(|pressure| pressure.margin_loss).sum();
     if total < PRESSURE_MIN {
@@ -282,15 +288,16 @@
     slowed
 }
 
-/// What the tasks of one serving job on a runner show.
+/// Margin reported for the tasks of one serving step on a runner.
 pub(super) struct MarginSample {
     step_key: StepKey,
     image: ImageKey,
     margin: f64,
 }
 
-/// The figures of the tasks that serve. Tasks of one job on one runner share their load
-/// and their neighbours, so only the first is taken: the others tell nothing new.
+/// Returns the margin samples of the serving tasks. Tasks of one step on one runner share
+/// their load and their colocated tasks, so only the first of them is used: the others
+/// add no information.
 fn samples(runner: &Runner, ready: &ReadyQueue) -> Vec<MarginSample> {
     let mut samples: Vec<MarginSample> = Vec::new();
     for (task, view) in &runner.running {
@@ -308,7 +315,7 @@
     samples
 }
 
-/// Learns from a runner's figures how loads swing and which images press on which.
+/// Updates the load models and the interference weights from a runner's samples.
 fn update_models(
     now: Now,
     samples: &[MarginSample],
@@ -327,7 +334,7 @@
 }
 
 impl Runner {
-    /// Whether a task that serves has been over its bound for too long.
+    /// Returns whether a serving task has been over its bound for too long.
     fn is_over_bound(
         &mut self,
         now: Moment,
@@ -342,7 +349,8 @@
         policy.mode.is_on() && now.since(since) >= policy.after.to_duration()
     }
 
-    /// Sets the paces; true if any changed. A lower one counts at once.
+    /// Sets the paces and returns whether any changed. A lower pace applies at once, a
+    /// higher one only after the settling time.
     fn set_paces(&mut self, now: Moment, allowances: &[Allowance], settle: Millis) -> bool {
         let settled = now.since(self.paced_at) >= settle.to_duration();
         let mut changed = false;
@@ -362,7 +370,7 @@
         changed
     }
 
-    /// Orders for runs that do not work at their image's pace yet.
+    /// Returns orders for runs that do not yet have their image's pace.
     pub(super) fn rate_orders(&mut self, ready: &ReadyQueue) -> Vec<(TaskKey, u32, u8)> {
         let mut orders = Vec::new();
         for (task, view) in &mut self.running {
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -1,5 +1,5 @@
-//! Which waiting tasks start on a runner that has just reported: its word is then
-//! fresh, and the order reaches it with the answer.
+//! Chooses the waiting tasks that start on a runner that has just reported: the report is
+//! then up to date, and the order is sent in the response.
 
 use super::colocation::Colocation;
 use super::leader::{Leader, Now};
@@ -10,11 +10,11 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, Job, RunStart, StepSpec, TaskKey};
 
-/// Starts ordered with one answer, so that it stays a small message.
+/// Most starts ordered in one response, which keeps the message small.
 const STARTS_MAX: usize = 64;
 
 impl Leader {
-    /// Chooses tasks for a runner, in the order of the waiting steps.
+    /// Chooses the tasks to start on a runner, in the order of the waiting steps.
     pub(super) fn pick(
         &mut self,
         now: Now,
@@ -48,8 +48,8 @@
                 continue;
             }
             if chosen.starts_max == 0 {
-                // A task that lasts loses nothing by another failure, and must not wait
-                // beside room that only a distrusted runner has.
+                // A long-running task may fail again without harm to its job, so it need
+                // not wait when only a distrusted runner has capacity.
                 if step.long_running && self.has_waited_for_runner(now, step_key) {
                     chosen.starts_max = 1;
                     self.pick_from_step(now, runner, trust, step_key, &mut chosen);
@@ -88,7 +88,7 @@
         starts
     }
 
-    /// The waiting steps in the order for a runner; none where no task would fit.
+    /// Returns the waiting steps in the order for a runner, or none if no task would fit.
     fn offered_steps(&self, chosen: &Chosen) -> Vec<WaitingStep<'_>> {
         let fits = |waiting: WaitingStep<'_>| chosen.free.covers(waiting.step.reserved);
         match self.considered_steps().any(fits) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What may be started on a runner, by how its runs end.
+    /// Returns what may be started on a runner, given how its runs have ended.
     pub(super) fn trust(&self, now: Now, runner: &Runner) -> Trust {
         runner.health.trust(now.at, &self.cfg.policy.distrust)
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A step and its job, if its tasks may run on a runner at all.
+    /// Returns a step and its job if the step's tasks may run on a runner at all.
     pub(super) fn may_host(
         &self,
         now: Now,
@@ -155,7 +155,7 @@
         allowed.then_some((job, step))
     }
 
-    /// How many more tasks of a step a runner may have beside those that it has.
+    /// Returns how many more tasks of a step may be assigned to a runner.
     pub(super) fn seats(&self, runner: &Runner, step_key: StepKey, step: &StepSpec) -> u32 {
         match step.per_runner_max {
             0 => step.count,
@@ -163,7 +163,8 @@
         }
     }
 
-    /// The number of a task's next run on a runner, if it may start there beside others.
+    /// Returns the number of a task's next run if it may start on a runner beside other
+    /// tasks.
     pub(super) fn next_run(
         &self,
         now: Now,
@@ -177,7 +178,7 @@
         (self.standing(now, task) == CrashSuspicion::Clear).then_some(run)
     }
 
-    /// The number of a task's next run on a runner, if it may run there at all.
+    /// Returns the number of a task's next run if it may run on a runner at all.
     pub(super) fn run_after(
         &self,
         job: &Job,
@@ -189,13 +190,14 @@
         if self.starting.contains_key(&task) {
             return None;
         }
-        // A task of an occurrence that has not begun has no state yet.
+        // Tasks of an occurrence that has not begun have no state yet.
         let Some(state) = self.state.task(task) else { return Some(1) };
         if state.done || !state.assignments.is_empty() {
             return None;
         }
         if !step.long_running {
-            // A second failure of the kind would end the whole job.
+            // A task is not retried where it failed. Its last attempt needs a fully
+            // trusted runner, since one more failure would end the whole job.
             let last_try = state.failures + 1 >= job.attempts;
             if state.failed_on.contains(&incarnation) || (last_try && trust != Trust::Full) {
                 return None;
@@ -204,7 +206,7 @@
         Some(state.last_run + 1)
     }
 
-    /// The pool that runs a job's tasks now.
+    /// Returns the pool that currently runs a job's tasks.
     pub(super) fn pool_of<'a>(&'a self, job: &'a Job) -> &'a str {
         let queue = self.routes.queue(&job.queue);
         queue.map_or(&*job.pool, |queue| &*queue.pool)
@@ -226,7 +228,7 @@
     }
 }
 
-/// What a report's answer will start, and what that leaves.
+/// Tasks to start in the response to a report, and the capacity left after them.
 pub(super) struct Chosen {
     pub(super) starts: Vec<RunStart>,
     pub(super) free: Resources,
@@ -234,7 +236,8 @@
     pub(super) colocation: Colocation,
 }
 
-/// A runner that is only being tried gets one task at a time.
+/// Returns how many tasks may be started at once; a distrusted runner that is being
+/// probed gets one at a time.
 fn starts_allowed(trust: Trust, runner: &Runner) -> usize {
     match trust {
         Trust::Full | Trust::SecondTryOnly => STARTS_MAX,
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -1,8 +1,8 @@
-//! The leader's policy as one value: which mechanisms are on, and their figures.
+//! Scheduling policy of a cell leader: which mechanisms are on, and their parameters.
 //!
-//! Each mechanism's section stands in the module that carries it out. The default is
-//! what ships; another [`Policy`] comes from a settings file or is built in a program,
-//! so that a mechanism can be switched off, or a figure changed, without a rebuild.
+//! Each section is defined in the module that implements its mechanism.
+//! [`Policy::default`] is the shipped policy. A settings file or a [`PolicyBuilder`] can
+//! switch a mechanism off or change a parameter without a rebuild.
 
 pub use super::colocation::SharingPolicy;
 pub use super::compatibility::{GatheringPolicy, MatchingPolicy, PatiencePolicy, RacksPolicy};
@@ -20,29 +20,29 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Whether a mechanism is used.
+/// Whether a mechanism is enabled.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, derive_more::Display,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Switch {
-    /// It is used.
+    /// The mechanism is enabled.
     #[default]
     #[display("on")]
     On,
-    /// It decides nothing.
+    /// The mechanism takes no part in any decision.
     #[display("off")]
     Off,
 }
 
 impl Switch {
-    /// Whether the mechanism is used.
+    /// Returns whether the mechanism is enabled.
     pub fn is_on(self) -> bool {
         self == Self::On
     }
 }
 
-/// A span in whole milliseconds, as settings files write it.
+/// A duration in whole milliseconds, as written in settings files.
 #[derive(
     Clone,
     Copy,
@@ -61,7 +61,7 @@
 pub struct Millis(pub u32);
 
 impl Millis {
-    /// The same span for calculations.
+    /// Converts the value to a [`Duration`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -73,73 +73,73 @@
     }
 }
 
-/// All that the leader of a cell decides by and that could be decided otherwise.
+/// All scheduling parameters of a cell leader that can be configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Policy {
-    /// Whose turn it is when room comes free.
+    /// Order in which waiting steps are offered free capacity.
     pub order: OrderPolicy,
-    /// Jobs of each size get their turn.
+    /// Boosts job sizes that end on time less often than their queue.
     pub sizes: SizesPolicy,
-    /// Filling images go where they press less than elsewhere.
+    /// Offers background images to the runners where they interfere least.
     pub matching: MatchingPolicy,
-    /// Runners kept free for large tasks that last.
+    /// Keeps runners free for large long-running tasks.
     pub kept_free: KeptFreePolicy,
-    /// Serving tasks gather by image.
+    /// Places serving tasks of one image on the same runners.
     pub gathering: GatheringPolicy,
-    /// What is learnt of pairs of images.
+    /// Learns how much pairs of images interfere.
     pub interference: InterferencePolicy,
-    /// What is foreseen of the loads of serving tasks.
+    /// Forecasts the load of serving tasks.
     pub forecast: ForecastPolicy,
-    /// What may start beside serving tasks.
+    /// Limits which tasks may start beside serving tasks.
     pub sharing: SharingPolicy,
-    /// Filling tasks are slowed.
+    /// Slows background tasks when a serving task's margin runs out.
     pub pacing: PacingPolicy,
-    /// Filling tasks with checkpoints go elsewhere.
+    /// Moves background tasks with checkpoints to other runners.
     pub moving: MovingPolicy,
-    /// Everything that fills stands still beside a task that is over its bound.
+    /// Stops all background tasks beside a serving task that stays over its bound.
     pub standstill: StandstillPolicy,
-    /// A job that finds no room that suits it starts all the same.
+    /// Starts a job even if no compatible runner was found for some time.
     pub patience: PatiencePolicy,
-    /// Tasks wait for their rack.
+    /// Lets tasks wait for a runner in their preferred rack.
     pub racks: RacksPolicy,
-    /// Tasks that last leave a runner that leaves.
+    /// Moves long-running tasks off a runner that is about to leave.
     pub leaving: LeavingPolicy,
-    /// Second copies of tasks that lag.
+    /// Starts second copies of stragglers.
     pub copies: CopiesPolicy,
-    /// Runners with bad ends get less.
+    /// Limits what is started on runners where many runs fail.
     pub distrust: DistrustPolicy,
-    /// Members of a gang share a rack.
+    /// Places the members of a gang in one rack.
     pub gangs: GangsPolicy,
-    /// Tasks under which runners were lost are tried alone.
+    /// Tries tasks that crashed runners alone before they run beside others.
     pub suspects: SuspectsPolicy,
 }
 
-/// Why a policy cannot be used.
+/// Error of a policy with an invalid parameter.
 #[derive(Clone, Copy, Debug, PartialEq, displaydoc::Display)]
 pub enum BadPolicy {
     /// [{section}] {name} is {value}; write a figure from {least} to {most}
     OutOfRange {
-        /// Where it stands.
+        /// Section of the parameter.
         section: &'static str,
-        /// Its name there.
+        /// Name of the parameter in that section.
         name: &'static str,
-        /// What it says.
+        /// Configured value.
         value: f64,
-        /// The least that makes sense.
+        /// Smallest allowed value.
         least: f64,
-        /// The most.
+        /// Largest allowed value.
         most: f64,
     },
 }
 
 impl std::error::Error for BadPolicy {}
 
-/// A figure and what it may be.
+/// Section, name, value, smallest and largest allowed value of a parameter.
 type BoundedSetting = (&'static str, &'static str, f64, f64, f64);
 
 impl Policy {
-    /// Begins with what ships.
+    /// Returns a builder that starts from the shipped policy.
     ///
     /// ```
     /// use yuccalink_coordination::jobs::policy::{CopiesPolicy, Policy, Switch};
@@ -152,10 +152,11 @@
         PolicyBuilder(Self::default())
     }
 
-    /// Checks that every figure makes sense.
+    /// Checks that every parameter is within its range.
     ///
     /// # Errors
-    /// [`BadPolicy`] naming the section, the figure and its bounds.
+    /// Returns [`BadPolicy`] with the section, name and range of the first parameter that
+    /// is out of range.
     ///
     /// ```
     /// use yuccalink_coordination::jobs::policy::Policy;
@@ -165,7 +166,7 @@
     /// ```
     pub fn check(&self) -> Result<(), BadPolicy> {
         for (section, name, value, least, most) in self.bounded_settings() {
-            // A value that is no number is in no range.
+            // NaN is in no range, so it is rejected too.
             if !(least..=most).contains(&value) {
                 return Err(BadPolicy::OutOfRange { section, name, value, least, most });
             }
@@ -198,7 +199,7 @@
     }
 }
 
-/// Makes a [`Policy`].
+/// Builder of a [`Policy`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PolicyBuilder(Policy);
 
@@ -218,49 +219,49 @@
 }
 
 sections! {
-    /// Sets whose turn it is.
+    /// Sets the order in which waiting steps are offered free capacity.
     order: OrderPolicy,
-    /// Sets how sizes get their turn.
+    /// Sets which job sizes are boosted.
     sizes: SizesPolicy,
-    /// Sets how filling images are matched with those that serve.
+    /// Sets how background images are matched with serving images.
     matching: MatchingPolicy,
     /// Sets which runners are kept free.
     kept_free: KeptFreePolicy,
-    /// Sets how serving tasks gather.
+    /// Sets how serving tasks are grouped by image.
     gathering: GatheringPolicy,
-    /// Sets how pairs of images are learnt.
+    /// Sets how the interference of image pairs is learnt.
     interference: InterferencePolicy,
-    /// Sets how loads are foreseen.
+    /// Sets how the loads of serving tasks are forecast.
     forecast: ForecastPolicy,
     /// Sets what may start beside serving tasks.
     sharing: SharingPolicy,
-    /// Sets how filling tasks are slowed.
+    /// Sets how background tasks are slowed.
     pacing: PacingPolicy,
-    /// Sets which of them go elsewhere.
+    /// Sets which background tasks are moved to other runners.
     moving: MovingPolicy,
-    /// Sets when they stand still.
+    /// Sets when all background tasks beside a serving task are stopped.
     standstill: StandstillPolicy,
-    /// Sets how long a job waits for room that suits it.
+    /// Sets how long a job waits for a compatible runner.
     patience: PatiencePolicy,
-    /// Sets how long tasks wait for their rack.
+    /// Sets how long tasks wait for a runner in their preferred rack.
     racks: RacksPolicy,
-    /// Sets when tasks that last leave a leaving runner.
+    /// Sets when long-running tasks are moved off a leaving runner.
     leaving: LeavingPolicy,
-    /// Sets which tasks get second copies.
+    /// Sets which stragglers get second copies.
     copies: CopiesPolicy,
-    /// Sets which runners get less.
+    /// Sets when less is started on runners where runs fail.
     distrust: DistrustPolicy,
     /// Sets how gangs are placed.
     gangs: GangsPolicy,
-    /// Sets how tasks under which runners were lost are tried.
+    /// Sets how tasks that crashed runners are tried alone.
     suspects: SuspectsPolicy,
 }
 
 impl PolicyBuilder {
-    /// Checks the policy.
+    /// Checks the policy and returns it.
     ///
     /// # Errors
-    /// As [`Policy::check`].
+    /// Fails as [`Policy::check`] does.
     pub fn build(self) -> Result<Policy, BadPolicy> {
         self.0.check().map(|()| self.0)
     }
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -1,10 +1,10 @@
-//! Steps with tasks that wait, in the order in which they are to be started.
+//! Queue of the steps with waiting tasks, in the order in which they are to be started.
 //!
-//! The pattern answered here: a steady mix of short jobs of high priority and
-//! long jobs of low priority, with bursts of the latter at up to 2.6 times the
-//! usual rate. Under such a burst an order by arrival or by deadline makes every
-//! job late; an order by worth for each core-second left finishes as many as
-//! there is room for, and lets those fall behind that could not be prompt anyway.
+//! The expected load is a steady mix of short jobs of high priority and long jobs of low
+//! priority, with bursts of the latter at up to 2.6 times the usual rate. During such a
+//! burst, an order by arrival or by deadline makes every job late. An order by worth per
+//! core-second left completes as many jobs as there is capacity for, and delays those
+//! that could not end on time anyway.
 
 use super::estimate::{JobEstimate, Lateness};
 use super::interference::{ImageKey, Interference};
@@ -19,37 +19,37 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{CellState, Job, JobId, JobPhase, StepSpec, TaskKey};
 
-/// Weight of a new job in the running mean of its queue's work.
+/// Weight of a new job in the running mean of the work of its queue's jobs.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Worth for each core-second is compared in steps of a millionth.
+/// Scale of the integer densities: worth per core-second is compared in millionths.
 const DENSITY_SCALE: f64 = 1e6;
 
-/// What the order of waiting steps follows.
+/// Criterion that orders the waiting steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderBy {
-    /// Jobs that can still be prompt, then their queue's priority, then worth for each
-    /// core-second left.
+    /// Jobs that can still end on time first, then by the priority of their queue, then
+    /// by worth per core-second left.
     #[default]
     Worth,
-    /// The time by which a job is to end, the earliest first.
+    /// By deadline, the earliest first.
     Deadline,
-    /// The time at which a job came.
+    /// By arrival time of the job, the earliest first.
     Arrival,
 }
 
-/// Whose turn it is when room comes free.
+/// Order in which waiting steps are offered free capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct OrderPolicy {
-    /// What it follows.
+    /// Criterion that orders the steps.
     pub by: OrderBy,
-    /// How much the size that is left counts against a job. With 1 it is the worth for
-    /// each core-second, and the largest jobs hardly ever get their turn.
+    /// Exponent of the work left in the density of a job. At 1 the density is the worth
+    /// per core-second left, and the largest jobs are hardly ever started.
     pub size_weight: f64,
-    /// Whether tasks that last and are down come first of all.
+    /// Whether interrupted long-running tasks come before all others.
     pub again_first: Switch,
-    /// Whether short work that can still be prompt comes before tasks that last.
+    /// Whether short jobs that can still end on time come before long-running tasks.
     pub short_first: Switch,
 }
 
@@ -73,61 +73,62 @@
 }
 
 impl StepKey {
-    /// The step of a task.
+    /// Returns the step that a task belongs to.
     pub(super) fn of(task: TaskKey) -> Self {
         Self { job: task.job, occurrence: task.occurrence, step: task.step }
     }
 }
 
-/// Whose turn it is when room comes free.
+/// First criterion of the order; an earlier variant is started first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum StartClass {
-    /// Tasks that last, have run and are down: their users are without them. Room for one
-    /// of these sizes comes free now and then, and short work or another job's larger
-    /// task would take it each time, for ever.
+    /// Long-running tasks that ran before and wait for a runner: their users have no
+    /// service meanwhile. Runners with enough free capacity for a large task are rare,
+    /// and without this class short tasks or larger tasks of other jobs would take that
+    /// capacity every time.
     Interrupted,
-    /// Short work on processors of its own that can still be prompt: it gives the
-    /// room back within a second, where a task that lasts keeps it for minutes.
+    /// Short tasks on reserved CPU that can still end on time: they free their capacity
+    /// within a second, whereas a long-running task holds it for minutes.
     ShortOnTime,
-    /// Tasks that last.
+    /// Other long-running tasks.
     LongRunning,
-    /// All others.
+    /// All other tasks.
     Other,
 }
 
-/// Where a step stands in the order; smaller comes first.
+/// Sort key of a waiting step; the smallest is started first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     start_class: StartClass,
-    /// Drawn to the front for its size.
+    /// Whether the job is boosted because jobs of its size end late.
     boosted: Reverse<bool>,
     lateness: Lateness,
     priority: u32,
-    /// Worth for each core-second left, below nothing so that more comes first.
+    /// Worth per core-second left, negated so that a higher density comes first.
     density: i64,
     since: Moment,
 }
 
-/// The part of a rank that goes before density.
+/// The criteria of a rank that come before density.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankClass(StartClass, Reverse<bool>, Lateness, u32);
 
-/// What a step's tasks are to their neighbours.
+/// Role of a step's tasks on a runner shared with other tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StepKind {
-    /// Serves users of its own and has a bound on its tail.
+    /// Latency-critical: serves its own users and has a bound on its tail latency.
     Serving,
-    /// May disturb those that serve.
+    /// May slow the serving tasks on its runner.
     Background,
 }
 
-/// What placement asks of a step for each report: kept ready, since hundreds of
-/// steps are looked at for each of hundreds of reports a second.
+/// Data of a step that placement needs. It is computed once per job, since hundreds of
+/// steps are examined for each of hundreds of reports a second.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StepInfo {
-    /// Processors, memory and accelerators that one task may use.
+    /// CPU, memory and accelerators that one task may use.
     pub(super) need: Resources,
-    /// What of that is committed.
+    /// Part of `need` that is reserved for one task.
     pub(super) reserved: Resources,
     pub(super) kind: StepKind,
     pub(super) image: Option<ImageKey>,
@@ -155,13 +156,13 @@
         }
     }
 
-    /// Whether its tasks may disturb those that serve.
+    /// Returns whether the step's tasks may slow serving tasks.
     pub(super) fn disturbs(&self) -> bool {
         self.kind == StepKind::Background && self.image.is_some()
     }
 }
 
-/// What the leader keeps of a job beside its replicated state.
+/// Scheduling data of a job that is not part of the replicated state.
 #[derive(Debug)]
 pub(super) struct JobInfo {
     arrived_at: Moment,
@@ -172,31 +173,32 @@
     long_running: bool,
     scheduled: bool,
     size: SizeClass,
-    /// Whether it ended in time is counted.
+    /// Whether the size statistics already contain the outcome of this job, or must not
+    /// contain it.
     outcome_recorded: bool,
 }
 
-/// A step with waiting tasks, as it is offered to a runner.
+/// A step with waiting tasks, as offered to a runner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitingStep<'a> {
     pub(super) step_key: StepKey,
     pub(super) step: &'a StepInfo,
-    /// What two steps must have in common to be compared by density.
+    /// Only steps of the same class are compared by density.
     pub(super) class: RankClass,
     pub(super) density: f64,
 }
 
-/// A step with waiting tasks.
+/// Queue entry of a step with waiting tasks.
 #[derive(Clone, Debug)]
 struct WaitingEntry {
-    /// When it first had tasks to start.
+    /// Time at which the step first had tasks to start.
     since: Moment,
     rank: Rank,
-    /// It lasts and has a task that has run.
+    /// Whether the step is long-running and has a task that ran before and waits again.
     interrupted: bool,
 }
 
-/// All of them.
+/// Ordered queue of all steps with waiting tasks.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
     policy: OrderPolicy,
@@ -213,12 +215,12 @@
         Self { policy, sizes: Sizes::new(sizes), ..Self::default() }
     }
 
-    /// Whether a step has a task that has run and is down.
+    /// Returns whether a step has an interrupted long-running task.
     pub(super) fn has_interrupted_task(&self, key: StepKey) -> bool {
         self.entries.get(&key).is_some_and(|entry| entry.interrupted)
     }
 
-    /// Keeps what is needed of a job that came in at `came`.
+    /// Adds the scheduling data of a job that arrived at `arrived_at`.
     pub(super) fn add_job(
         &mut self,
         id: JobId,
@@ -254,16 +256,16 @@
         self.job_infos.insert(id, info);
     }
 
-    /// How long ago a job came in, and within what time it was to end.
+    /// Returns the age and the objective of a job.
     pub(super) fn age_and_objective(&self, id: JobId, now: Moment) -> Option<(Duration, Duration)> {
         self.job_infos.get(&id).map(|info| (now.since(info.arrived_at), info.objective))
     }
 
-    /// Another change set is in force.
+    /// Applies the objectives and priorities of a new change set.
     pub(super) fn changed(&mut self, jobs: &CellState, routes: &Routes) {
         for (id, info) in &mut self.job_infos {
             let Some(job) = jobs.job(*id) else { continue };
-            // A job whose queue is gone keeps what it came with.
+            // A job whose queue was removed keeps its objective and priority.
             if let Some(queue) = routes.queue(&job.queue) {
                 info.objective = info.estimate.objective(Some(queue));
                 info.priority = queue.priority;
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Forgets a job that needs nothing any more.
+    /// Removes a job that needs no further scheduling.
     pub(super) fn drop_job(&mut self, id: JobId) {
         for key in self.keys_of(id) {
             self.remove(key);
@@ -281,7 +283,8 @@
         self.sizes.remove_job(id);
     }
 
-    /// A job has ended.
+    /// Records the end of a job in the statistics of its size; cancelled jobs do not
+    /// count.
     pub(super) fn ended(&mut self, id: JobId, job: &Job, now: Moment) {
         if job.phase == JobPhase::Cancelled {
             return self.sizes.remove_job(id);
@@ -303,8 +306,9 @@
         self.job_infos.get(&id).is_some_and(|info| !info.outcome_recorded)
     }
 
-    /// Judges jobs that can no longer end in time, and draws others to the front whose size
-    /// is behind; `room` has, for each pool, the processors that no task that lasts holds.
+    /// Records jobs that can no longer end on time as late, and boosts jobs of sizes that
+    /// end late too often. `available_cpu` is the CPU of each pool, in millicores, that
+    /// no long-running task holds.
     pub(super) fn boost_by_size(
         &mut self,
         jobs: &CellState,
@@ -350,7 +354,7 @@
         }
     }
 
-    /// Puts the steps with these keys in place of those known of the job.
+    /// Replaces the known waiting steps of a job by the steps with these keys.
     pub(super) fn set_groups(
         &mut self,
         id: JobId,
@@ -375,7 +379,8 @@
         }
     }
 
-    /// Ranks all steps anew: time has passed, work was done.
+    /// Recomputes the rank of every step, since ranks depend on time and on the work
+    /// left.
     pub(super) fn rank_all(&mut self, jobs: &CellState, now: Moment) {
         let mut entries = std::mem::take(&mut self.entries);
         for (key, entry) in &mut entries {
@@ -389,12 +394,13 @@
         self.entries = entries;
     }
 
-    /// The steps, the first to be started first.
+    /// Iterates over the waiting steps in start order.
     pub(super) fn order(&self) -> impl Iterator<Item = StepKey> {
         self.order.keys().map(|(_, key)| *key)
     }
 
-    /// The same, with what placement asks of them.
+    /// Iterates over the waiting steps in start order, with the data that placement
+    /// needs.
     pub(super) fn waiting(&self) -> impl Iterator<Item = WaitingStep<'_>> {
         self.order.iter().map(|((rank, step_key), step)| WaitingStep {
             step_key: *step_key,
@@ -404,50 +410,50 @@
         })
     }
 
-    /// The first step of a job, in the order of its steps, that has tasks to start.
+    /// Returns the first step of a job, in step order, that has waiting tasks.
     pub(super) fn first_waiting(&self, id: JobId) -> Option<StepKey> {
         self.keys_of(id).into_iter().next()
     }
 
-    /// Whether a job has tasks that last or occurrences to come: it has no time by which
-    /// it is to end.
+    /// Returns whether a job has long-running tasks or a schedule, and therefore no
+    /// deadline.
     pub(super) fn lasts_or_comes_later(&self, id: JobId) -> bool {
         self.job_infos.get(&id).is_none_or(|info| info.long_running || info.scheduled)
     }
 
-    /// Whether nobody waits for a job any more.
+    /// Returns whether a job is so late that its result no longer counts.
     pub(super) fn is_overdue(&self, id: JobId, now: Moment) -> bool {
         let Some(info) = self.job_infos.get(&id) else { return false };
         let age = now.since(info.arrived_at);
         JobEstimate::lateness(info.objective, age, Duration::ZERO) == Lateness::Overdue
     }
 
-    /// When a step first had tasks to start.
+    /// Returns the time at which a step first had tasks to start.
     pub(super) fn since(&self, key: StepKey) -> Option<Moment> {
         self.entries.get(&key).map(|entry| entry.since)
     }
 
-    /// A step of a job.
+    /// Returns the data of a step of a job.
     pub(super) fn step(&self, job: JobId, step: u16) -> Option<&StepInfo> {
         self.job_infos.get(&job)?.steps.get(usize::from(step))
     }
 
-    /// A task's step.
+    /// Returns the data of the step that a task belongs to.
     pub(super) fn step_of(&self, task: TaskKey) -> Option<&StepInfo> {
         self.step(task.job, task.step)
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no step has waiting tasks.
     pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many steps wait.
+    /// Returns the number of steps with waiting tasks.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many tasks wait in them.
+    /// Returns the number of waiting tasks in all steps.
     pub(super) fn waiting_tasks(&self, jobs: &CellState) -> usize {
         let waiting = |key: &StepKey| {
             let occurrence = jobs.job(key.job)?.occurrences.get(key.occurrence as usize)?;
@@ -457,7 +463,7 @@
         self.entries.keys().filter_map(waiting).sum()
     }
 
-    /// Jobs with a schedule.
+    /// Returns the jobs with a schedule.
     pub(super) fn scheduled(&self) -> Vec<JobId> {
         self.scheduled.iter().copied().collect()
     }
@@ -482,7 +488,8 @@
         let Some(step) = info.steps.get(usize::from(key.step)) else { return last };
         let priority = info.priority;
         if step.long_running {
-            // The largest first, so that the small ones fill what is left.
+            // The largest tasks come first, so that small ones fill the capacity that is
+            // left.
             let density = -i64::try_from(step.need.millicores).unwrap_or(i64::MAX);
             let again = self.policy.again_first.is_on() && has_run_before(job, key);
             let start_class = if again { StartClass::Interrupted } else { StartClass::LongRunning };
@@ -511,7 +518,7 @@
     }
 }
 
-/// Whether a step has a task that ran once and waits.
+/// Returns whether a step has a task that ran before and waits again.
 fn has_run_before(job: &Job, key: StepKey) -> bool {
     let occurrence = job.occurrences.get(key.occurrence as usize);
     let step = occurrence.and_then(|found| found.steps.get(usize::from(key.step)));
--- a/crates/coordination/src/jobs/room.rs
+++ b/crates/coordination/src/jobs/room.rs
@@ -1,5 +1,4 @@
-//! The room that runners have: what is free, where it is kept for tasks that last, and
-//! which pools are idle.
+//! Free capacity of runners and pools, and runners kept free for long-running tasks.
 
 use super::leader::{Leader, Now};
 use super::place::label_fits;
@@ -12,26 +11,30 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, Job, TaskKey};
 
-/// Runners are kept free for large tasks that last.
+/// Keeps runners free for large long-running tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct KeptFreePolicy {
-    /// Whether they are.
+    /// Whether runners are kept free.
     pub mode: Switch,
-    /// How long a task that has run and is down waits before.
+    /// Waiting time of an interrupted long-running task, in milliseconds, after which a
+    /// runner is kept free for it.
     #[serde(rename = "after-ms")]
     pub after: Millis,
-    /// How long a runner is kept free: its short tasks end by then.
+    /// Time for which a runner is kept free, in milliseconds: its short tasks end by
+    /// then.
     #[serde(rename = "span-ms")]
     pub span: Millis,
-    /// One runner in this many is kept free at once, and always one: short work must find
-    /// room in small pools too.
+    /// One runner in this many may be kept free at once, but always at least one. The
+    /// limit leaves capacity for short tasks in small pools too.
     pub one_in: usize,
-    /// How long a task that has never run waits before.
+    /// Waiting time of a long-running task that has never run, in milliseconds, after
+    /// which a runner is kept free for it.
     #[serde(rename = "first-after-ms")]
     pub first_after: Millis,
-    /// Runners kept free at once for such tasks: with more of them a full pool would
-    /// shut short work out, which earns more on the same processors.
+    /// Most runners kept free at once for tasks that have never run. With more of them, a
+    /// full pool would leave no capacity for short tasks, which have more worth on the
+    /// same CPU.
     pub first_runners_max: usize,
 }
 
@@ -48,26 +51,28 @@
     }
 }
 
-/// A runner that is kept free.
+/// A runner that starts only long-running tasks, and tasks without reserved CPU, for some
+/// time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct KeptFree {
     pub(super) until: Moment,
-    /// For tasks that have never run.
+    /// Whether the runner is kept free for tasks that have never run.
     for_first_run: bool,
 }
 
-/// Processors of a pool, in thousandths.
+/// CPU of a pool, in millicores.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolCapacity {
     total: u64,
     free: u64,
-    /// Held by tasks that last.
+    /// CPU held by long-running tasks.
     long_running: u64,
 }
 
 impl Leader {
-    /// Finds what a runner has left: its capacity less all that may be running there.
-    /// Ends that it lists have freed their room, whether they are noted or not.
+    /// Computes the free capacity of a runner: its capacity less the reservations of all
+    /// runs that may be running there. Runs that the runner reports as ended count as
+    /// free, whether or not their ends are committed.
     pub(super) fn measure_room(&mut self, key: IncarnationKey, ended: &BTreeSet<(TaskKey, u32)>) {
         let Some(runner) = self.runners.get(&key) else { return };
         let mut taken: BTreeSet<(TaskKey, u32)> =
@@ -90,8 +95,9 @@
         }
     }
 
-    /// Runs that a runner has not listed and has no room for by its newest report, all that it
-    /// lists and all orders that may still reach it counted.
+    /// Returns assigned runs that a runner has not listed and that do not fit in the
+    /// capacity of its newest report, beside all listed runs and all orders that may
+    /// still reach it.
     pub(super) fn outgrown(&self, now: Now, runner: &Runner) -> BTreeSet<(TaskKey, u32)> {
         let mut unlisted: Vec<(TaskKey, u32)> = self
             .state
@@ -117,9 +123,9 @@
         unlisted.into_iter().collect()
     }
 
-    /// Keeps runners free for large tasks that last and have waited: short work would
-    /// fill each hole before it is large enough, for ever. A runner is chosen where
-    /// enough is free once its short tasks have ended, which takes about a second.
+    /// Keeps runners free for large long-running tasks that have waited, since short tasks
+    /// would otherwise fill every gap before it is large enough. A runner is chosen if enough
+    /// is free once its short tasks have ended, which takes about a second.
     pub(super) fn keep_room(&mut self, now: Now) {
         let policy = self.cfg.policy.kept_free;
         if policy.mode == Switch::Off {
@@ -167,7 +173,7 @@
         }
     }
 
-    /// What is free on a runner once its short tasks have ended.
+    /// Returns the capacity that is free on a runner once its short tasks have ended.
     fn free_after_short_tasks(&self, runner: &Runner) -> Resources {
         let short = self.state.assigned_runs(runner.key).filter_map(|(task, _)| {
             self.ready.step_of(task).filter(|step| !step.long_running).map(|step| step.reserved)
@@ -186,12 +192,13 @@
         self.ready.since(step_key).is_some_and(|since| now.at.since(since) > wait)
     }
 
-    /// Whether at least half of a pool's processors are not even reserved.
+    /// Returns whether at least half of a pool's CPU is not reserved.
     pub(super) fn is_pool_idle(&self, pool: &str) -> bool {
         self.idle_pools.contains(pool)
     }
 
-    /// Finds the pools of which half is idle, and draws jobs to the front by what pools have.
+    /// Determines the pools that are at least half idle, and boosts jobs within the CPU
+    /// of the pools.
     pub(super) fn measure_pools(&mut self) {
         let mut sums: BTreeMap<&str, PoolCapacity> = BTreeMap::new();
         for runner in self.runners.values() {
@@ -208,7 +215,8 @@
         self.ready.boost_by_size(&self.state, &not_long_running);
     }
 
-    /// Counts the tasks that last and wait for room, or are on their way to.
+    /// Counts the long-running tasks that wait for a runner or are being stopped on a
+    /// leaving one.
     pub(super) fn count_moving_out(&mut self) {
         let is_long_running =
             |task: TaskKey| self.ready.step_of(task).is_some_and(|s| s.long_running);
@@ -230,7 +238,7 @@
     }
 }
 
-/// How many tasks of a step wait.
+/// Returns the number of waiting tasks of a step.
 pub(super) fn waiting_tasks(job: &Job, step_key: StepKey) -> u32 {
     let occurrence = job.occurrences.get(step_key.occurrence as usize);
     let step = occurrence.and_then(|found| found.steps.get(usize::from(step_key.step)));
@@ -239,7 +247,7 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// What is left, never below nothing.
+/// Subtracts resources; no result is negative.
 pub(super) fn saturating_sub(free: Resources, need: Resources) -> Resources {
     Resources {
         millicores: free.millicores.saturating_sub(need.millicores),
--- a/crates/coordination/src/jobs/sizes.rs
+++ b/crates/coordination/src/jobs/sizes.rs
@@ -1,39 +1,42 @@
-//! Jobs of each size get their turn while there is room for less than what comes.
+//! Keeps large jobs from starving when there is less capacity than the jobs ask for.
 //!
-//! The pattern answered here: short jobs of one queue, the largest of them several times as
-//! large as the usual, in a pool that has a little less room than all of them ask for. An order by worth
-//! for each core-second left serves nearly all of the small ones and none of the largest,
-//! whose callers then wait in vain each time. So how often each size ends in time is counted
-//! for each queue, and a size that falls behind its queue has jobs drawn to the front, a few
-//! at a time and in their usual order.
+//! The expected load is short jobs of one queue, the largest of them several times as
+//! large as the usual ones, in a pool with slightly less capacity than they ask for
+//! together. An order by worth per core-second left then completes nearly all small jobs
+//! and none of the largest, whose callers wait in vain each time. Therefore the share of
+//! jobs that end on time is tracked for each size and queue, and jobs of a size that
+//! falls behind its queue are boosted to the front of the order, a few at a time and in
+//! their usual order.
 
 use super::policy::Switch;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use yuccalink_state::jobs::JobId;
 
-/// Jobs whose sizes are remembered for each queue.
+/// Latest jobs of a queue whose sizes are kept.
 const RECENT_MAX: usize = 200;
-/// Jobs of a queue from which its sizes are told apart.
+/// Jobs of a queue needed before its sizes are classified.
 const RECENT_MIN: usize = 20;
-/// Where the largest jobs of a queue begin, and those that come before them.
+/// Quantiles of the work of a queue's jobs from which a job is of the largest or of the
+/// large size.
 const LARGEST_QUANTILE: f64 = 0.9;
 const LARGE_QUANTILE: f64 = 0.7;
-/// What an outcome still counts for after each further one of its size.
+/// Factor by which the weight of an outcome falls with each later one of its size.
 const OUTCOME_DECAY: f64 = 0.95;
-/// Outcomes, as they fade, from which a size is judged.
+/// Sum of decayed outcomes from which a size has an on-time share.
 const OUTCOMES_MIN: f64 = 2.0;
 
-/// A size that falls behind its queue is drawn to the front.
+/// Boosts jobs of a size that falls behind its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SizesPolicy {
-    /// Whether it is.
+    /// Whether such jobs are boosted.
     pub mode: Switch,
-    /// Share of its queue's jobs in time, as a part of one, below which a size is behind.
+    /// A size is behind if its on-time share is below this part, from 0 to 1, of the
+    /// on-time share of its queue.
     pub behind: f64,
-    /// Share of the processors that no task that lasts holds, as a part of one, that jobs at the
-    /// front may take at once; one job of each size may always.
+    /// Share, from 0 to 1, of the CPU not held by long-running tasks that boosted jobs
+    /// may take at once. One job of each size may always be boosted.
     pub room: f64,
 }
 
@@ -43,18 +46,18 @@
     }
 }
 
-/// Where a job stands among its queue's.
+/// Size of a job relative to the latest jobs of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum SizeClass {
-    /// Seven in ten.
+    /// The smaller 70 % of the jobs.
     Typical,
-    /// The fifth below the largest.
+    /// The 20 % of the jobs below the largest.
     Large,
-    /// The largest tenth.
+    /// The largest 10 % of the jobs.
     Largest,
 }
 
-/// How often jobs ended in time, the latest counting most.
+/// Decayed counts of jobs that ended, and of those that ended on time.
 #[derive(Clone, Copy, Debug, Default)]
 struct OnTimeRecord {
     ended: f64,
@@ -74,7 +77,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct QueueSizes {
-    /// Core-seconds of the latest jobs, and the same in order.
+    /// Core-seconds of the latest jobs, in order of arrival and sorted by size.
     recent: VecDeque<f64>,
     sorted: Vec<f64>,
     all: OnTimeRecord,
@@ -114,12 +117,12 @@
     }
 }
 
-/// The sizes of all queues, and which jobs are drawn to the front.
+/// Size statistics of all queues, and the boosted jobs.
 #[derive(Debug, Default)]
 pub(super) struct Sizes {
     policy: SizesPolicy,
     queues: HashMap<Box<str>, QueueSizes>,
-    /// Jobs at the front, with the processors that they take.
+    /// Boosted jobs with the CPU that they take.
     boosted: HashMap<JobId, BoostedJob>,
 }
 
@@ -129,15 +132,15 @@
     millicores: u64,
 }
 
-/// A job that may be drawn to the front.
+/// A job that may be boosted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) id: JobId,
     pub(super) queue: &'a str,
     pub(super) size: SizeClass,
-    /// What the tasks of its next step take together.
+    /// CPU that the tasks of its next step take together.
     pub(super) millicores: u64,
-    /// What its pool has beside tasks that last.
+    /// CPU of its pool that no long-running task holds.
     pub(super) available_millicores: u64,
 }
 
@@ -146,7 +149,7 @@
         Self { policy, ..Self::default() }
     }
 
-    /// A job of so many core-seconds came in.
+    /// Classifies a new job by its core-seconds and adds it to its queue's statistics.
     pub(super) fn classify(&mut self, queue: &str, work: f64) -> SizeClass {
         match self.queues.get_mut(queue) {
             Some(known) => known.classify(work),
@@ -154,7 +157,7 @@
         }
     }
 
-    /// A job ended, or can no longer end in time.
+    /// Records whether a job ended on time, or that it no longer can.
     pub(super) fn record_outcome(
         &mut self,
         id: JobId,
@@ -168,17 +171,17 @@
         }
     }
 
-    /// A job needs nothing any more.
+    /// Removes a job that needs no further scheduling.
     pub(super) fn remove_job(&mut self, id: JobId) {
         self.boosted.remove(&id);
     }
 
-    /// Whether a job is at the front.
+    /// Returns whether a job is boosted.
     pub(super) fn is_boosted(&self, id: JobId) -> bool {
         self.boosted.contains_key(&id)
     }
 
-    /// Draws a job to the front if its size is behind and there is a place.
+    /// Boosts a job if its size is behind and the boosted jobs leave enough CPU for it.
     pub(super) fn boost(&mut self, job: Candidate<'_>) {
         if self.policy.mode == Switch::Off || self.is_boosted(job.id) {
             return;
@@ -192,7 +195,7 @@
         if first || (taken + job.millicores) as f64 <= boosted_max {
             let boosted = BoostedJob { size: job.size, millicores: job.millicores };
             self.boosted.insert(job.id, boosted);
-            log::info!("job={} drawn to the front: its size is behind in {}", job.id, job.queue);
+            log::info!("job={} boosted: its size is behind in queue {}", job.id, job.queue);
         }
     }
 
