--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -62,7 +62,7 @@
         if policy.mode == Switch::Off {
             return;
         }
-        let mut found = Vec::new();
+        let mut stragglers = Vec::new();
         let (mut running, mut copies) = (0, 0);
         for runner in self.runners.values() {
             for (task, view) in &runner.running {
@@ -77,15 +77,15 @@
                 } else if let Some(left) =
                     policy.straggler_time_left(now, runner, view, step.estimate_ms)
                 {
-                    found.push((left, *task));
+                    stragglers.push((left, *task));
                 }
             }
         }
         // `copies` counts both runs of a task that has a copy.
         let budget = (running / policy.one_in).max(policy.at_least);
-        found.sort_unstable_by(|a, b| b.cmp(a));
-        found.truncate(budget.saturating_sub(copies / 2));
-        self.laggards = found.into_iter().map(|(_, task)| task).collect();
+        stragglers.sort_unstable_by(|a, b| b.cmp(a));
+        stragglers.truncate(budget.saturating_sub(copies / 2));
+        self.laggards = stragglers.into_iter().map(|(_, task)| task).collect();
     }
 
     /// Starts copies in the capacity that is left on a runner.
@@ -144,17 +144,18 @@
         if view.stopping || !runner.reported_recently(now.at) {
             return None;
         }
-        let usual = Duration::from_millis(estimate_ms);
+        let estimate = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
         let is_stalled =
             view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
         let left = match is_stalled {
-            true => usual * self.lags_by + gain,
+            true => estimate * self.lags_by + gain,
             false => view.time_left(now.at, estimate_ms),
         };
         let elapsed = now.at.since(view.first_seen);
-        let is_straggler =
-            elapsed > usual / 2 && elapsed + left > usual * self.lags_by && left > usual + gain;
+        let is_straggler = elapsed > estimate / 2
+            && elapsed + left > estimate * self.lags_by
+            && left > estimate + gain;
         is_straggler.then_some(left)
     }
 }
--- a/crates/coordination/src/jobs/estimate.rs
+++ b/crates/coordination/src/jobs/estimate.rs
@@ -9,7 +9,7 @@
 
 /// Shortest run time assumed for a task, so that a declared run time of zero does not put
 /// a job before all others.
-const TASK_MIN: Duration = Duration::from_millis(60);
+const TASK_DURATION_MIN: Duration = Duration::from_millis(60);
 /// A job that ends within this many times its objective still has some worth.
 const LATE_FACTOR: u32 = 3;
 /// Part of a job's worth that does not depend on its work.
@@ -43,15 +43,15 @@
 
 impl JobEstimate {
     pub(super) fn of(spec: &JobSpec) -> Self {
-        let length = |ms: u64| Duration::from_millis(ms).max(TASK_MIN);
+        let duration = |ms: u64| Duration::from_millis(ms).max(TASK_DURATION_MIN);
         let mut paths_to_end: Vec<Duration> =
-            spec.steps.iter().map(|step| length(step.estimate_ms)).collect();
+            spec.steps.iter().map(|step| duration(step.estimate_ms)).collect();
         // Steps depend on earlier steps only, so one pass from the end is enough.
         for at in (0..spec.steps.len()).rev() {
             let own = paths_to_end[at];
             for dependency in &spec.steps[at].depends_on {
                 let dependency = usize::from(*dependency);
-                let path = length(spec.steps[dependency].estimate_ms) + own;
+                let path = duration(spec.steps[dependency].estimate_ms) + own;
                 paths_to_end[dependency] = paths_to_end[dependency].max(path);
             }
         }
@@ -59,7 +59,7 @@
             .steps
             .iter()
             .map(|step| {
-                length(step.estimate_ms).as_secs_f64() * step.need.millicores as f64 / 1000.0
+                duration(step.estimate_ms).as_secs_f64() * step.need.millicores as f64 / 1000.0
             })
             .collect();
         let total_work = spec
--- a/crates/coordination/src/jobs/margin_forecast.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -143,7 +143,7 @@
     }
 
     /// Predicts the margin and its variance for a sample received at `now`.
-    pub(super) fn predict(&mut self, now: Moment) -> Expected {
+    pub(super) fn predict(&mut self, now: Moment) -> Prediction {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         for part in 0..3 {
@@ -157,12 +157,12 @@
         }
         let variance = (0..3).map(|row| basis[row] * gains[row]).sum();
         let margin = (0..3).map(|part| basis[part] * self.parts[part]).sum();
-        Expected { margin, variance, gains }
+        Prediction { margin, variance, gains }
     }
 
     /// Corrects the parts by the error of a prediction. `total` is the variance of that
     /// error.
-    pub(super) fn correct(&mut self, expected: &Expected, error: f64, total: f64) {
+    pub(super) fn correct(&mut self, expected: &Prediction, error: f64, total: f64) {
         for row in 0..3 {
             self.parts[row] += expected.gains[row] / total * error;
             for col in 0..3 {
@@ -174,7 +174,7 @@
 
 /// Prediction of a filter for one sample.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Expected {
+pub(super) struct Prediction {
     pub(super) margin: f64,
     pub(super) variance: f64,
     /// Covariance of each part with the sample.
@@ -301,8 +301,8 @@
         let Some(at) = self.probe_index(job, now) else { return false };
         let probe = &mut self.probes[at];
         if let Some(earlier) = &probe.earlier {
-            for (period_errors, model) in self.period_errors.iter_mut().zip(earlier) {
-                period_errors.add(sample.margin - model.margin_at(sample_time(now)));
+            for (period_error, model) in self.period_errors.iter_mut().zip(earlier) {
+                period_error.add(sample.margin - model.margin_at(sample_time(now)));
             }
         }
         for model in &mut probe.current {
@@ -331,9 +331,9 @@
 
     fn choose_period(&mut self, now: Moment) -> bool {
         let current_error = self.period_errors[self.period_index].error;
-        let period_errors =
-            self.period_errors.iter().enumerate().filter(|(_, j)| j.count >= ERRORS_MIN);
-        let best = period_errors.min_by(|a, b| a.1.error.total_cmp(&b.1.error)).map(|(at, _)| at);
+        let candidates =
+            self.period_errors.iter().enumerate().filter(|(_, period)| period.count >= ERRORS_MIN);
+        let best = candidates.min_by(|a, b| a.1.error.total_cmp(&b.1.error)).map(|(at, _)| at);
         let Some(best) = best else { return false };
         if best == self.period_index
             || self.period_errors[best].error > current_error * REPLACEMENT_ERROR_RATIO
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -14,9 +14,9 @@
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
 /// Margin loss too small to be worth an order.
-const PRESSURE_MIN: f64 = 0.1;
+const MARGIN_LOSS_MIN: f64 = 0.1;
 /// Granularity of paces, in percent; coarse steps need few orders.
-const PACE_STEP: f64 = 5.0;
+const PACE_STEP_PERCENT: f64 = 5.0;
 
 /// Slows background tasks where a serving task's margin runs out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -89,7 +89,7 @@
     /// Allowed share of full pace, from 0 to 1.
     pace: f64,
     /// Whether the image costs a serving task so much margin that it is to be moved.
-    presses_hard: bool,
+    is_heavy: bool,
 }
 
 impl Leader {
@@ -171,25 +171,25 @@
         allowances: &[Allowance],
     ) -> Vec<TaskKey> {
         let policy = &self.cfg.policy.moving;
-        let pressing_images: Vec<ImageKey> = allowances
+        let heavy_images: Vec<ImageKey> = allowances
             .iter()
-            .filter(|allowance| policy.mode.is_on() && allowance.presses_hard)
+            .filter(|allowance| policy.mode.is_on() && allowance.is_heavy)
             .filter(|allowance| allowance.pace < policy.below)
             .map(|allowance| allowance.image)
             .collect();
-        let Some(runner) = self.runners.get(&key).filter(|_| !pressing_images.is_empty()) else {
+        let Some(runner) = self.runners.get(&key).filter(|_| !heavy_images.is_empty()) else {
             return Vec::new();
         };
         let mut moving = Vec::new();
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
-            let presses = step.image.is_some_and(|image| pressing_images.contains(&image));
-            let moves = self.state.task(*task).map_or(0, |task| task.last_run);
-            if presses
+            let interferes = step.image.is_some_and(|image| heavy_images.contains(&image));
+            let last_run = self.state.task(*task).map_or(0, |task| task.last_run);
+            if interferes
                 && !view.stopping
                 && step.checkpointing
                 && step.disturbs()
-                && moves < policy.runs_max
+                && last_run < policy.runs_max
                 && !(self.is_pool_idle(&runner.pool) && self.active_runs(now, task.job) <= 1)
             {
                 moving.push(*task);
@@ -204,7 +204,7 @@
     let paused = |background: &BackgroundShare| Allowance {
         image: background.image,
         pace: 0.0,
-        presses_hard: false,
+        is_heavy: false,
     };
     colocation.background_at_full_pace.iter().map(paused).collect()
 }
@@ -213,7 +213,7 @@
     let full = |background: &BackgroundShare| Allowance {
         image: background.image,
         pace: 1.0,
-        presses_hard: false,
+        is_heavy: false,
     };
     colocation.background_at_full_pace.iter().map(full).collect()
 }
@@ -244,7 +244,7 @@
             };
             let pressure = pressures.iter().find(|pressure| pressure.image == image);
             allowance.pace = allowance.pace.min(pace);
-            allowance.presses_hard |=
+            allowance.is_heavy |=
                 pressure.is_some_and(|pressure| pressure.margin_loss >= moving.pressure);
         }
     }
@@ -271,7 +271,7 @@
 /// the images that are slowed.
 fn allocate_margin(margin: f64, mut pressures: Vec<ImagePressure>) -> Vec<(ImageKey, f64)> {
     let total: f64 = pressures.iter().map(|pressure| pressure.margin_loss).sum();
-    if total < PRESSURE_MIN {
+    if total < MARGIN_LOSS_MIN {
         return Vec::new();
     }
     pressures.sort_by(|a, b| a.weight().total_cmp(&b.weight()));
@@ -356,8 +356,8 @@
         let mut changed = false;
         self.paces.retain(|image, _| allowances.iter().any(|allowed| allowed.image == *image));
         for allowed in allowances {
-            let steps = (allowed.pace * 100.0 / PACE_STEP).floor();
-            let pace = (steps * PACE_STEP).clamp(0.0, 100.0) as u8;
+            let steps = (allowed.pace * 100.0 / PACE_STEP_PERCENT).floor();
+            let pace = (steps * PACE_STEP_PERCENT).clamp(0.0, 100.0) as u8;
             let former = self.paces.get(&allowed.image).copied().unwrap_or(100);
             if pace < former || (pace > former && settled) {
                 self.paces.insert(allowed.image, pace);
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -41,7 +41,7 @@
         }
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let kept_free = self.kept_free.get(&key).is_some_and(|kept| now.at < kept.until);
-        let mut later = Vec::new();
+        let mut deferred = Vec::new();
         let no_serving_tasks = chosen.colocation.serving.is_empty();
         for WaitingStep { step_key, step, .. } in self.offered_steps(&chosen) {
             if !chosen.free.covers(step.reserved) {
@@ -61,7 +61,7 @@
                 continue;
             }
             if no_serving_tasks && !self.needs_idle_runner(step) {
-                later.push(step_key);
+                deferred.push(step_key);
                 continue;
             }
             if chosen.starts.len() >= chosen.starts_max {
@@ -69,7 +69,7 @@
             }
             self.pick_from_step(now, runner, trust, step_key, &mut chosen);
         }
-        for step_key in later {
+        for step_key in deferred {
             if chosen.starts.len() >= chosen.starts_max {
                 break;
             }
@@ -221,10 +221,11 @@
             (task.job, task.occurrence, task.step)
                 == (step_key.job, step_key.occurrence, step_key.step)
         };
-        let held = self.state.assigned_runs(incarnation).filter(|(task, _)| same(*task)).count();
+        let assigned =
+            self.state.assigned_runs(incarnation).filter(|(task, _)| same(*task)).count();
         let starting =
             self.starting.values().filter(|s| s.incarnation == incarnation && same(s.task)).count();
-        u32::try_from(held + starting).unwrap_or(u32::MAX)
+        u32::try_from(assigned + starting).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -10,7 +10,7 @@
 use super::interference::{ImageKey, Interference};
 use super::policy::Switch;
 use super::routes::Routes;
-use super::sizes::{Candidate, SizeClass, Sizes, SizesPolicy};
+use super::sizes::{BoostCandidate, SizeClass, Sizes, SizesPolicy};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -20,7 +20,7 @@
 use yuccalink_state::jobs::{CellState, Job, JobId, JobPhase, StepSpec, TaskKey};
 
 /// Weight of a new job in the running mean of the work of its queue's jobs.
-const MEAN_WEIGHT: f64 = 0.05;
+const QUEUE_MEAN_WEIGHT: f64 = 0.05;
 /// Scale of the integer densities: worth per core-second is compared in millionths.
 const DENSITY_SCALE: f64 = 1e6;
 
@@ -231,7 +231,7 @@
     ) {
         let estimate = JobEstimate::of(&job.spec);
         let mean = self.mean_work.entry(job.queue.clone()).or_insert(estimate.total_work);
-        *mean += (estimate.total_work - *mean) * MEAN_WEIGHT;
+        *mean += (estimate.total_work - *mean) * QUEUE_MEAN_WEIGHT;
         let queue = routes.queue(&job.queue);
         let scheduled = job.spec.schedule.is_some();
         if scheduled {
@@ -322,9 +322,9 @@
                 self.record_outcome(id, job, false);
             }
         }
-        let in_turn =
+        let candidates =
             self.order.keys().filter(|(rank, _)| rank.start_class == StartClass::ShortOnTime);
-        for (_, key) in in_turn {
+        for (_, key) in candidates {
             let (Some(job), Some(info)) = (jobs.job(key.job), self.job_infos.get(&key.job)) else {
                 continue;
             };
@@ -332,7 +332,7 @@
                 continue;
             }
             let Some(spec) = job.spec.steps.get(usize::from(key.step)) else { continue };
-            self.sizes.boost(Candidate {
+            self.sizes.boost(BoostCandidate {
                 id: key.job,
                 queue: &job.queue,
                 size: info.size,
@@ -491,8 +491,9 @@
             // The largest tasks come first, so that small ones fill the capacity that is
             // left.
             let density = -i64::try_from(step.need.millicores).unwrap_or(i64::MAX);
-            let again = self.policy.again_first.is_on() && has_run_before(job, key);
-            let start_class = if again { StartClass::Interrupted } else { StartClass::LongRunning };
+            let interrupted = self.policy.again_first.is_on() && has_run_before(job, key);
+            let start_class =
+                if interrupted { StartClass::Interrupted } else { StartClass::LongRunning };
             return Rank { start_class, lateness: Lateness::OnTime, priority, density, ..last };
         }
         let mean = self.mean_work.get(&job.queue).copied().unwrap_or(0.0);
@@ -506,14 +507,14 @@
         };
         let boosted =
             Reverse(start_class == StartClass::ShortOnTime && self.sizes.is_boosted(key.job));
-        let alike = Rank { start_class, boosted, lateness: Lateness::OnTime, priority: 0, ..last };
+        let base = Rank { start_class, boosted, lateness: Lateness::OnTime, priority: 0, ..last };
         match self.policy.by {
             OrderBy::Worth => {
                 let density = -((density * DENSITY_SCALE) as i64);
-                Rank { lateness, priority, density, ..alike }
+                Rank { lateness, priority, density, ..base }
             }
-            OrderBy::Deadline => Rank { since: info.arrived_at + info.objective, ..alike },
-            OrderBy::Arrival => Rank { since: info.arrived_at, ..alike },
+            OrderBy::Deadline => Rank { since: info.arrived_at + info.objective, ..base },
+            OrderBy::Arrival => Rank { since: info.arrived_at, ..base },
         }
     }
 }
--- a/crates/coordination/src/jobs/sizes.rs
+++ b/crates/coordination/src/jobs/sizes.rs
@@ -14,9 +14,9 @@
 use yuccalink_state::jobs::JobId;
 
 /// Latest jobs of a queue whose sizes are kept.
-const RECENT_MAX: usize = 200;
+const RECENT_JOBS_MAX: usize = 200;
 /// Jobs of a queue needed before its sizes are classified.
-const RECENT_MIN: usize = 20;
+const RECENT_JOBS_MIN: usize = 20;
 /// Quantiles of the work of a queue's jobs from which a job is of the largest or of the
 /// large size.
 const LARGEST_QUANTILE: f64 = 0.9;
@@ -87,7 +87,7 @@
 
 impl QueueSizes {
     fn classify(&mut self, work: f64) -> SizeClass {
-        if self.recent.len() == RECENT_MAX
+        if self.recent.len() == RECENT_JOBS_MAX
             && let Some(oldest) = self.recent.pop_front()
         {
             let at = self.sorted.partition_point(|known| *known < oldest);
@@ -96,7 +96,7 @@
         self.recent.push_back(work);
         let at = self.sorted.partition_point(|known| *known < work);
         self.sorted.insert(at, work);
-        if self.sorted.len() < RECENT_MIN {
+        if self.sorted.len() < RECENT_JOBS_MIN {
             return SizeClass::Typical;
         }
         let rank = at as f64 / self.sorted.len() as f64;
@@ -134,7 +134,7 @@
 
 /// A job that may be boosted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Candidate<'a> {
+pub(super) struct BoostCandidate<'a> {
     pub(super) id: JobId,
     pub(super) queue: &'a str,
     pub(super) size: SizeClass,
@@ -182,7 +182,7 @@
     }
 
     /// Boosts a job if its size is behind and the boosted jobs leave enough CPU for it.
-    pub(super) fn boost(&mut self, job: Candidate<'_>) {
+    pub(super) fn boost(&mut self, job: BoostCandidate<'_>) {
         if self.policy.mode == Switch::Off || self.is_boosted(job.id) {
             return;
         }
