--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -1,4 +1,4 @@
-//! Who shares a runner: what serves, what fills, and the room that is really left.
+//! Tasks that share a runner, and the CPU and margin that are left for more.
 
 use super::interference::{BackgroundShare, ImageKey, Interference};
 use super::margin_forecast::MarginForecasts;
@@ -10,16 +10,18 @@
 use std::time::Duration;
 use yuccalink_state::jobs::CellState;
 
-/// What may start beside serving tasks.
+/// Limits on what may start beside serving tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SharingPolicy {
-    /// Whether margins are minded at a start; otherwise only processors are.
+    /// Whether a start must leave the serving tasks enough margin; otherwise only free
+    /// CPU is checked.
     pub mode: Switch,
-    /// Margin that every serving task must keep, as expected, beside one more filling
-    /// task: above its bound, since its own load may grow before the next figure.
+    /// Expected margin that every serving task must keep when one more background task
+    /// starts. It is above the bound, since the serving task's own load may grow before
+    /// the next sample.
     pub margin_min: f64,
-    /// Part of its reserved processors that a serving task is taken to use.
+    /// Share of its reserved CPU that a serving task is assumed to use.
     pub serving_use: f64,
 }
 
@@ -29,56 +31,57 @@
     }
 }
 
-/// A runner whose filling tasks get less than this share of what they could use is
-/// full.
-const STARVED: f64 = 0.5;
-/// Age from which a task's figure, of the last half second, is all its own.
-const SETTLED_AFTER: Duration = Duration::from_millis(800);
-/// Added to weights that are compared: below this they are all harmless.
+/// A runner counts as full if its opportunistic tasks get less than this share of the CPU
+/// that they could use.
+const STARVED_SHARE: f64 = 0.5;
+/// Age of a run from which its CPU sample, which covers the last half second, contains
+/// only its own use.
+const MEASURED_AFTER: Duration = Duration::from_millis(800);
+/// Added to weights before they are compared: weights below it are all harmless.
 const WEIGHT_FLOOR: f64 = 1.0;
-/// Margin of a serving task that has told no figure yet: as at half load.
-const MARGIN_UNSEEN: f64 = 3.0;
+/// Margin assumed for a serving task without samples: that of a server at half load.
+const DEFAULT_MARGIN: f64 = 3.0;
 
-/// A serving image on a runner, by its task with the least margin of its own.
+/// A serving image on a runner, with the smallest own margin of its tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Serving {
+pub(super) struct ServingImage {
     pub(super) image: ImageKey,
-    /// Until the next orders have their effect.
-    pub(super) own: f64,
-    /// While a task that starts now runs.
-    pub(super) ahead: f64,
+    /// Smallest own margin until the next orders take effect.
+    pub(super) own_margin: f64,
+    /// Smallest own margin while a task that starts now runs.
+    pub(super) own_margin_ahead: f64,
 }
 
-/// The tasks on one runner, as far as they matter to each other.
+/// Tasks colocated on one runner, summed by image.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Colocation {
     policy: SharingPolicy,
-    /// Images that serve there, each once.
-    pub(super) serving: Vec<Serving>,
-    /// Images that fill there, each once, with what they use now.
+    /// Serving images, each once.
+    pub(super) serving: Vec<ServingImage>,
+    /// Background images, each once, with their current CPU use.
     pub(super) filling: Vec<BackgroundShare>,
-    /// The same, with what they would use at full pace.
-    pub(super) at_full_pace: Vec<BackgroundShare>,
-    /// The runner's pool.
+    /// Background images, each once, with their CPU use at full pace.
+    pub(super) background_at_full_pace: Vec<BackgroundShare>,
+    /// Pool of the runner.
     pub(super) pool: Box<str>,
-    /// A task that serves there has been over its bound for too long.
-    pub(super) over: bool,
+    /// Whether a serving task has been over its bound for too long.
+    pub(super) over_bound: bool,
     capacity: f64,
-    /// Processors that opportunistic tasks could use.
-    wanted: f64,
-    /// Processors that all others use.
-    used: f64,
-    /// Processors that opportunistic tasks could use, of those that have told a
-    /// whole figure, and what they do use.
-    settled_need: f64,
-    settled_use: f64,
-    /// Share of the runner that one more task of an image may use, as worked out
-    /// since the last start.
+    /// CPU that opportunistic tasks could use, in millicores.
+    opportunistic_need: f64,
+    /// CPU used by all other tasks, in millicores.
+    other_use: f64,
+    /// CPU that opportunistic tasks with a complete sample could use, and the CPU that
+    /// they do use, in millicores.
+    measured_need: f64,
+    measured_use: f64,
+    /// Share of the runner that one more task of an image may use, cached until the next
+    /// start.
     allowed: Vec<(ImageKey, f64)>,
 }
 
 impl Colocation {
-    /// Those of a runner by its last report and by what is on its way there.
+    /// Returns the colocation on a runner by its last report and the orders under way.
     pub(super) fn of(
         now: Moment,
         runner: &Runner,
@@ -94,7 +97,7 @@
             let view = runner.view(task, run);
             match step.kind {
                 StepKind::Serving => found.add_serving(step, loads, StepKey::of(task), now),
-                StepKind::Background => found.add_filling(step, view),
+                StepKind::Background => found.add_background(step, view),
             }
         }
         found
@@ -104,51 +107,52 @@
         &mut self,
         step: &StepInfo,
         loads: &MarginForecasts<StepKey>,
-        group: StepKey,
+        step_key: StepKey,
         now: Moment,
     ) {
-        self.used += step.need.millicores as f64 * self.policy.serving_use;
+        self.other_use += step.need.millicores as f64 * self.policy.serving_use;
         let Some(image) = step.image else { return };
-        let own = loads.soon(group, now).unwrap_or(MARGIN_UNSEEN);
-        let ahead = loads.ahead(group, now).unwrap_or(MARGIN_UNSEEN);
+        let own_margin = loads.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin_ahead = loads.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
         match self.serving.iter_mut().find(|serving| serving.image == image) {
             Some(serving) => {
-                serving.own = serving.own.min(own);
-                serving.ahead = serving.ahead.min(ahead);
+                serving.own_margin = serving.own_margin.min(own_margin);
+                serving.own_margin_ahead = serving.own_margin_ahead.min(own_margin_ahead);
             }
-            None => self.serving.push(Serving { image, own, ahead }),
+            None => self.serving.push(ServingImage { image, own_margin, own_margin_ahead }),
         }
     }
 
-    fn add_filling(&mut self, step: &StepInfo, view: Option<&RunView>) {
+    fn add_background(&mut self, step: &StepInfo, view: Option<&RunView>) {
         let need = step.need.millicores as f64;
         let in_use = view.and_then(|view| view.gauge).map(|gauge| gauge as f64);
         let rate = view.and_then(|view| view.rate).unwrap_or(100);
         if step.opportunistic {
-            self.wanted += need;
-            let settled = view.filter(|view| rate == 100 && view.age >= SETTLED_AFTER);
-            if let (Some(_), Some(in_use)) = (settled, in_use) {
-                self.settled_need += need;
-                self.settled_use += in_use;
+            self.opportunistic_need += need;
+            let measured = view.filter(|view| rate == 100 && view.age >= MEASURED_AFTER);
+            if let (Some(_), Some(in_use)) = (measured, in_use) {
+                self.measured_need += need;
+                self.measured_use += in_use;
             }
         } else {
-            self.used += need;
+            self.other_use += need;
         }
         if let Some(image) = step.image {
             add_share(&mut self.filling, image, in_use.unwrap_or(need) / self.capacity);
-            add_share(&mut self.at_full_pace, image, need / self.capacity);
+            add_share(&mut self.background_at_full_pace, image, need / self.capacity);
         }
     }
 
-    /// How much less an image presses on those that serve here than on most, as a factor.
+    /// Returns how much less an image interferes with the serving tasks here than with
+    /// those elsewhere, as a factor.
     pub(super) fn advantage(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let whole = [BackgroundShare { image, share: 1.0 }];
         let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
         let here = here.fold(0.0, f64::max);
-        (learnt.hardness(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
+        (learnt.mean_weight(image) + WEIGHT_FLOOR) / (here + WEIGHT_FLOOR)
     }
 
-    /// The image that serves there, where it is only one.
+    /// Returns the serving image if there is only one.
     pub(super) fn only_serving(&self) -> Option<ImageKey> {
         match self.serving.as_slice() {
             [only] => Some(only.image),
@@ -156,38 +160,38 @@
         }
     }
 
-    /// The least margin of those that serve, with nothing beside them.
-    pub(super) fn least_own(&self) -> f64 {
-        self.serving.iter().map(|serving| serving.own).fold(MARGIN_UNSEEN, f64::min)
+    /// Returns the smallest own margin of the serving images.
+    pub(super) fn min_own_margin(&self) -> f64 {
+        self.serving.iter().map(|serving| serving.own_margin).fold(DEFAULT_MARGIN, f64::min)
     }
 
-    /// Counts a task that is about to start.
+    /// Adds a task that is about to start.
     pub(super) fn started(
         &mut self,
         now: Moment,
         step: &StepInfo,
         loads: &MarginForecasts<StepKey>,
-        group: StepKey,
+        step_key: StepKey,
     ) {
         self.allowed.clear();
         match step.kind {
-            StepKind::Serving => self.add_serving(step, loads, group, now),
-            StepKind::Background => self.add_filling(step, None),
+            StepKind::Serving => self.add_serving(step, loads, step_key, now),
+            StepKind::Background => self.add_background(step, None),
         }
     }
 
-    /// Whether processors are left that an opportunistic task could use.
-    pub(super) fn has_spare(&self, step: &StepInfo) -> bool {
+    /// Returns whether an opportunistic task of this step would find unused CPU.
+    pub(super) fn has_spare_cpu(&self, step: &StepInfo) -> bool {
         let need = step.need.millicores as f64;
-        let starved = self.settled_use < self.settled_need * STARVED;
-        !starved && self.used + self.wanted + need <= self.capacity
+        let starved = self.measured_use < self.measured_need * STARVED_SHARE;
+        !starved && self.other_use + self.opportunistic_need + need <= self.capacity
     }
 
-    /// Whether all that serve there are expected to keep their margin beside one
-    /// more task of a step, with all that fill at full pace.
-    pub(super) fn bears(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
+    /// Returns whether all serving tasks are expected to keep their margin with one more
+    /// task of a step and all background tasks at full pace.
+    pub(super) fn has_margin_for(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
         let Some(image) = step.image.filter(|_| self.policy.mode.is_on()) else { return true };
-        if self.over {
+        if self.over_bound {
             return false;
         }
         let share = step.need.millicores as f64 / self.capacity;
@@ -202,8 +206,8 @@
 
     fn allowed_share(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let allowed = self.serving.iter().map(|serving| {
-            let taken = learnt.margin_loss(serving.image, &self.at_full_pace);
-            let left = serving.ahead - taken - self.policy.margin_min;
+            let margin_loss = learnt.margin_loss(serving.image, &self.background_at_full_pace);
+            let left = serving.own_margin_ahead - margin_loss - self.policy.margin_min;
             let weight =
                 learnt.margin_loss(serving.image, &[BackgroundShare { image, share: 1.0 }]);
             match left < 0.0 {
@@ -216,8 +220,8 @@
 }
 
 fn add_share(to: &mut Vec<BackgroundShare>, image: ImageKey, share: f64) {
-    match to.iter_mut().find(|filling| filling.image == image) {
-        Some(filling) => filling.share += share,
+    match to.iter_mut().find(|background| background.image == image) {
+        Some(background) => background.share += share,
         None => to.push(BackgroundShare { image, share }),
     }
 }
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -1,5 +1,6 @@
-//! When a serving task's margin runs out: whoever presses on it is slowed by as much
-//! as is needed, or moved away where little would be left of its pace.
+//! Pacing of background tasks: when a serving task's margin runs out, the background
+//! tasks that slow it are slowed as much as needed, or moved to other runners if little
+//! of their pace would be left.
 
 use super::colocation::Colocation;
 use super::interference::{BackgroundShare, ImageKey, Interference};
@@ -12,22 +13,22 @@
 use serde::{Deserialize, Serialize};
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
-/// Pressure, in margin, that is not worth an order.
-const PRESSURE_MIN: f64 = 0.1;
-/// Steps in which paces are given, in percent, so that few orders are needed.
-const PACE_STEP: f64 = 5.0;
+/// Margin loss too small to be worth an order.
+const MARGIN_LOSS_MIN: f64 = 0.1;
+/// Granularity of paces, in percent; coarse steps need few orders.
+const PACE_STEP_PERCENT: f64 = 5.0;
 
-/// Filling tasks are slowed where a serving task's margin runs out.
+/// Slows background tasks where a serving task's margin runs out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PacingPolicy {
-    /// Whether they are.
+    /// Whether background tasks are slowed.
     pub mode: Switch,
-    /// Margin that is aimed at, of the least that is forecast: what is left covers the
-    /// forecast's error.
+    /// Target for the smallest forecast margin. The part above 1 covers the forecast's
+    /// error.
     pub margin_aim: f64,
-    /// Least time before a pace is raised again: one report. Forecasts know when a load
-    /// falls.
+    /// Shortest time after a change of pace before a pace is raised, in milliseconds: one
+    /// report. Forecasts already tell when a load falls.
     #[serde(rename = "settle-ms")]
     pub settle: Millis,
 }
@@ -38,19 +39,20 @@
     }
 }
 
-/// Filling tasks with checkpoints that would be slowed to little go elsewhere.
+/// Moves background tasks with checkpoints that would be slowed to little of their pace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct MovingPolicy {
-    /// Whether they do.
+    /// Whether background tasks are moved.
     pub mode: Switch,
-    /// Share of full pace below which they are moved: elsewhere they do more.
+    /// Share of full pace below which tasks are moved, because they do more on another
+    /// runner.
     pub below: f64,
-    /// Pressure, in margin, from which an image is moved: half a usual margin. Less than
-    /// that is borne again as soon as the serving task's own load has swung back.
+    /// Margin loss from which the tasks of an image are moved: half a usual margin. A
+    /// smaller loss is acceptable again as soon as the serving task's own load falls.
     pub pressure: f64,
-    /// A task in this run or a later one is not moved any more: it seems to disturb
-    /// wherever it goes, and only its pace is left.
+    /// Tasks whose run number has reached this value are not moved any more, only slowed,
+    /// since they seem to interfere on every runner.
     pub runs_max: u32,
 }
 
@@ -60,15 +62,16 @@
     }
 }
 
-/// Everything that may disturb stands still beside a serving task that is over its bound.
+/// Stops all background tasks beside a serving task that is over its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StandstillPolicy {
-    /// Whether it does.
+    /// Whether background tasks are stopped.
     pub mode: Switch,
-    /// How long the task is over its bound before, whatever is believed of it: a wrong
-    /// belief must not cost its users more than a few seconds. Figures are half a second
-    /// old, and an order takes as long.
+    /// Time for which a serving task is over its bound, in milliseconds, before
+    /// background tasks are stopped whatever the learnt weights say, so that a wrong
+    /// weight costs users no more than a few seconds. Samples are half a second old, and
+    /// an order takes as long to have an effect.
     #[serde(rename = "after-ms")]
     pub after: Millis,
 }
@@ -79,51 +82,64 @@
     }
 }
 
-/// What a runner's margins allow an image that fills there.
+/// What the margins on a runner allow a background image there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Allowance {
     image: ImageKey,
-    /// Share of full pace.
+    /// Allowed share of full pace, from 0 to 1.
     pace: f64,
-    /// It presses too hard on somebody to stay.
-    hard: bool,
+    /// Whether the image costs a serving task so much margin that it is to be moved.
+    is_heavy: bool,
 }
 
 impl Leader {
-    /// Learns from a report, and acts on margins that run out. Returns who shares the
-    /// runner.
+    /// Learns from a report and adjusts the paces on the runner. Returns the colocation
+    /// on the runner.
     pub(super) fn pace(&mut self, now: Now, key: IncarnationKey) -> Colocation {
         let policy = &self.cfg.policy;
         let Some(runner) = self.runners.get(&key) else { return Colocation::default() };
-        let figures = figures(runner, &self.ready);
+        let samples = samples(runner, &self.ready);
         let mut colocation = self.colocation(now, runner);
-        if !figures.is_empty() {
-            learn(now, &figures, &mut self.interference, &mut self.loads, &colocation.filling);
+        if !samples.is_empty() {
+            update_models(
+                now,
+                &samples,
+                &mut self.interference,
+                &mut self.loads,
+                &colocation.filling,
+            );
             colocation = self.colocation(now, runner);
         }
         let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
         runner.serves = colocation.only_serving();
-        colocation.over = runner.is_over(now.at, &figures, policy.standstill);
-        let allowances = match (colocation.over, policy.pacing.mode) {
-            (true, _) => stand_still(&colocation),
+        colocation.over_bound = runner.is_over_bound(now.at, &samples, policy.standstill);
+        let allowances = match (colocation.over_bound, policy.pacing.mode) {
+            (true, _) => standstill_allowances(&colocation),
             (false, Switch::On) => {
                 allowances(&colocation, &self.interference, &policy.pacing, &policy.moving)
             }
-            (false, Switch::Off) => at_full_pace(&colocation),
+            (false, Switch::Off) => full_pace_allowances(&colocation),
         };
-        self.hold_back(now, key, &allowances, colocation.least_own());
+        self.apply_allowances(now, key, &allowances, colocation.min_own_margin());
         colocation
     }
 
-    /// Who shares a runner, by its last report and by what is on its way there.
+    /// Returns the colocation on a runner by its last report and the orders under way.
     pub(super) fn colocation(&self, now: Now, runner: &Runner) -> Colocation {
         let sharing = self.cfg.policy.sharing;
         Colocation::of(now.at, runner, &self.state, &self.ready, &self.loads, sharing)
     }
 
-    /// Slows each image to what the margins allow, and gives the pace back; where little
-    /// is left, tasks with checkpoints stop, which saves their work, and go elsewhere.
-    fn hold_back(&mut self, now: Now, key: IncarnationKey, allowances: &[Allowance], least: f64) {
+    /// Sets the pace of each image to what the margins allow, up or down. Where little
+    /// pace is left, tasks with checkpoints are stopped, which saves their work, so that
+    /// they run elsewhere.
+    fn apply_allowances(
+        &mut self,
+        now: Now,
+        key: IncarnationKey,
+        allowances: &[Allowance],
+        own_margin: f64,
+    ) {
         let moving = self.tasks_to_move(now, key, allowances);
         let Some(runner) = self.runners.get_mut(&key) else { return };
         let mut changed = runner.set_paces(now.at, allowances, self.cfg.policy.pacing.settle);
@@ -136,7 +152,7 @@
         if changed {
             let paces: Vec<u8> = runner.paces.values().copied().collect();
             log::info!(
-                "pace runner={} percent={paces:?} moved={} own-margin={least:.2} report={}",
+                "pace runner={} percent={paces:?} moved={} own-margin={own_margin:.2} report={}",
                 runner.id,
                 moving.len(),
                 runner.sequence
@@ -144,9 +160,10 @@
         }
     }
 
-    /// Tasks that press hard and have little pace left. A job's only run stays, slowed:
-    /// beside idle processors a job with nothing running would wait for room that its
-    /// image finds nowhere.
+    /// Returns the tasks to move: those that cost much margin and have little pace left.
+    /// The only run of a job stays, slowed, while the pool is idle: otherwise the job
+    /// might have nothing running while it waits for a compatible runner that does not
+    /// exist.
     fn tasks_to_move(
         &self,
         now: Now,
@@ -154,26 +171,26 @@
         allowances: &[Allowance],
     ) -> Vec<TaskKey> {
         let policy = &self.cfg.policy.moving;
-        let hard: Vec<ImageKey> = allowances
+        let heavy_images: Vec<ImageKey> = allowances
             .iter()
-            .filter(|allowance| policy.mode.is_on() && allowance.hard)
+            .filter(|allowance| policy.mode.is_on() && allowance.is_heavy)
             .filter(|allowance| allowance.pace < policy.below)
             .map(|allowance| allowance.image)
             .collect();
-        let Some(runner) = self.runners.get(&key).filter(|_| !hard.is_empty()) else {
+        let Some(runner) = self.runners.get(&key).filter(|_| !heavy_images.is_empty()) else {
             return Vec::new();
         };
         let mut moving = Vec::new();
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
-            let presses = step.image.is_some_and(|image| hard.contains(&image));
-            let moves = self.state.task(*task).map_or(0, |task| task.last_run);
-            if presses
+            let interferes = step.image.is_some_and(|image| heavy_images.contains(&image));
+            let last_run = self.state.task(*task).map_or(0, |task| task.last_run);
+            if interferes
                 && !view.stopping
                 && step.checkpointing
                 && step.disturbs()
-                && moves < policy.runs_max
-                && !(self.is_idle(&runner.pool) && self.runs_of(now, task.job) <= 1)
+                && last_run < policy.runs_max
+                && !(self.is_pool_idle(&runner.pool) && self.active_runs(now, task.job) <= 1)
             {
                 moving.push(*task);
             }
@@ -182,131 +199,149 @@
     }
 }
 
-/// All that may disturb stops working.
-fn stand_still(colocation: &Colocation) -> Vec<Allowance> {
-    let still = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 0.0, hard: false };
-    colocation.at_full_pace.iter().map(still).collect()
+/// Stops all background tasks.
+fn standstill_allowances(colocation: &Colocation) -> Vec<Allowance> {
+    let paused = |background: &BackgroundShare| Allowance {
+        image: background.image,
+        pace: 0.0,
+        is_heavy: false,
+    };
+    colocation.background_at_full_pace.iter().map(paused).collect()
 }
 
-fn at_full_pace(colocation: &Colocation) -> Vec<Allowance> {
-    let full = |fill: &BackgroundShare| Allowance { image: fill.image, pace: 1.0, hard: false };
-    colocation.at_full_pace.iter().map(full).collect()
+fn full_pace_allowances(colocation: &Colocation) -> Vec<Allowance> {
+    let full = |background: &BackgroundShare| Allowance {
+        image: background.image,
+        pace: 1.0,
+        is_heavy: false,
+    };
+    colocation.background_at_full_pace.iter().map(full).collect()
 }
 
-/// What all margins together allow each image.
+/// Returns the pace that all margins together allow each image.
 fn allowances(
     colocation: &Colocation,
     learnt: &Interference,
     pacing: &PacingPolicy,
     moving: &MovingPolicy,
 ) -> Vec<Allowance> {
-    let mut all = at_full_pace(colocation);
+    let mut all = full_pace_allowances(colocation);
     for serving in &colocation.serving {
-        let pressures: Vec<Pressure> = colocation
-            .at_full_pace
+        let pressures: Vec<ImagePressure> = colocation
+            .background_at_full_pace
             .iter()
-            .map(|fill| Pressure {
-                image: fill.image,
-                share: fill.share,
-                taken: learnt.margin_loss(serving.image, &[*fill]),
+            .map(|background| ImagePressure {
+                image: background.image,
+                share: background.share,
+                margin_loss: learnt.margin_loss(serving.image, &[*background]),
             })
             .collect();
-        for (image, pace) in share_out(serving.own - pacing.margin_aim, pressures.clone()) {
+        for (image, pace) in
+            allocate_margin(serving.own_margin - pacing.margin_aim, pressures.clone())
+        {
             let Some(allowance) = all.iter_mut().find(|known| known.image == image) else {
                 continue;
             };
             let pressure = pressures.iter().find(|pressure| pressure.image == image);
             allowance.pace = allowance.pace.min(pace);
-            allowance.hard |= pressure.is_some_and(|pressure| pressure.taken >= moving.pressure);
+            allowance.is_heavy |=
+                pressure.is_some_and(|pressure| pressure.margin_loss >= moving.pressure);
         }
     }
     all
 }
 
-/// What an image at full pace takes of one serving task's margin, with its share of the
-/// runner.
+/// Margin that a background image at full pace costs one serving task, and the image's
+/// share of the runner.
 #[derive(Clone, Copy, Debug)]
-struct Pressure {
+struct ImagePressure {
     image: ImageKey,
     share: f64,
-    taken: f64,
+    margin_loss: f64,
 }
 
-impl Pressure {
+impl ImagePressure {
     fn weight(&self) -> f64 {
-        self.taken / self.share.max(1e-6)
+        self.margin_loss / self.share.max(1e-6)
     }
 }
 
-/// Shares a margin out among the images that press on it, the gentlest first: so most
-/// processors work for the same margin. Returns the paces of those that are slowed.
-fn share_out(margin: f64, mut pressures: Vec<Pressure>) -> Vec<(ImageKey, f64)> {
-    let total: f64 = pressures.iter().map(|pressure| pressure.taken).sum();
-    if total < PRESSURE_MIN {
+/// Allocates a margin to the images that reduce it, those with the lowest loss per share
+/// first, so that as much CPU as possible works for the same margin. Returns the paces of
+/// the images that are slowed.
+fn allocate_margin(margin: f64, mut pressures: Vec<ImagePressure>) -> Vec<(ImageKey, f64)> {
+    let total: f64 = pressures.iter().map(|pressure| pressure.margin_loss).sum();
+    if total < MARGIN_LOSS_MIN {
         return Vec::new();
     }
     pressures.sort_by(|a, b| a.weight().total_cmp(&b.weight()));
     let mut left = margin.max(0.0);
     let mut slowed = Vec::new();
     for pressure in pressures {
-        if pressure.taken <= left {
-            left -= pressure.taken;
+        if pressure.margin_loss <= left {
+            left -= pressure.margin_loss;
         } else {
-            slowed.push((pressure.image, left / pressure.taken));
+            slowed.push((pressure.image, left / pressure.margin_loss));
             left = 0.0;
         }
     }
     slowed
 }
 
-/// What the tasks of one serving job on a runner show.
-pub(super) struct Figure {
-    group: StepKey,
+/// Margin reported for the tasks of one serving step on a runner.
+pub(super) struct MarginSample {
+    step_key: StepKey,
     image: ImageKey,
     margin: f64,
 }
 
-/// The figures of the tasks that serve. Tasks of one job on one runner share their load
-/// and their neighbours, so only the first is taken: the others tell nothing new.
-fn figures(runner: &Runner, ready: &ReadyQueue) -> Vec<Figure> {
-    let mut figures: Vec<Figure> = Vec::new();
+/// Returns the margin samples of the serving tasks. Tasks of one step on one runner share
+/// their load and their colocated tasks, so only the first of them is used: the others
+/// add no information.
+fn samples(runner: &Runner, ready: &ReadyQueue) -> Vec<MarginSample> {
+    let mut samples: Vec<MarginSample> = Vec::new();
     for (task, view) in &runner.running {
         let Some(step) = ready.step_of(*task) else { continue };
         if step.kind != StepKind::Serving || view.percent < 100 {
             continue;
         }
         let (Some(image), Some(gauge)) = (step.image, view.gauge) else { continue };
-        let group = StepKey::of(*task);
-        if figures.iter().all(|figure| figure.group != group) {
+        let step_key = StepKey::of(*task);
+        if samples.iter().all(|sample| sample.step_key != step_key) {
             let margin = step.tail_bound_ms as f64 / (gauge as f64).max(1.0);
-            figures.push(Figure { group, image, margin });
+            samples.push(MarginSample { step_key, image, margin });
         }
     }
-    figures
+    samples
 }
 
-/// Learns from a runner's figures how loads swing and which images press on which.
-fn learn(
+/// Updates the load models and the interference weights from a runner's samples.
+fn update_models(
     now: Now,
-    figures: &[Figure],
+    samples: &[MarginSample],
     learnt: &mut Interference,
     loads: &mut MarginForecasts<StepKey>,
-    filling: &[BackgroundShare],
+    background: &[BackgroundShare],
 ) {
-    for figure in figures {
-        let own = loads.entry(figure.group, now.at);
-        let freed = learnt.observe(figure.image, own, figure.margin, filling, now.at);
-        let Some(freed) = freed else { continue };
-        if loads.judge(figure.group, freed, now.at) {
+    for sample in samples {
+        let own = loads.entry(sample.step_key, now.at);
+        let own_margin = learnt.observe(sample.image, own, sample.margin, background, now.at);
+        let Some(own_margin) = own_margin else { continue };
+        if loads.judge(sample.step_key, own_margin, now.at) {
             log::info!("loads period={}s", loads.period_s());
         }
     }
 }
 
 impl Runner {
-    /// Whether a task that serves has been over its bound for too long.
-    fn is_over(&mut self, now: Moment, figures: &[Figure], policy: StandstillPolicy) -> bool {
-        if figures.iter().all(|figure| figure.margin >= 1.0) {
+    /// Returns whether a serving task has been over its bound for too long.
+    fn is_over_bound(
+        &mut self,
+        now: Moment,
+        samples: &[MarginSample],
+        policy: StandstillPolicy,
+    ) -> bool {
+        if samples.iter().all(|sample| sample.margin >= 1.0) {
             self.over_since = None;
             return false;
         }
@@ -314,14 +349,15 @@
         policy.mode.is_on() && now.since(since) >= policy.after.to_duration()
     }
 
-    /// Sets the paces; true if any changed. A lower one counts at once.
+    /// Sets the paces and returns whether any changed. A lower pace applies at once, a
+    /// higher one only after the settling time.
     fn set_paces(&mut self, now: Moment, allowances: &[Allowance], settle: Millis) -> bool {
         let settled = now.since(self.paced_at) >= settle.to_duration();
         let mut changed = false;
         self.paces.retain(|image, _| allowances.iter().any(|allowed| allowed.image == *image));
         for allowed in allowances {
-            let steps = (allowed.pace * 100.0 / PACE_STEP).floor();
-            let pace = (steps * PACE_STEP).clamp(0.0, 100.0) as u8;
+            let steps = (allowed.pace * 100.0 / PACE_STEP_PERCENT).floor();
+            let pace = (steps * PACE_STEP_PERCENT).clamp(0.0, 100.0) as u8;
             let former = self.paces.get(&allowed.image).copied().unwrap_or(100);
             if pace < former || (pace > former && settled) {
                 self.paces.insert(allowed.image, pace);
@@ -334,7 +370,7 @@
         changed
     }
 
-    /// Orders for runs that do not work at their image's pace yet.
+    /// Returns orders for runs that do not yet have their image's pace.
     pub(super) fn rate_orders(&mut self, ready: &ReadyQueue) -> Vec<(TaskKey, u32, u8)> {
         let mut orders = Vec::new();
         for (task, view) in &mut self.running {
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -1,16 +1,16 @@
-//! Steps with tasks that wait, in the order in which they are to be started.
+//! Queue of the steps with waiting tasks, in the order in which they are to be started.
 //!
-//! The pattern answered here: a steady mix of short jobs of high priority and
-//! long jobs of low priority, with bursts of the latter at up to 2.6 times the
-//! usual rate. Under such a burst an order by arrival or by deadline makes every
-//! job late; an order by worth for each core-second left finishes as many as
-//! there is room for, and lets those fall behind that could not be prompt anyway.
+//! The expected load is a steady mix of short jobs of high priority and long jobs of low
+//! priority, with bursts of the latter at up to 2.6 times the usual rate. During such a
+//! burst, an order by arrival or by deadline makes every job late. An order by worth per
+//! core-second left completes as many jobs as there is capacity for, and delays those
+//! that could not end on time anyway.
 
-use super::estimate::{Lateness, Shape};
+use super::estimate::{JobEstimate, Lateness};
 use super::interference::{ImageKey, Interference};
 use super::policy::Switch;
 use super::routes::Routes;
-use super::sizes::{Candidate, Size, Sizes, SizesPolicy};
+use super::sizes::{BoostCandidate, SizeClass, Sizes, SizesPolicy};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -19,37 +19,37 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{CellState, Job, JobId, JobPhase, StepSpec, TaskKey};
 
-/// Weight of a new job in the running mean of its queue's work.
-const MEAN_WEIGHT: f64 = 0.05;
-/// Worth for each core-second is compared in steps of a millionth.
+/// Weight of a new job in the running mean of the work of its queue's jobs.
+const QUEUE_MEAN_WEIGHT: f64 = 0.05;
+/// Scale of the integer densities: worth per core-second is compared in millionths.
 const DENSITY_SCALE: f64 = 1e6;
 
-/// What the order of waiting steps follows.
+/// Criterion that orders the waiting steps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderBy {
-    /// Jobs that can still be prompt, then their queue's priority, then worth for each
-    /// core-second left.
+    /// Jobs that can still end on time first, then by the priority of their queue, then
+    /// by worth per core-second left.
     #[default]
     Worth,
-    /// The time by which a job is to end, the earliest first.
+    /// By deadline, the earliest first.
     Deadline,
-    /// The time at which a job came.
+    /// By arrival time of the job, the earliest first.
     Arrival,
 }
 
-/// Whose turn it is when room comes free.
+/// Order in which waiting steps are offered free capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct OrderPolicy {
-    /// What it follows.
+    /// Criterion that orders the steps.
     pub by: OrderBy,
-    /// How much the size that is left counts against a job. With 1 it is the worth for
-    /// each core-second, and the largest jobs hardly ever get their turn.
+    /// Exponent of the work left in the density of a job. At 1 the density is the worth
+    /// per core-second left, and the largest jobs are hardly ever started.
     pub size_weight: f64,
-    /// Whether tasks that last and are down come first of all.
+    /// Whether interrupted long-running tasks come before all others.
     pub again_first: Switch,
-    /// Whether short work that can still be prompt comes before tasks that last.
+    /// Whether short jobs that can still end on time come before long-running tasks.
     pub short_first: Switch,
 }
 
@@ -73,61 +73,62 @@
 }
 
 impl StepKey {
-    /// The step of a task.
+    /// Returns the step that a task belongs to.
     pub(super) fn of(task: TaskKey) -> Self {
         Self { job: task.job, occurrence: task.occurrence, step: task.step }
     }
 }
 
-/// Whose turn it is when room comes free.
+/// First criterion of the order; an earlier variant is started first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
-    /// Tasks that last, have run and are down: their users are without them. Room for one
-    /// of these sizes comes free now and then, and short work or another job's larger
-    /// task would take it each time, for ever.
-    Again,
-    /// Short work on processors of its own that can still be prompt: it gives the
-    /// room back within a second, where a task that lasts keeps it for minutes.
-    Short,
-    /// Tasks that last.
-    Lasting,
-    /// All others.
+enum StartClass {
+    /// Long-running tasks that ran before and wait for a runner: their users have no
+    /// service meanwhile. Runners with enough free capacity for a large task are rare,
+    /// and without this class short tasks or larger tasks of other jobs would take that
+    /// capacity every time.
+    Interrupted,
+    /// Short tasks on reserved CPU that can still end on time: they free their capacity
+    /// within a second, whereas a long-running task holds it for minutes.
+    ShortOnTime,
+    /// Other long-running tasks.
+    LongRunning,
+    /// All other tasks.
     Other,
 }
 
-/// Where a step stands in the order; smaller comes first.
+/// Sort key of a waiting step; the smallest is started first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    turn: Turn,
-    /// Drawn to the front for its size.
-    front: Reverse<bool>,
+    start_class: StartClass,
+    /// Whether the job is boosted because jobs of its size end late.
+    boosted: Reverse<bool>,
     lateness: Lateness,
     priority: u32,
-    /// Worth for each core-second left, below nothing so that more comes first.
+    /// Worth per core-second left, negated so that a higher density comes first.
     density: i64,
     since: Moment,
 }
 
-/// The part of a rank that goes before density.
+/// The criteria of a rank that come before density.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct RankClass(Turn, Reverse<bool>, Lateness, u32);
+pub(super) struct RankClass(StartClass, Reverse<bool>, Lateness, u32);
 
-/// What a step's tasks are to their neighbours.
+/// Role of a step's tasks on a runner shared with other tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StepKind {
-    /// Serves users of its own and has a bound on its tail.
+    /// Latency-critical: serves its own users and has a bound on its tail latency.
     Serving,
-    /// May disturb those that serve.
+    /// May slow the serving tasks on its runner.
     Background,
 }
 
-/// What placement asks of a step for each report: kept ready, since hundreds of
-/// steps are looked at for each of hundreds of reports a second.
+/// Data of a step that placement needs. It is computed once per job, since hundreds of
+/// steps are examined for each of hundreds of reports a second.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StepInfo {
-    /// Processors, memory and accelerators that one task may use.
+    /// CPU, memory and accelerators that one task may use.
     pub(super) need: Resources,
-    /// What of that is committed.
+    /// Part of `need` that is reserved for one task.
     pub(super) reserved: Resources,
     pub(super) kind: StepKind,
     pub(super) image: Option<ImageKey>,
@@ -155,55 +156,56 @@
         }
     }
 
-    /// Whether its tasks may disturb those that serve.
+    /// Returns whether the step's tasks may slow serving tasks.
     pub(super) fn disturbs(&self) -> bool {
         self.kind == StepKind::Background && self.image.is_some()
     }
 }
 
-/// What the leader keeps of a job beside its replicated state.
+/// Scheduling data of a job that is not part of the replicated state.
 #[derive(Debug)]
 pub(super) struct JobInfo {
-    came: Moment,
-    shape: Shape,
+    arrived_at: Moment,
+    estimate: JobEstimate,
     steps: Vec<StepInfo>,
     objective: Duration,
     priority: u32,
-    lasts: bool,
+    long_running: bool,
     scheduled: bool,
-    size: Size,
-    /// Whether it ended in time is counted.
-    judged: bool,
+    size: SizeClass,
+    /// Whether the size statistics already contain the outcome of this job, or must not
+    /// contain it.
+    outcome_recorded: bool,
 }
 
-/// A step with waiting tasks, as it is offered to a runner.
+/// A step with waiting tasks, as offered to a runner.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitingStep<'a> {
-    pub(super) group: StepKey,
+    pub(super) step_key: StepKey,
     pub(super) step: &'a StepInfo,
-    /// What two steps must have in common to be compared by density.
+    /// Only steps of the same class are compared by density.
     pub(super) class: RankClass,
     pub(super) density: f64,
 }
 
-/// A step with waiting tasks.
+/// Queue entry of a step with waiting tasks.
 #[derive(Clone, Debug)]
-struct Group {
-    /// When it first had tasks to start.
+struct WaitingEntry {
+    /// Time at which the step first had tasks to start.
     since: Moment,
     rank: Rank,
-    /// It lasts and has a task that has run.
-    down: bool,
+    /// Whether the step is long-running and has a task that ran before and waits again.
+    interrupted: bool,
 }
 
-/// All of them.
+/// Ordered queue of all steps with waiting tasks.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
     policy: OrderPolicy,
-    groups: BTreeMap<StepKey, Group>,
+    entries: BTreeMap<StepKey, WaitingEntry>,
     order: BTreeMap<(Rank, StepKey), StepInfo>,
-    metas: HashMap<JobId, JobInfo>,
-    means: HashMap<Box<str>, f64>,
+    job_infos: HashMap<JobId, JobInfo>,
+    mean_work: HashMap<Box<str>, f64>,
     scheduled: BTreeSet<JobId>,
     sizes: Sizes,
 }
@@ -213,121 +215,129 @@
         Self { policy, sizes: Sizes::new(sizes), ..Self::default() }
     }
 
-    /// Whether a step has a task that has run and is down.
+    /// Returns whether a step has an interrupted long-running task.
     pub(super) fn has_interrupted_task(&self, key: StepKey) -> bool {
-        self.groups.get(&key).is_some_and(|group| group.down)
+        self.entries.get(&key).is_some_and(|entry| entry.interrupted)
     }
 
-    /// Keeps what is needed of a job that came in at `came`.
+    /// Adds the scheduling data of a job that arrived at `arrived_at`.
     pub(super) fn add_job(
         &mut self,
         id: JobId,
         job: &Job,
-        came: Moment,
+        arrived_at: Moment,
         routes: &Routes,
         learnt: &mut Interference,
     ) {
-        let shape = Shape::of(&job.spec);
-        let mean = self.means.entry(job.queue.clone()).or_insert(shape.work);
-        *mean += (shape.work - *mean) * MEAN_WEIGHT;
+        let estimate = JobEstimate::of(&job.spec);
+        let mean = self.mean_work.entry(job.queue.clone()).or_insert(estimate.total_work);
+        *mean += (estimate.total_work - *mean) * QUEUE_MEAN_WEIGHT;
         let queue = routes.queue(&job.queue);
         let scheduled = job.spec.schedule.is_some();
         if scheduled {
             self.scheduled.insert(id);
         }
-        let lasts = job.spec.steps.iter().any(|step| step.long_running);
-        let size = match lasts || scheduled {
-            true => Size::Usual,
-            false => self.sizes.meet(&job.queue, shape.work),
+        let long_running = job.spec.steps.iter().any(|step| step.long_running);
+        let size = match long_running || scheduled {
+            true => SizeClass::Typical,
+            false => self.sizes.classify(&job.queue, estimate.total_work),
         };
-        let meta = JobInfo {
-            came,
-            objective: shape.objective(queue),
-            shape,
+        let info = JobInfo {
+            arrived_at,
+            objective: estimate.objective(queue),
+            estimate,
             steps: job.spec.steps.iter().map(|step| StepInfo::of(step, learnt)).collect(),
             priority: queue.map_or(u32::MAX, |queue| queue.priority),
-            lasts,
+            long_running,
             scheduled,
             size,
-            judged: lasts || scheduled,
+            outcome_recorded: long_running || scheduled,
         };
-        self.metas.insert(id, meta);
+        self.job_infos.insert(id, info);
     }
 
-    /// How long ago a job came in, and within what time it was to end.
+    /// Returns the age and the objective of a job.
     pub(super) fn age_and_objective(&self, id: JobId, now: Moment) -> Option<(Duration, Duration)> {
-        self.metas.get(&id).map(|meta| (now.since(meta.came), meta.objective))
+        self.job_infos.get(&id).map(|info| (now.since(info.arrived_at), info.objective))
     }
 
-    /// Another change set is in force.
+    /// Applies the objectives and priorities of a new change set.
     pub(super) fn changed(&mut self, jobs: &CellState, routes: &Routes) {
-        for (id, meta) in &mut self.metas {
+        for (id, info) in &mut self.job_infos {
             let Some(job) = jobs.job(*id) else { continue };
-            // A job whose queue is gone keeps what it came with.
+            // A job whose queue was removed keeps its objective and priority.
             if let Some(queue) = routes.queue(&job.queue) {
-                meta.objective = meta.shape.objective(Some(queue));
-                meta.priority = queue.priority;
+                info.objective = info.estimate.objective(Some(queue));
+                info.priority = queue.priority;
             }
         }
     }
 
-    /// Forgets a job that needs nothing any more.
+    /// Removes a job that needs no further scheduling.
     pub(super) fn drop_job(&mut self, id: JobId) {
         for key in self.keys_of(id) {
             self.remove(key);
         }
-        self.metas.remove(&id);
+        self.job_infos.remove(&id);
         self.scheduled.remove(&id);
-        self.sizes.forget(id);
+        self.sizes.remove_job(id);
     }
 
-    /// A job has ended.
+    /// Records the end of a job in the statistics of its size; cancelled jobs do not
+    /// count.
     pub(super) fn ended(&mut self, id: JobId, job: &Job, now: Moment) {
         if job.phase == JobPhase::Cancelled {
-            return self.sizes.forget(id);
+            return self.sizes.remove_job(id);
         }
-        let Some(meta) = self.metas.get(&id) else { return };
-        let in_time = job.phase == JobPhase::Completed && now.since(meta.came) <= meta.objective;
-        self.judge(id, job, in_time);
+        let Some(info) = self.job_infos.get(&id) else { return };
+        let on_time =
+            job.phase == JobPhase::Completed && now.since(info.arrived_at) <= info.objective;
+        self.record_outcome(id, job, on_time);
     }
 
-    fn judge(&mut self, id: JobId, job: &Job, in_time: bool) {
-        let Some(meta) = self.metas.get_mut(&id) else { return };
-        if !std::mem::replace(&mut meta.judged, true) {
-            self.sizes.ended(id, &job.queue, meta.size, in_time);
+    fn record_outcome(&mut self, id: JobId, job: &Job, on_time: bool) {
+        let Some(info) = self.job_infos.get_mut(&id) else { return };
+        if !std::mem::replace(&mut info.outcome_recorded, true) {
+            self.sizes.record_outcome(id, &job.queue, info.size, on_time);
         }
     }
 
-    fn is_unjudged(&self, id: JobId) -> bool {
-        self.metas.get(&id).is_some_and(|meta| !meta.judged)
+    fn is_outcome_open(&self, id: JobId) -> bool {
+        self.job_infos.get(&id).is_some_and(|info| !info.outcome_recorded)
     }
 
-    /// Judges jobs that can no longer end in time, and draws others to the front whose size
-    /// is behind; `room` has, for each pool, the processors that no task that lasts holds.
-    pub(super) fn draw_by_size(&mut self, jobs: &CellState, room: &BTreeMap<Box<str>, u64>) {
-        let late = |(_, group): &(&StepKey, &Group)| group.rank.lateness != Lateness::Prompt;
-        let late = self.groups.iter().filter(late).map(|(key, _)| key.job);
-        let late: Vec<JobId> = late.filter(|id| self.is_unjudged(*id)).collect();
+    /// Records jobs that can no longer end on time as late, and boosts jobs of sizes that
+    /// end late too often. `available_cpu` is the CPU of each pool, in millicores, that
+    /// no long-running task holds.
+    pub(super) fn boost_by_size(
+        &mut self,
+        jobs: &CellState,
+        available_cpu: &BTreeMap<Box<str>, u64>,
+    ) {
+        let late = |(_, entry): &(&StepKey, &WaitingEntry)| entry.rank.lateness != Lateness::OnTime;
+        let late = self.entries.iter().filter(late).map(|(key, _)| key.job);
+        let late: Vec<JobId> = late.filter(|id| self.is_outcome_open(*id)).collect();
         for id in late {
             if let Some(job) = jobs.job(id) {
-                self.judge(id, job, false);
+                self.record_outcome(id, job, false);
             }
         }
-        let in_turn = self.order.keys().filter(|(rank, _)| rank.turn == Turn::Short);
-        for (_, key) in in_turn {
-            let (Some(job), Some(meta)) = (jobs.job(key.job), self.metas.get(&key.job)) else {
+        let candidates =
+            self.order.keys().filter(|(rank, _)| rank.start_class == StartClass::ShortOnTime);
+        for (_, key) in candidates {
+            let (Some(job), Some(info)) = (jobs.job(key.job), self.job_infos.get(&key.job)) else {
                 continue;
             };
-            if meta.size == Size::Usual || meta.judged {
+            if info.size == SizeClass::Typical || info.outcome_recorded {
                 continue;
             }
             let Some(spec) = job.spec.steps.get(usize::from(key.step)) else { continue };
-            self.sizes.draw(Candidate {
+            self.sizes.boost(BoostCandidate {
                 id: key.job,
                 queue: &job.queue,
-                size: meta.size,
+                size: info.size,
                 millicores: spec.need.millicores * u64::from(spec.count),
-                room_millicores: room.get(&job.pool).copied().unwrap_or(0),
+                available_millicores: available_cpu.get(&job.pool).copied().unwrap_or(0),
             });
         }
     }
@@ -335,16 +345,16 @@
     pub(super) fn keys_of(&self, id: JobId) -> Vec<StepKey> {
         let from = StepKey { job: id, occurrence: 0, step: 0 };
         let to = StepKey { job: id, occurrence: u32::MAX, step: u16::MAX };
-        self.groups.range(from..=to).map(|(key, _)| *key).collect()
+        self.entries.range(from..=to).map(|(key, _)| *key).collect()
     }
 
     fn remove(&mut self, key: StepKey) {
-        if let Some(group) = self.groups.remove(&key) {
-            self.order.remove(&(group.rank, key));
+        if let Some(entry) = self.entries.remove(&key) {
+            self.order.remove(&(entry.rank, key));
         }
     }
 
-    /// Puts the steps with these keys in place of those known of the job.
+    /// Replaces the known waiting steps of a job by the steps with these keys.
     pub(super) fn set_groups(
         &mut self,
         id: JobId,
@@ -358,10 +368,10 @@
             }
         }
         for key in keys {
-            if !self.groups.contains_key(key) {
+            if !self.entries.contains_key(key) {
                 let rank = self.rank(jobs, *key, now, now);
-                let down = self.has_down(jobs, *key);
-                self.groups.insert(*key, Group { since: now, rank, down });
+                let interrupted = self.has_interrupted(jobs, *key);
+                self.entries.insert(*key, WaitingEntry { since: now, rank, interrupted });
                 if let Some(step) = self.step(key.job, key.step) {
                     self.order.insert((rank, *key), *step);
                 }
@@ -369,142 +379,147 @@
         }
     }
 
-    /// Ranks all steps anew: time has passed, work was done.
+    /// Recomputes the rank of every step, since ranks depend on time and on the work
+    /// left.
     pub(super) fn rank_all(&mut self, jobs: &CellState, now: Moment) {
-        let mut groups = std::mem::take(&mut self.groups);
-        for (key, group) in &mut groups {
-            group.rank = self.rank(jobs, *key, now, group.since);
-            group.down = self.has_down(jobs, *key);
+        let mut entries = std::mem::take(&mut self.entries);
+        for (key, entry) in &mut entries {
+            entry.rank = self.rank(jobs, *key, now, entry.since);
+            entry.interrupted = self.has_interrupted(jobs, *key);
         }
-        let place = |(key, group): (&StepKey, &Group)| {
-            self.step(key.job, key.step).map(|step| ((group.rank, *key), *step))
+        let ranked = |(key, entry): (&StepKey, &WaitingEntry)| {
+            self.step(key.job, key.step).map(|step| ((entry.rank, *key), *step))
         };
-        self.order = groups.iter().filter_map(place).collect();
-        self.groups = groups;
+        self.order = entries.iter().filter_map(ranked).collect();
+        self.entries = entries;
     }
 
-    /// The steps, the first to be started first.
+    /// Iterates over the waiting steps in start order.
     pub(super) fn order(&self) -> impl Iterator<Item = StepKey> {
         self.order.keys().map(|(_, key)| *key)
     }
 
-    /// The same, with what placement asks of them.
+    /// Iterates over the waiting steps in start order, with the data that placement
+    /// needs.
     pub(super) fn waiting(&self) -> impl Iterator<Item = WaitingStep<'_>> {
-        self.order.iter().map(|((rank, group), step)| WaitingStep {
-            group: *group,
+        self.order.iter().map(|((rank, step_key), step)| WaitingStep {
+            step_key: *step_key,
             step,
-            class: RankClass(rank.turn, rank.front, rank.lateness, rank.priority),
+            class: RankClass(rank.start_class, rank.boosted, rank.lateness, rank.priority),
             density: -(rank.density as f64),
         })
     }
 
-    /// The first step of a job, in the order of its steps, that has tasks to start.
+    /// Returns the first step of a job, in step order, that has waiting tasks.
     pub(super) fn first_waiting(&self, id: JobId) -> Option<StepKey> {
         self.keys_of(id).into_iter().next()
     }
 
-    /// Whether a job has tasks that last or occurrences to come: it has no time by which
-    /// it is to end.
+    /// Returns whether a job has long-running tasks or a schedule, and therefore no
+    /// deadline.
     pub(super) fn lasts_or_comes_later(&self, id: JobId) -> bool {
-        self.metas.get(&id).is_none_or(|meta| meta.lasts || meta.scheduled)
+        self.job_infos.get(&id).is_none_or(|info| info.long_running || info.scheduled)
     }
 
-    /// Whether nobody waits for a job any more.
+    /// Returns whether a job is so late that its result no longer counts.
     pub(super) fn is_overdue(&self, id: JobId, now: Moment) -> bool {
-        let Some(meta) = self.metas.get(&id) else { return false };
-        let age = now.since(meta.came);
-        Shape::lateness(meta.objective, age, Duration::ZERO) == Lateness::Overdue
+        let Some(info) = self.job_infos.get(&id) else { return false };
+        let age = now.since(info.arrived_at);
+        JobEstimate::lateness(info.objective, age, Duration::ZERO) == Lateness::Overdue
     }
 
-    /// When a step first had tasks to start.
+    /// Returns the time at which a step first had tasks to start.
     pub(super) fn since(&self, key: StepKey) -> Option<Moment> {
-        self.groups.get(&key).map(|group| group.since)
+        self.entries.get(&key).map(|entry| entry.since)
     }
 
-    /// A step of a job.
+    /// Returns the data of a step of a job.
     pub(super) fn step(&self, job: JobId, step: u16) -> Option<&StepInfo> {
-        self.metas.get(&job)?.steps.get(usize::from(step))
+        self.job_infos.get(&job)?.steps.get(usize::from(step))
     }
 
-    /// A task's step.
+    /// Returns the data of the step that a task belongs to.
     pub(super) fn step_of(&self, task: TaskKey) -> Option<&StepInfo> {
         self.step(task.job, task.step)
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no step has waiting tasks.
     pub(super) fn is_empty(&self) -> bool {
-        self.groups.is_empty()
+        self.entries.is_empty()
     }
 
-    /// How many steps wait.
+    /// Returns the number of steps with waiting tasks.
     pub(super) fn len(&self) -> usize {
-        self.groups.len()
+        self.entries.len()
     }
 
-    /// How many tasks wait in them.
+    /// Returns the number of waiting tasks in all steps.
     pub(super) fn waiting_tasks(&self, jobs: &CellState) -> usize {
         let waiting = |key: &StepKey| {
             let occurrence = jobs.job(key.job)?.occurrences.get(key.occurrence as usize)?;
             let step = occurrence.steps.get(usize::from(key.step))?;
             Some(step.tasks.iter().filter(|task| !task.done && task.assignments.is_empty()).count())
         };
-        self.groups.keys().filter_map(waiting).sum()
+        self.entries.keys().filter_map(waiting).sum()
     }
 
-    /// Jobs with a schedule.
+    /// Returns the jobs with a schedule.
     pub(super) fn scheduled(&self) -> Vec<JobId> {
         self.scheduled.iter().copied().collect()
     }
 
-    fn has_down(&self, jobs: &CellState, key: StepKey) -> bool {
-        let lasts = self.step(key.job, key.step).is_some_and(|step| step.long_running);
-        lasts && jobs.job(key.job).is_some_and(|job| has_run_before(job, key))
+    fn has_interrupted(&self, jobs: &CellState, key: StepKey) -> bool {
+        let long_running = self.step(key.job, key.step).is_some_and(|step| step.long_running);
+        long_running && jobs.job(key.job).is_some_and(|job| has_run_before(job, key))
     }
 
     fn rank(&self, jobs: &CellState, key: StepKey, now: Moment, since: Moment) -> Rank {
         let last = Rank {
-            turn: Turn::Other,
-            front: Reverse(false),
+            start_class: StartClass::Other,
+            boosted: Reverse(false),
             lateness: Lateness::Overdue,
             priority: u32::MAX,
             density: 0,
             since,
         };
-        let (Some(job), Some(meta)) = (jobs.job(key.job), self.metas.get(&key.job)) else {
+        let (Some(job), Some(info)) = (jobs.job(key.job), self.job_infos.get(&key.job)) else {
             return last;
         };
-        let Some(step) = meta.steps.get(usize::from(key.step)) else { return last };
-        let priority = meta.priority;
+        let Some(step) = info.steps.get(usize::from(key.step)) else { return last };
+        let priority = info.priority;
         if step.long_running {
-            // The largest first, so that the small ones fill what is left.
+            // The largest tasks come first, so that small ones fill the capacity that is
+            // left.
             let density = -i64::try_from(step.need.millicores).unwrap_or(i64::MAX);
-            let again = self.policy.again_first.is_on() && has_run_before(job, key);
-            let turn = if again { Turn::Again } else { Turn::Lasting };
-            return Rank { turn, lateness: Lateness::Prompt, priority, density, ..last };
+            let interrupted = self.policy.again_first.is_on() && has_run_before(job, key);
+            let start_class =
+                if interrupted { StartClass::Interrupted } else { StartClass::LongRunning };
+            return Rank { start_class, lateness: Lateness::OnTime, priority, density, ..last };
         }
-        let mean = self.means.get(&job.queue).copied().unwrap_or(0.0);
-        let left = meta.shape.work_left(job);
-        let density = meta.shape.density(left, mean, self.policy.size_weight);
-        let lateness = meta.lateness(key.step, now);
-        let short = lateness == Lateness::Prompt && !step.opportunistic;
-        let turn = match short && self.policy.short_first.is_on() {
-            true => Turn::Short,
-            false => Turn::Other,
+        let mean = self.mean_work.get(&job.queue).copied().unwrap_or(0.0);
+        let left = info.estimate.work_left(job);
+        let density = info.estimate.density(left, mean, self.policy.size_weight);
+        let lateness = info.lateness(key.step, now);
+        let short = lateness == Lateness::OnTime && !step.opportunistic;
+        let start_class = match short && self.policy.short_first.is_on() {
+            true => StartClass::ShortOnTime,
+            false => StartClass::Other,
         };
-        let front = Reverse(turn == Turn::Short && self.sizes.is_front(key.job));
-        let alike = Rank { turn, front, lateness: Lateness::Prompt, priority: 0, ..last };
+        let boosted =
+            Reverse(start_class == StartClass::ShortOnTime && self.sizes.is_boosted(key.job));
+        let base = Rank { start_class, boosted, lateness: Lateness::OnTime, priority: 0, ..last };
         match self.policy.by {
             OrderBy::Worth => {
                 let density = -((density * DENSITY_SCALE) as i64);
-                Rank { lateness, priority, density, ..alike }
+                Rank { lateness, priority, density, ..base }
             }
-            OrderBy::Deadline => Rank { since: meta.came + meta.objective, ..alike },
-            OrderBy::Arrival => Rank { since: meta.came, ..alike },
+            OrderBy::Deadline => Rank { since: info.arrived_at + info.objective, ..base },
+            OrderBy::Arrival => Rank { since: info.arrived_at, ..base },
         }
     }
 }
 
-/// Whether a step has a task that ran once and waits.
+/// Returns whether a step has a task that ran before and waits again.
 fn has_run_before(job: &Job, key: StepKey) -> bool {
     let occurrence = job.occurrences.get(key.occurrence as usize);
     let step = occurrence.and_then(|found| found.steps.get(usize::from(key.step)));
@@ -514,10 +529,11 @@
 
 impl JobInfo {
     fn lateness(&self, step: u16, now: Moment) -> Lateness {
-        if self.lasts || self.scheduled {
-            return Lateness::Prompt;
+        if self.long_running || self.scheduled {
+            return Lateness::OnTime;
         }
-        let tail = self.shape.tails.get(usize::from(step)).copied().unwrap_or_default();
-        Shape::lateness(self.objective, now.since(self.came), tail)
+        let path_to_end =
+            self.estimate.paths_to_end.get(usize::from(step)).copied().unwrap_or_default();
+        JobEstimate::lateness(self.objective, now.since(self.arrived_at), path_to_end)
     }
 }
