--- a/crates/coordination/src/directory.rs
+++ b/crates/coordination/src/directory.rs
@@ -1,7 +1,7 @@
-//! The directory of targets, kept by the leader from what entries hear: who
-//! is there, who is silent, and which entry owns which runner.
+//! The leader's directory of targets, built from what entries report: which targets are alive,
+//! which are silent, and which entry owns each runner.
 //!
-//! It is soft state: a new leader learns it again from the heartbeats.
+//! The directory is not replicated: a new leader rebuilds it from heartbeats.
 
 use crate::entries::{EntryRecord, EntryTable};
 use crate::moment::{Moment, lease_span_with_drift};
@@ -10,47 +10,48 @@
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 
-/// How often targets are asked to send a heartbeat.
+/// Interval at which targets are asked to send heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest silence after which a target is suspected.
+/// Minimum time without a heartbeat after which a target is suspected.
 pub const SUSPECT_MIN: Duration = Duration::from_millis(2_500);
-/// A target is suspected after this many of its usual intervals.
+/// A target is suspected after this many of its usual heartbeat intervals without a heartbeat.
 const SUSPECT_INTERVALS: u32 = 3;
-/// Silence after which a runner is dropped.
+/// Time without a heartbeat after which a runner is marked as gone.
 pub const DEAD: Duration = Duration::from_secs(15);
 /// How long a worker runs its tasks after the last heartbeat that was answered.
 pub const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// Between two ticks of a leader that works: after a longer gap it stood still itself, and
-/// what it has not read yet says nothing about those who sent it.
+/// Longest gap between two ticks of a leader that is running. After a longer gap the leader
+/// itself was paused, so heartbeats may be waiting unread and silence says nothing about the
+/// targets.
 const TICK_GAP_MAX: Duration = Duration::from_millis(500);
-/// Longest way of a request from its owner to a runner.
+/// Upper bound on the time that a request takes from its owner to a runner.
 const SETTLE: Duration = Duration::from_millis(500);
-/// How long a dropped runner is still told to entries as gone.
+/// How long a runner that is gone is still reported to entries as gone.
 const TOMBSTONE: Duration = Duration::from_secs(60);
 
-/// Whether a target is to be used.
+/// Whether a target can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Health {
-    /// Heard lately.
+    /// A heartbeat arrived recently.
     #[display("live")]
     Live,
-    /// Silent for longer than usual: nothing new.
+    /// No heartbeat for longer than usual: it gets no new work.
     #[display("suspected")]
     Suspected,
-    /// It said that it leaves: nothing new.
+    /// It announced that it leaves: it gets no new work.
     #[display("leaving")]
     Leaving,
-    /// Dropped.
+    /// Dropped after it was silent for too long.
     #[display("gone")]
     Gone,
 }
 
-/// What a target last said of its load.
+/// The load that a target last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests or tasks it holds.
+    /// Requests or tasks that it is executing.
     pub busy: u32,
-    /// Processor in use, in thousandths.
+    /// CPU in use, in millicores.
     pub millicores: u64,
     /// Memory in use, in MiB.
     pub memory_mib: u64,
@@ -59,26 +60,26 @@
 /// A target's record.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: TargetSpec,
-    /// Whether it is to be used.
+    /// Whether it can be used.
     pub health: Health,
-    /// What it last said of its load.
+    /// The load that it last reported.
     pub usage: Usage,
-    /// When it was last heard.
+    /// When its last message arrived.
     pub last_heard: Moment,
-    /// The entry that routes to it, for runners.
+    /// The entry that routes requests to it; runners only.
     pub owner: Option<Name>,
-    /// Requests of a former owner that it may still hold.
+    /// Upper bound on the requests of a previous owner that it may still be executing.
     reserved: u32,
-    /// The owner that must let go, or lose its lease, before another is chosen.
+    /// The release by the previous owner that must complete before another owner is chosen.
     released: Option<Release>,
     changed: u64,
     interval: Duration,
 }
 
 impl Target {
-    /// A runner as entries are told of it.
+    /// The update for entries if this target is a runner.
     fn as_change(&self) -> Option<RunnerUpdate> {
         match &self.spec {
             TargetSpec::Worker(_) => None,
@@ -92,15 +93,15 @@
     }
 }
 
-/// What must happen before a runner gets its next owner. A request that the
-/// last owner sent may still be on its way: were the slots given out again at
-/// once, the runner would hold more than it has.
+/// What must happen before a runner gets its next owner. A request from the previous owner may
+/// still be in transit: if the slots were assigned again at once, the runner could receive more
+/// requests than it has slots.
 #[derive(Clone, Debug)]
 enum Release {
-    /// The last owner is alive and says when nothing of its own is in flight.
+    /// The previous owner is alive and will confirm when none of its requests is in flight.
     Asked(Name),
-    /// The last owner can send nothing since this moment; the runner's own count
-    /// is to be had from a heartbeat that is safely later.
+    /// The previous owner cannot send anything after this moment. The number of requests that are
+    /// still running is taken from a heartbeat that arrives at least [`SETTLE`] later.
     Ended(Moment),
 }
 
@@ -119,31 +120,31 @@
     }
 }
 
-/// What the directory makes of an announcement or heartbeat.
+/// Result of an announcement, heartbeat or leave message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Known and noted.
+    /// The target is known and its record was updated.
     Noted,
-    /// Not known, or another run of it: it must announce itself.
+    /// The target is unknown or has another incarnation: it must announce itself.
     AnnounceAgain,
-    /// Another run of it may still be alive; try again after the given time.
+    /// Another incarnation may still be alive; the target should try again after the given time.
     PreviousIncarnationAlive(Duration),
 }
 
-/// A runner as an entry needs to know it.
+/// A runner as it is described to entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerUpdate {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: RunnerSpec,
-    /// Whether it is to be used.
+    /// Whether it can be used.
     pub usable: bool,
-    /// Requests it said it holds.
+    /// Requests in flight that it reported.
     pub busy: u32,
-    /// The entry that routes to it.
+    /// The entry that routes requests to it.
     pub owner: Option<Name>,
 }
 
-/// All targets.
+/// All known targets.
 ///
 /// ```
 /// use yuccalink_coordination::{Moment, directory::*, entries::{EntryTable, EntryReport}};
@@ -173,7 +174,7 @@
     targets: BTreeMap<Name, Target>,
     version: u64,
     ticked: Moment,
-    /// Since when the leader has worked without standing still.
+    /// Since when the leader has ticked without a gap longer than [`TICK_GAP_MAX`].
     awake_since: Moment,
 }
 
@@ -183,12 +184,12 @@
         Self::default()
     }
 
-    /// Counts up with every change that entries must hear of.
+    /// Version of the directory; increases with every change that entries must receive.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in an announcement.
+    /// Handles an announcement.
     pub fn announce(&mut self, now: Moment, spec: TargetSpec, busy: u32) -> HeartbeatOutcome {
         if let Some(known) = self.targets.get(spec.name())
             && known.health != Health::Gone
@@ -228,7 +229,7 @@
         HeartbeatOutcome::Noted
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat.
     pub fn heartbeat(
         &mut self,
         now: Moment,
@@ -245,8 +246,8 @@
         let gap = now.since(target.last_heard).min(DEAD);
         target.interval = (target.interval * 7 + gap) / 8;
         target.last_heard = now;
-        // The owner counts its own requests; only what a former owner left there
-        // must be told it.
+        // The owner counts its own requests. It needs an update only for requests that a previous
+        // owner left at the runner.
         let tells_owner = target.reserved > 0 && target.usage.busy != usage.busy;
         target.reserved = target.reserved.min(usage.busy);
         target.usage = usage;
@@ -261,7 +262,7 @@
         HeartbeatOutcome::Noted
     }
 
-    /// A target says that it leaves.
+    /// Handles the message of a target that leaves.
     pub fn leave(&mut self, name: &Name, run: Incarnation) -> HeartbeatOutcome {
         let Some(target) = self.targets.get_mut(name) else {
             return HeartbeatOutcome::AnnounceAgain;
@@ -277,8 +278,8 @@
         HeartbeatOutcome::Noted
     }
 
-    /// Suspects and drops silent targets, and finds an owner for each runner.
-    /// Returns runners that were given a new owner.
+    /// Suspects and drops silent targets, and assigns an owner to each runner. Returns the runners
+    /// that got a new owner.
     pub fn tick(&mut self, now: Moment, entries: &EntryTable) -> Vec<Name> {
         if now.since(self.ticked) > TICK_GAP_MAX {
             self.awake_since = now;
@@ -314,7 +315,8 @@
         for target in self.targets.values_mut() {
             let Some(owner) = &target.owner else { continue };
             let entry = entries.get(owner);
-            // The last entry keeps its runners while it drains: better it than nobody.
+            // The last usable entry keeps its runners while it drains, because nobody else could
+            // serve them.
             let lost = entry.is_none_or(|e| (e.draining && successor) || !e.may_hold_lease(now));
             if !lost {
                 continue;
@@ -373,8 +375,8 @@
         load
     }
 
-    /// An entry's daemon was restarted: what its former run sent may still be
-    /// on the way, and the new run knows nothing of it.
+    /// Handles the restart of an entry's daemon: requests of the previous incarnation may still be
+    /// in transit, and the new one knows nothing of them.
     pub fn owner_restarted(&mut self, now: Moment, owner: &Name) {
         for target in self.targets.values_mut() {
             if target.owner.as_ref() == Some(owner) {
@@ -386,7 +388,7 @@
         }
     }
 
-    /// An owner says that nothing of its own is in flight at `name` any more.
+    /// Handles an owner's confirmation that none of its requests is in flight at `name`.
     pub fn confirm_release(&mut self, name: &Name, by: &Name) {
         if let Some(target) = self.targets.get_mut(name)
             && matches!(&target.released, Some(Release::Asked(from)) if from == by)
@@ -395,7 +397,7 @@
         }
     }
 
-    /// An entry says that it owns a runner since before this leader's time.
+    /// Records an owner that was assigned by an earlier leader and that the owner itself reports.
     pub fn restore_owner(&mut self, now: Moment, spec: RunnerSpec, owner: &Name) {
         let known = self.targets.get(&spec.name);
         if known.is_some_and(|t| t.owner.is_some() || t.spec.incarnation() != spec.incarnation) {
@@ -420,8 +422,8 @@
         target.changed = changed;
     }
 
-    /// Runners that changed after `version`, for an entry that knows up to there: the
-    /// oldest changes first, about `most` of them, and the version up to which they go.
+    /// Returns the runners that changed after `version`, the version that an entry has: the oldest
+    /// changes first, about `most` of them, and the version that they lead to.
     pub fn changes(&self, version: u64, most: usize) -> (Vec<RunnerUpdate>, u64) {
         let is_new = |target: &&Target| target.changed > version;
         let mut changed: Vec<(u64, RunnerUpdate)> = self
@@ -449,14 +451,15 @@
         self.targets.get(name)
     }
 
-    /// Drops a worker whose lease has surely ended.
+    /// Removes a worker whose lease has certainly expired.
     pub fn drop_worker(&mut self, name: &Name) {
         self.targets.remove(name);
     }
 }
 
-/// Two runs of one target must not hold work at once. The old one has surely
-/// stopped when its lease has run out, or when it said goodbye and holds nothing.
+/// Time until a new incarnation may replace the known one: two incarnations of a target must
+/// not have work at once. The old one has certainly stopped when its lease has expired, or when
+/// it announced that it leaves and executes nothing.
 fn wait_for_old_run(now: Moment, known: &Target) -> Duration {
     let lease = match &known.spec {
         TargetSpec::Worker(_) => lease_span_with_drift(WORKER_LEASE),
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -1,6 +1,6 @@
-//! Which orders are due at which worker. Orders follow from the replicated
-//! state: what a worker should run or stop and has not yet confirmed is sent
-//! again until it has, so a lost order or answer never leaves a task hanging.
+//! Decides which orders to send to a worker. Orders follow from the replicated state: what a
+//! worker should run or stop and has not yet confirmed is sent again until it is confirmed, so
+//! a lost order or response never leaves a task stuck.
 
 use crate::moment::Moment;
 use std::collections::{BTreeMap, HashMap};
@@ -9,34 +9,34 @@
 use yuccalink_state::id::{Epoch, TaskId, WorkerKey};
 use yuccalink_state::task::{Task, TaskPhase};
 
-/// Time after which an order without an answer is sent again.
+/// Time after which an unconfirmed order is sent again.
 pub const RESEND: Duration = Duration::from_secs(1);
-/// Most orders in one message.
+/// Maximum number of orders in one message.
 pub const BATCH_MAX: usize = 512;
 
-/// What a worker is told about one task.
+/// What a worker is to do with one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Order {
-    /// Run it, from its last checkpoint if it has one.
+    /// Run the task, from its last checkpoint if it has one.
     Start,
-    /// Save it and stop it.
+    /// Save a checkpoint of the task and stop it.
     Checkpoint,
-    /// Stop it.
+    /// Stop the task.
     Stop,
 }
 
-/// An order that is due.
+/// An order to send to a worker now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DueOrder {
     /// The task.
     pub task: TaskId,
-    /// The placement that the order is about.
+    /// The epoch of the placement that the order is for.
     pub epoch: Epoch,
     /// What to do.
     pub order: Order,
 }
 
-/// Remembers when each unconfirmed order was last sent.
+/// Records when each unconfirmed order was last sent.
 #[derive(Debug, Default)]
 pub struct Dispatch {
     sent: HashMap<(TaskId, Epoch, Order), Moment>,
@@ -48,7 +48,7 @@
         Self::default()
     }
 
-    /// The orders to send to one worker now; they count as sent.
+    /// Returns the orders to send to one worker now and records them as sent.
     ///
     /// ```
     /// # use yuccalink_coordination::{Moment, dispatch::Dispatch};
@@ -72,7 +72,7 @@
         due
     }
 
-    /// Forgets orders that the state no longer asks for.
+    /// Removes orders that no longer follow from the state.
     pub fn tidy(&mut self, state: &StateMachine) {
         self.sent.retain(|(id, epoch, order), _| {
             let task = state.task(*id).filter(|task| task.epoch == *epoch);
@@ -80,12 +80,12 @@
         });
     }
 
-    /// Lets an order be sent again at once, after its sending failed.
+    /// Lets an order be sent again at once after sending it failed.
     pub fn failed(&mut self, due: &DueOrder) {
         self.sent.remove(&(due.task, due.epoch, due.order));
     }
 
-    /// Unconfirmed orders remembered.
+    /// Number of unconfirmed orders.
     pub fn len(&self) -> usize {
         self.sent.len()
     }
@@ -109,21 +109,21 @@
     }
 }
 
-/// What a worker says it holds, against what it should hold.
+/// Compares the tasks that a worker reports with those that the state assigns to it.
 ///
-/// A task that should run there but is not held any more is missing only when
-/// it was so at two heartbeats in a row: one may have crossed with the order.
+/// A running task that the worker does not report counts as lost only after two heartbeats in a
+/// row without it: a single heartbeat may have crossed with the order.
 #[derive(Debug, Default)]
 pub struct Reconcile {
     missing: BTreeMap<(TaskId, Epoch), u32>,
 }
 
-/// What a heartbeat showed to differ.
+/// Differences between a heartbeat and the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
-    /// Should run on the worker, which has lost them.
+    /// Tasks that should run on the worker but are lost.
     pub lost: Vec<(TaskId, Epoch)>,
-    /// Held by the worker, which must drop them.
+    /// Tasks that the worker reports and must drop.
     pub stray: Vec<(TaskId, Epoch)>,
 }
 
--- a/crates/coordination/src/entries.rs
+++ b/crates/coordination/src/entries.rs
@@ -1,5 +1,5 @@
-//! Entry VMs as the leader knows them: who holds a configuration lease, which
-//! revision each has put in force, and when a revision is in force everywhere.
+//! The leader's table of entry VMs: which ones hold a configuration lease, which revision each
+//! has applied, and whether a revision is in force everywhere.
 
 use crate::moment::{Moment, lease_span_with_drift};
 use std::collections::BTreeMap;
@@ -8,51 +8,51 @@
 
 /// How long an entry may serve after it sent the request that renewed its lease.
 pub const CONFIG_LEASE: Duration = Duration::from_millis(3_000);
-/// Time without word after which an entry is no longer listed.
+/// Time without a report after which an entry is no longer listed.
 pub const FORGET: Duration = Duration::from_secs(600);
 
 /// One entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryRecord {
-    /// This run of its daemon.
+    /// The current incarnation of its daemon.
     pub incarnation: Incarnation,
-    /// Where it takes callers' requests, for other entries to hand them on.
+    /// Where it accepts callers' requests; other entries forward requests to this address.
     pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
-    /// The revision that it has put in force.
+    /// The revision that it has applied.
     pub acked_revision: Revision,
-    /// When it was last heard.
+    /// When its last report arrived.
     pub last_heard: Moment,
     /// Whether it is about to stop.
     pub draining: bool,
 }
 
 impl EntryRecord {
-    /// Whether it may still be serving under a lease granted here.
+    /// Whether it may still be serving under a lease that this leader granted.
     pub fn may_hold_lease(&self, now: Moment) -> bool {
         now.since(self.last_heard) <= lease_span_with_drift(CONFIG_LEASE)
     }
 }
 
-/// What one entry says when it asks for news and for its lease.
+/// The report that an entry sends to receive updates and renew its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryReport {
     /// Its name.
     pub name: Name,
-    /// This run of its daemon.
+    /// The current incarnation of its daemon.
     pub incarnation: Incarnation,
-    /// Where it takes callers' requests.
+    /// Where it accepts callers' requests.
     pub caller_address: Box<str>,
     /// Its availability zone.
     pub zone: Name,
-    /// The revision that it has put in force.
+    /// The revision that it has applied.
     pub acked_revision: Revision,
     /// Whether it is about to stop.
     pub draining: bool,
 }
 
-/// All entries heard by this leader.
+/// All entries that have reported to this leader.
 ///
 /// ```
 /// use yuccalink_coordination::{Moment, entries::*};
@@ -77,19 +77,19 @@
     since: Moment,
 }
 
-/// Where a revision is not yet in force.
+/// Whether a revision is in force at every entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutStatus {
-    /// Every entry that may serve has it.
+    /// Every entry that may be serving has applied it.
     Everywhere,
-    /// These may still serve an older one.
+    /// These entries may still serve an older revision.
     Not(Box<[Name]>),
-    /// Leases granted by an earlier leader may still run.
+    /// Leases granted by an earlier leader may still be valid.
     LeaderTooNew,
 }
 
 impl EntryTable {
-    /// A leader's table at the moment it became leader.
+    /// Creates the table of a leader that was elected at `now`.
     ///
     /// ```
     /// # use yuccalink_coordination::{Moment, entries::*};
@@ -102,8 +102,8 @@
         Self { all: BTreeMap::new(), since: now }
     }
 
-    /// Takes in a hello, which renews the sender's lease. True when another run
-    /// of its daemon was known before.
+    /// Stores a report, which renews the sender's lease. Returns true if the entry was known with
+    /// another incarnation of its daemon.
     pub fn record_report(&mut self, now: Moment, report: &EntryReport) -> bool {
         let entry = EntryRecord {
             incarnation: report.incarnation,
@@ -117,12 +117,12 @@
         before.is_some_and(|known| known.incarnation != report.incarnation)
     }
 
-    /// Forgets an entry that said it has stopped serving.
+    /// Removes an entry that has reported that it stopped serving.
     pub fn leave(&mut self, name: &Name) {
         self.all.remove(name);
     }
 
-    /// Drops entries that were silent for [`FORGET`].
+    /// Removes entries that have not reported for [`FORGET`].
     pub fn tidy(&mut self, now: Moment) {
         self.all.retain(|_, entry| now.since(entry.last_heard) < FORGET);
     }
@@ -137,15 +137,15 @@
         self.all.get(name)
     }
 
-    /// Whether leases granted before this leader may still run.
+    /// Whether leases granted by an earlier leader may still be valid.
     pub fn earlier_leases_may_run(&self, now: Moment) -> bool {
         now.since(self.since) <= lease_span_with_drift(CONFIG_LEASE)
     }
 
     /// Whether `revision` is in force at every entry that may be serving.
     ///
-    /// An entry that is cut off cannot acknowledge; it stops serving when its
-    /// lease runs out, and is waited for until then and no longer.
+    /// An entry that is disconnected cannot acknowledge. It stops serving when its lease expires,
+    /// so it is waited for only until then.
     pub fn rollout_status(&self, now: Moment, revision: Revision) -> RolloutStatus {
         let behind: Box<[Name]> = self
             .all
@@ -163,20 +163,21 @@
     }
 }
 
-/// An entry's own view of its lease.
+/// An entry's own view of its configuration lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigLease {
     until: Moment,
 }
 
 impl ConfigLease {
-    /// Renews the lease by the answer to a request sent at `sent`. Counting
-    /// from the sending is what lets the granter know an end that is not earlier.
+    /// Renews the lease with the response to a request sent at `sent`. The lease counts from the
+    /// time of sending, so it never ends later than the granter, which counts from the receipt,
+    /// assumes.
     pub fn renew(&mut self, sent: Moment) {
         self.until = self.until.max(sent + CONFIG_LEASE);
     }
 
-    /// Whether it may serve.
+    /// Whether the entry may serve.
     ///
     /// ```
     /// # use yuccalink_coordination::{Moment, entries::ConfigLease};
@@ -189,7 +190,7 @@
         now < self.until
     }
 
-    /// When it ends unless renewed.
+    /// When the lease expires unless it is renewed.
     pub fn until(&self) -> Moment {
         self.until
     }
--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -1,11 +1,11 @@
-//! Checks of what must always hold. Any test can attach them; each returns
-//! every breach it finds, in words.
+//! Invariant checks that any test can attach. Each returns all violations that it found, with a
+//! readable message.
 
 use std::collections::{BTreeMap, HashMap};
 use yuccalink_state::id::{Epoch, Name, TaskId, WorkerKey};
 use yuccalink_state::{Resources, StateMachine};
 
-/// A promise that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Violation {
     /// worker {0} is committed beyond what it has
@@ -33,14 +33,15 @@
     OverSlots {
         /// The runner.
         runner: Box<str>,
-        /// Requests at once.
+        /// Requests that it executed at once.
         held: u32,
-        /// Its slots.
+        /// The number of its slots.
         slots: u32,
     },
 }
 
-/// Commitments of each worker against its capacity and its tasks.
+/// Checks the resources committed on each worker against its capacity and the needs of its
+/// tasks.
 ///
 /// ```
 /// # use yuccalink_coordination::invariants::commitments;
@@ -67,7 +68,7 @@
     found
 }
 
-/// Watches what workers really do with tasks.
+/// Checks the task executions that workers report.
 ///
 /// ```
 /// use yuccalink_coordination::invariants::TaskChecker;
@@ -85,21 +86,21 @@
 }
 
 impl TaskChecker {
-    /// A worker began to run a task.
+    /// Records that a worker started a task.
     pub fn started(&mut self, task: TaskId, epoch: Epoch) {
         if let Some(first) = self.running.insert(task, epoch) {
             self.violations.push(Violation::TwoPlaces { task, first, second: epoch });
         }
     }
 
-    /// A worker no longer runs a task.
+    /// Records that a worker no longer runs a task.
     pub fn stopped(&mut self, task: TaskId, epoch: Epoch) {
         if self.running.get(&task) == Some(&epoch) {
             self.running.remove(&task);
         }
     }
 
-    /// A worker ran a task to its end.
+    /// Records that a worker ran a task to its end.
     pub fn finished(&mut self, task: TaskId, epoch: Epoch) {
         self.stopped(task, epoch);
         let times = self.finished.entry(task).or_default();
@@ -109,20 +110,20 @@
         }
     }
 
-    /// What was found.
+    /// The violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 }
 
-/// What a caller was told of its request.
+/// What the caller of a request was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// A whole answer that carries this tag of the request it is for.
+    /// A complete response with the tag of the request that it answers.
     Answer(u64),
-    /// That the request did not run.
+    /// The request was not executed.
     NotRun,
-    /// That nobody knows.
+    /// It is unknown whether the request was executed.
     Unknown,
 }
 
@@ -134,8 +135,8 @@
     told: Vec<CallerOutcome>,
 }
 
-/// Watches what runners really do with requests and what callers are told. Each
-/// sending of a request that may be called "not run" wants a name of its own.
+/// Checks the requests that runners execute against what callers are told. Each attempt of a
+/// request that may be reported as "not run" needs its own name.
 ///
 /// ```
 /// use yuccalink_coordination::invariants::{RequestChecker, CallerOutcome};
@@ -154,14 +155,14 @@
 }
 
 impl RequestChecker {
-    /// A caller sends a request; `tag` is what its answer must carry.
+    /// Records that a caller sent a request; `tag` is the tag that its response must carry.
     pub fn sent(&mut self, name: &str, tag: u64, once: bool) {
         let request = self.requests.entry(name.into()).or_default();
         request.tag = tag;
         request.once = once;
     }
 
-    /// A runner begins to run a request.
+    /// Records that a runner started a request.
     pub fn ran(&mut self, name: &str, runner: &str, slots: u32) {
         self.requests.entry(name.into()).or_default().runs += 1;
         let held = self.held.entry(runner.into()).or_default();
@@ -172,19 +173,19 @@
         }
     }
 
-    /// A runner is done with a request.
+    /// Records that a runner finished a request.
     pub fn done(&mut self, runner: &str) {
         if let Some(held) = self.held.get_mut(runner) {
             *held = held.saturating_sub(1);
         }
     }
 
-    /// A caller is told something.
+    /// Records what a caller was told.
     pub fn record_outcome(&mut self, name: &str, told: CallerOutcome) {
         self.requests.entry(name.into()).or_default().told.push(told);
     }
 
-    /// What was found, at the end of a run.
+    /// All violations; call this at the end of a run.
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = self.violations.clone();
         for (name, request) in &self.requests {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,9 +1,9 @@
-//! The coordination layer: the decisions, as parts that take an event and the
-//! current [`Moment`] and return what is to be done.
+//! The coordination layer: the scheduling decisions, as components that take an event and the
+//! current [`Moment`] and return the actions to perform.
 //!
-//! No part does input or output, reads a clock or draws its own randomness, so
-//! the same part runs inside the daemon, under a property test, in a scenario
-//! file and embedded in other programs.
+//! No component does input or output, reads a clock or draws its own randomness. The same code
+//! therefore runs in the daemon, in property tests, in scenario files and embedded in other
+//! programs.
 
 pub mod directory;
 pub mod dispatch;
--- a/crates/coordination/src/moment.rs
+++ b/crates/coordination/src/moment.rs
@@ -1,17 +1,16 @@
-//! Instants on a clock that only moves forward, and the bounds on how far two
-//! such clocks may drift apart.
+//! Instants of a monotonic clock, and a bound on the drift between two such clocks.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Most that one machine's clock may run fast or slow against another's, in
-/// parts per million. Leases are counted longer by this much where they were
-/// granted, so that a holder with the slowest clock allowed stops first.
+/// Maximum rate error of a machine's clock, in parts per million. The granter counts a lease as
+/// longer by this drift, so that a holder with the slowest permitted clock still stops before
+/// the granter counts the lease as expired.
 pub const DRIFT_PPM: u64 = 10_000;
 
-/// Microseconds since some start that one process chose.
+/// Microseconds since an arbitrary origin that one process chose.
 #[derive(
     Clone,
     Copy,
@@ -31,10 +30,10 @@
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The start.
+    /// The origin of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// The moment this many milliseconds after the start.
+    /// The moment this many milliseconds after the origin.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -44,7 +43,7 @@
         Self(ms * 1_000)
     }
 
-    /// Time from `earlier` to `self`, zero when `earlier` is later.
+    /// Time from `earlier` to `self`, or zero if `earlier` is later.
     ///
     /// ```
     /// # use yuccalink_coordination::Moment;
@@ -74,8 +73,8 @@
     }
 }
 
-/// How long the granter of a lease must wait before it may count a lease of
-/// `span` as ended, counted from when it last granted it.
+/// How long the granter of a lease of `span` must wait after it last granted the lease before
+/// it may count the lease as expired.
 ///
 /// ```
 /// use std::time::Duration;
@@ -84,7 +83,7 @@
 /// ```
 #[must_use]
 pub fn lease_span_with_drift(span: Duration) -> Duration {
-    // Both clocks may be off, in opposite directions.
+    // The two clocks may err in opposite directions, so the drift counts twice.
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX / 2);
     span + Duration::from_micros(
         micros / 1_000_000 * 2 * DRIFT_PPM + micros % 1_000_000 * 2 * DRIFT_PPM / 1_000_000,
--- a/crates/coordination/src/peer_table.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -1,5 +1,6 @@
-//! Whom a process of a job cell knows: seeds, disks, and who leads. Sans-IO: tell it what
-//! other processes say, with the current [`Moment`], and ask it.
+//! The processes of a job cell that one process knows: seeds, disks and the leader. Sans-IO:
+//! the caller passes in the messages of other processes with the current [`Moment`] and queries
+//! the result.
 
 use crate::moment::Moment;
 use crate::raft::{Member, ReplicaId};
@@ -10,46 +11,46 @@
 use std::time::Duration;
 use yuccalink_state::id::Name;
 
-/// Silence after which a leader is no longer believed in: three missed answers.
+/// Time without an answer after which the leader is dropped: three missed answers.
 pub const LEAD_FRESH: Duration = Duration::from_millis(1_300);
-/// Silence after which a disk that is no member is forgotten.
+/// Time without a message after which a disk that is not a member is removed.
 const DISK_FORGET: Duration = Duration::from_secs(30);
 
-/// What a process says of itself.
+/// What a process reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     /// Its name.
     pub name: Box<str>,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// Where other processes of the cell reach it.
+    /// Address for other processes of the cell.
     pub peer: SocketAddr,
-    /// Where runners and operators reach it.
+    /// Address for runners and operators.
     pub control: Option<SocketAddr>,
-    /// Its disk, where it has one.
+    /// The replica on its disk, if it has a disk.
     pub replica: Option<ReplicaId>,
-    /// It has a disk with nothing on it and may found a new cell.
+    /// It has an empty disk and may bootstrap a new cell.
     #[serde(rename = "may_found")]
     pub may_bootstrap: bool,
 }
 
-/// Who leads, as far as the sender knows.
+/// The leader as known to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderInfo {
     /// Its term.
     pub term: u64,
-    /// Where other processes of the cell reach it.
+    /// Its address for other processes of the cell.
     pub peer: SocketAddr,
-    /// Where runners and operators reach it.
+    /// Its address for runners and operators.
     pub control: Option<SocketAddr>,
-    /// Said by the leader of itself: it holds its lease and a change set.
+    /// Reported by the leader about itself: it holds its lease and has a change set.
     pub serving: bool,
 }
 
 #[derive(Debug)]
 struct Known {
     info: NodeInfo,
-    /// When it was heard itself; never for one that others told of.
+    /// When its own last message arrived; none if only other processes reported it.
     heard: Option<Moment>,
     told: Moment,
 }
@@ -76,21 +77,23 @@
 pub struct PeerTable {
     /// This process.
     pub me: NodeInfo,
-    /// Processes to ask first, in an order that all share at the first start.
+    /// Addresses to contact first, in an order that all processes share at the first start.
     pub seeds: Vec<SocketAddr>,
     bootstrap: bool,
     known: BTreeMap<SocketAddr, Known>,
     lead: Option<(LeaderInfo, Moment)>,
-    /// Whom this process, being the first seed and without a disk, lets found.
+    /// The replica that this process, as the first seed and without a disk, chose to bootstrap the
+    /// cell.
     designated: Option<ReplicaId>,
-    /// What the first seed said to that.
+    /// The replica that the first seed chose to bootstrap the cell, as the first seed reported it.
     founder: Option<ReplicaId>,
-    /// Some process of the cell says that there is a leader or a state.
+    /// Another process has reported a leader, so the cell exists.
     founded: bool,
 }
 
 impl PeerTable {
-    /// One that knows its seeds only; `bootstrap` at the very first start of a cell.
+    /// Creates a table that contains only the seeds; `bootstrap` is set at the very first start of
+    /// a cell.
     pub fn new(me: NodeInfo, seeds: Vec<SocketAddr>, bootstrap: bool) -> Self {
         let known = BTreeMap::new();
         Self {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Another process says who it is.
+    /// Records a process that reports about itself.
     pub fn record_peer(&mut self, info: NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
@@ -121,13 +124,13 @@
         self.known.insert(info.peer, Known { info, heard: Some(now), told: now });
     }
 
-    /// Another process tells of a disk that it has heard.
+    /// Records a disk that another process reports.
     pub fn record_reported_peer(&mut self, info: &NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
         }
         match self.known.get_mut(&info.peer) {
-            // What a process says of itself is newer than what others tell.
+            // A recent report of the process about itself takes precedence over what others report.
             Some(known) if known.heard.is_some_and(|at| now.since(at) < DISK_FORGET) => {}
             Some(known) => known.told = now,
             None => {
@@ -137,10 +140,10 @@
         }
     }
 
-    /// Another process tells who leads.
+    /// Records the leader that another process reports.
     pub fn record_leader(&mut self, lead: LeaderInfo, from: SocketAddr, now: Moment) {
         self.founded = true;
-        // Whether this process leads its own replica knows best.
+        // Whether this process leads is decided by its own replica.
         if lead.peer == self.me.peer {
             return;
         }
@@ -162,7 +165,7 @@
         }
     }
 
-    /// The process believed to lead does not, or does not answer.
+    /// Removes the leader if it is `peer`, because it does not answer or no longer leads.
     pub fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
         if self.lead.is_some_and(|(lead, _)| lead.peer == peer) {
             log::warn!("leader={peer} lost why={why}");
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Drops a leader that has not been heard for long.
+    /// Drops a leader that has been silent for longer than [`LEAD_FRESH`], and processes that were
+    /// not reported for 30 s.
     pub fn tick(&mut self, now: Moment) {
         if let Some((lead, at)) = self.lead
             && now.since(at) > LEAD_FRESH
@@ -180,31 +184,33 @@
         self.known.retain(|_, known| now.since(known.told) < DISK_FORGET);
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, if one is known.
     pub fn lead(&self) -> Option<LeaderInfo> {
         self.lead.map(|(lead, _)| lead)
     }
 
-    /// Another process tells whom the first seed lets found; only that one's word counts.
+    /// Records the replica that the first seed chose to bootstrap the cell; only the first seed's
+    /// message counts.
     pub fn record_bootstrapper(&mut self, founder: Option<ReplicaId>, from: SocketAddr) {
         if self.seeds.first() == Some(&from) && founder.is_some() {
             self.founder = founder;
         }
     }
 
-    /// Whom this process, as the first seed and without a disk, lets found.
+    /// The replica that this process, as the first seed and without a disk, chose to bootstrap the
+    /// cell.
     pub fn designated(&self) -> Option<ReplicaId> {
         self.designated
     }
 
-    /// Disks that this process has heard itself lately, for others to know.
+    /// Disks that recently reported to this process, for other processes.
     pub fn disks(&self, now: Moment) -> Vec<NodeInfo> {
         let fresh = |known: &&Known| known.heard.is_some_and(|at| now.since(at) < DISK_FORGET);
         let disks = self.known.values().filter(fresh).map(|known| &known.info);
         disks.filter(|info| info.replica.is_some()).cloned().collect()
     }
 
-    /// The same, as candidates for a vote.
+    /// Disks that have reported to this process, as candidates for voters.
     pub fn candidates(&self, now: Moment) -> Vec<Disk> {
         let candidate = |known: &Known| {
             let info = &known.info;
@@ -215,19 +221,19 @@
         self.known.values().filter_map(candidate).collect()
     }
 
-    /// Where a replica's daemon is, by its own word.
+    /// Address of the process whose disk holds this replica.
     pub fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
         let is = |known: &&Known| known.info.replica == Some(id);
         self.known.values().find(is).map(|known| known.info.peer)
     }
 
-    /// Where runners and operators reach a daemon.
+    /// Address at which runners and operators reach a process.
     pub fn control_of(&self, peer: SocketAddr) -> Option<SocketAddr> {
         self.known.get(&peer).and_then(|known| known.info.control)
     }
 
-    /// Whom this process keeps a connection to. Without a leader: whoever may know
-    /// one. With one: the leader, and from a disk every other disk.
+    /// The processes that this one keeps a connection to. Without a leader: every process that may
+    /// know one. With a leader: the leader and, if this process has a disk, every other disk.
     pub fn wanted_links(&self, members: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let mut wanted = BTreeSet::new();
         let has_disk = self.me.replica.is_some();
@@ -246,10 +252,10 @@
         wanted
     }
 
-    /// Whether this process is to found the cell: it has an empty disk, the cell is
-    /// new, and it is the first seed with a disk. Exactly one may: two founders
-    /// would make two cells that both believe to be the only one. A seed that does
-    /// not answer may have a disk, so nobody founds before it does.
+    /// Whether this process is to bootstrap the cell: the cell is new, this process has an empty
+    /// disk, and it is the first seed with a disk. At most one process may do so: two would make
+    /// two cells that each consider themselves the only one. A seed that does not answer may have a
+    /// disk, so no process after it bootstraps until it answers.
     pub fn should_bootstrap(&self, empty: bool) -> bool {
         if !self.bootstrap || !empty || self.founded || self.lead.is_some() {
             return false;
@@ -270,7 +276,7 @@
     }
 }
 
-/// A process with a disk as a member of the consensus.
+/// The process as a Raft member, if it has a disk and a valid name.
 pub fn member_of(info: &NodeInfo) -> Option<Member> {
     let name = Name::new(&info.name).ok()?;
     Some(Member { id: info.replica?, name, address: info.peer.to_string().into() })
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: which worker gets which waiting task. Plans from the replicated
-//! state; what it plans is committed, and checked again, by the state machine.
+//! Placement: decides which worker gets which waiting task. It plans from the replicated state;
+//! the state machine checks each placement again when it is committed.
 
 use std::collections::{HashMap, HashSet};
 use yuccalink_state::command::Placement;
@@ -9,31 +9,31 @@
 use yuccalink_state::worker::WorkerPhase;
 use yuccalink_state::{Resources, StateMachine};
 
-/// Most placements in one plan, so that one commit stays small.
+/// Maximum number of placements in one plan; bounds the size of one commit.
 pub const PLAN_MAX: usize = 4096;
 
-/// Why a task was not placed, or where and past how many others.
+/// One planned placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The task.
     pub task: TaskId,
-    /// Where it goes.
+    /// The worker that it is placed on.
     pub worker: WorkerKey,
-    /// Live workers that could not hold it.
+    /// Live workers without enough free capacity for the task.
     pub passed_over: usize,
 }
 
-/// What to commit now.
+/// The placements to commit now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// In the order of the tasks' ranks.
+    /// Placements in the order of the tasks' ranks.
     pub decisions: Vec<Decision>,
-    /// Waiting tasks that no worker has room for now.
+    /// Waiting tasks for which no worker has enough free capacity now.
     pub no_room: usize,
 }
 
 impl Plan {
-    /// The plan as the state machine's command wants it.
+    /// The placements in the form that the state machine's command takes.
     ///
     /// ```
     /// # use yuccalink_coordination::placement::Plan;
@@ -44,26 +44,26 @@
     }
 }
 
-/// Why no worker could ever hold a need.
+/// Why no worker could run a task with this need.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Impossible {
     /// no worker has announced itself yet
     NoWorker,
     /// no worker is large enough: the largest have {millicores} millicores, {memory_mib} MiB and {accelerators} accelerators; lower `needs` in the document
     TooLarge {
-        /// Most of any worker.
+        /// Largest CPU capacity of any worker.
         millicores: u64,
-        /// Most of any worker.
+        /// Largest memory of any worker.
         memory_mib: u64,
-        /// Most of any worker.
+        /// Largest number of accelerators of any worker.
         accelerators: u32,
     },
 }
 
-/// Whether some worker, empty, could hold `need`.
+/// Checks that some worker could run `need` if it were empty.
 ///
 /// # Errors
-/// [`Impossible`] with what the workers have.
+/// Returns [`Impossible`] with the largest capacities of the workers.
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{possible, Impossible};
@@ -96,10 +96,11 @@
     zone: Name,
 }
 
-/// Tasks of one kind per rack or per zone, whichever the kind is spread over.
+/// Number of tasks of one service and kind in each rack or zone, depending on the kind's
+/// spread.
 type Neighbours = HashMap<(ServiceKey, Name), HashMap<Name, u32>>;
 
-/// Plans placements for waiting tasks, the most urgent first.
+/// Plans placements for the waiting tasks, the most urgent first.
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{plan, Plan};
@@ -142,8 +143,8 @@
     }
 
     fn place(&mut self, task: &Task) -> Option<Decision> {
-        // A need that fitted nowhere fits nowhere until the next plan: skipping it
-        // keeps a long queue of equal tasks from costing a scan each.
+        // A need that fits no worker now fits none later in this plan. Skipping it avoids one scan
+        // of all workers per task in a long queue of equal tasks.
         if self.full_for.contains(&task.need) {
             return None;
         }
@@ -216,9 +217,9 @@
     }
 }
 
-/// Smaller is better. Batch fills the fullest worker that has room and so keeps
-/// whole workers free for large tasks; latency-critical work takes the emptiest,
-/// where least disturbs it.
+/// Packing score; smaller is better. A batch task takes the fullest worker with enough free
+/// capacity, which keeps whole workers free for large tasks. A latency-critical task takes the
+/// emptiest worker, where it meets the least interference.
 fn packing(class: TaskClass, left: Resources, capacity: Resources) -> u64 {
     let share = |left: u64, all: u64| left.saturating_mul(1024) / all.max(1);
     let cores = share(left.millicores, capacity.millicores);
--- a/crates/coordination/src/pressure.rs
+++ b/crates/coordination/src/pressure.rs
@@ -1,8 +1,8 @@
-//! Pressure on a worker: while its processors are nearly all in use and it runs
-//! latency-critical tasks, the batch tasks whose services allow it are throttled.
+//! CPU pressure on a worker: while nearly all of its CPU is in use and it runs latency-critical
+//! tasks, the batch tasks whose services allow it are throttled.
 //!
-//! A throttle lasts a short time at the worker and is renewed with each heartbeat
-//! under pressure, so that a lost leader never leaves work slow for good.
+//! A throttle expires at the worker after a short time and is renewed with each heartbeat under
+//! pressure, so the loss of the leader never leaves tasks throttled for good.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,14 +11,13 @@
 use yuccalink_state::id::{Epoch, TaskId, WorkerKey};
 use yuccalink_state::task::{Task, TaskPhase};
 
-/// Share of a worker's processors in use from which it is under pressure, in
-/// thousandths.
+/// Share of a worker's CPU in use from which it is under pressure, in thousandths.
 pub const PRESSED_FROM: u64 = 900;
-/// Share below which it is not any more; the gap keeps it from going to and fro.
+/// Share of CPU in use below which the pressure ends, in thousandths; the gap avoids flapping.
 pub const EASED_BELOW: u64 = 700;
-/// What a throttled task gets of its processors, in thousandths.
+/// Share of its CPU that a throttled task gets, in thousandths.
 pub const THROTTLED_SHARE_PERMILLE: u32 = 500;
-/// How long a throttle lasts unless renewed.
+/// How long a throttle lasts unless it is renewed.
 pub const THROTTLE_DURATION: Duration = Duration::from_secs(5);
 
 /// A task to be throttled now.
@@ -26,28 +25,28 @@
 pub struct Throttle {
     /// The task.
     pub task: TaskId,
-    /// Its placement.
+    /// The epoch of its placement.
     pub epoch: Epoch,
 }
 
-/// How a worker's state changed.
+/// A change of a worker's pressure state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PressureChange {
-    /// It came under pressure.
+    /// The worker came under pressure.
     Pressed,
-    /// The pressure is over.
+    /// The worker is no longer under pressure.
     Eased,
 }
 
-/// Workers under pressure.
+/// The workers that are under pressure.
 #[derive(Debug, Default)]
 pub struct Pressure {
     pressed: BTreeSet<WorkerKey>,
 }
 
 impl Pressure {
-    /// Takes in a worker's use of its processors; returns what to throttle now, and
-    /// whether its state changed.
+    /// Handles a worker's reported CPU use. Returns the tasks to throttle now and the change of the
+    /// worker's pressure state, if any.
     ///
     /// ```
     /// # use yuccalink_coordination::pressure::Pressure;
@@ -82,7 +81,7 @@
     }
 }
 
-/// In thousandths of what the worker has.
+/// CPU in use, in thousandths of the worker's capacity.
 fn used_share(state: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
     let all = state.worker_at(worker).spec.capacity.millicores;
     used_millicores.saturating_mul(1000) / all.max(1)
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -1,9 +1,9 @@
-//! Consensus between the voters: the Raft algorithm (Ongaro and Ousterhout,
-//! ATC '14; membership and pre-vote after Ongaro's thesis), sans-IO.
+//! Consensus among the voters: the Raft algorithm (Ongaro and Ousterhout, ATC '14; membership
+//! changes and pre-vote after Ongaro's thesis), sans-IO.
 //!
-//! Feed it messages, ticks, proposals and the disk's confirmations; take its
-//! [`Output`] after each and carry it out. Nothing that a message promises is
-//! sent before the disk has confirmed it.
+//! The caller passes in messages, ticks, proposals and the disk's confirmations, then takes the
+//! [`Output`] and carries it out. A message is sent only after the disk has confirmed the write
+//! that the message depends on.
 
 mod election;
 mod follower;
@@ -28,31 +28,32 @@
 use std::time::Duration;
 use yuccalink_state::id::Name;
 
-/// Shortest silence of a leader after which a follower may vote for another.
+/// Minimum time without a message of the leader after which a follower may vote for another.
 pub const ELECTION_MIN: Duration = Duration::from_millis(400);
-/// Longest silence before a follower asks to be elected.
+/// Maximum time without a message of the leader before a follower starts an election.
 pub const ELECTION_MAX: Duration = Duration::from_millis(800);
-/// How often a leader is heard without news.
+/// Interval at which a leader sends heartbeats when it has no new entries.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Silence after which sending to a follower is begun anew.
+/// Time without a response after which sending to a follower starts again.
 pub const RESEND: Duration = Duration::from_millis(300);
-/// Most entries in one message.
+/// Maximum number of entries in one message.
 pub const APPEND_ENTRIES: usize = 512;
-/// Most bytes of entries in one message, but always at least one entry.
+/// Maximum size of the entries in one message in bytes; a message always takes at least one
+/// entry.
 pub const APPEND_BYTES: usize = 1024 * 1024;
-/// Messages with entries under way to one follower.
+/// Maximum number of unanswered messages with entries to one follower.
 pub const APPENDS_IN_FLIGHT: usize = 16;
 /// Bytes of a snapshot in one message.
 pub const CHUNK: usize = 256 * 1024;
-/// Largest snapshot that is taken in.
+/// Largest snapshot that is accepted, in bytes.
 pub const SNAPSHOT_MAX: usize = 1024 * 1024 * 1024;
-/// Entries kept behind the snapshot for followers that are a little behind.
+/// Log entries kept before the snapshot for followers that are slightly behind.
 pub const RETAINED_LOG_ENTRIES: u64 = 4_096;
-/// A learner may vote once it is at most this many entries behind.
+/// A learner may become a voter once it is at most this many entries behind.
 pub const CAUGHT_UP: u64 = 64;
 
-/// One disk's identity: drawn when the disk is first used, so that a replaced
-/// disk is never mistaken for its former self.
+/// Identity of one disk. It is drawn when the disk is first used, so a replacement is never
+/// mistaken for the disk that it replaces.
 #[derive(
     Clone,
     Copy,
@@ -71,23 +72,23 @@
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
 
-/// A replica and where its daemon is.
+/// A replica and the address of its daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its disk.
+    /// The identity of its disk.
     pub id: ReplicaId,
-    /// Its daemon.
+    /// The name of its daemon.
     pub name: Name,
-    /// Where daemons reach it.
+    /// The address at which other daemons reach it.
     pub address: Box<str>,
 }
 
-/// Who votes, and who is catching up.
+/// The voters and the learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// They make the quorum.
+    /// Members that count towards the quorum.
     pub voters: Vec<Member>,
-    /// They only follow.
+    /// Members that replicate the log and do not vote.
     pub learners: Vec<Member>,
 }
 
@@ -112,66 +113,66 @@
     }
 }
 
-/// What must survive a restart besides the entries.
+/// State that must survive a restart in addition to the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The newest term seen.
     pub term: u64,
-    /// Who got this replica's vote in that term.
+    /// The replica that got this replica's vote in that term.
     pub vote: Option<ReplicaId>,
 }
 
-/// What a snapshot stands for.
+/// Position of a snapshot in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// The last entry in it.
+    /// Index of the last entry that it contains.
     pub index: u64,
     /// That entry's term.
     pub term: u64,
-    /// The members after it.
+    /// The members after that entry.
     pub members: Members,
 }
 
-/// What to write, in this order, with one sync.
+/// One write to the disk: the parts in this order, with one sync.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogWrite {
-    /// Confirmed by [`Raft::persisted`].
+    /// Number of the write; confirmed with [`Raft::persisted`].
     pub seq: u64,
-    /// Replaces the one before.
+    /// The hard state, which replaces the previous one.
     pub hard: HardState,
-    /// Index of the first of `entries`; what is there from it on is replaced.
+    /// Index of the first of `entries`; stored entries from this index on are replaced.
     pub first: u64,
-    /// Possibly none.
+    /// The entries to write; may be empty.
     pub entries: Vec<LogEntry>,
 }
 
-/// What to do after an event.
+/// Actions to perform after an event.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Write these, one after the other.
+    /// Writes to perform in order.
     pub persist: Vec<LogWrite>,
-    /// Send each once the write with its number is confirmed.
+    /// Messages, each with the number of the write that must be confirmed before it is sent.
     pub messages: Vec<(u64, Envelope)>,
-    /// Apply these, in order.
+    /// Committed entries with their indexes, to apply in order.
     pub committed: Vec<(u64, LogEntry)>,
-    /// Followers that need a snapshot: answer with [`Raft::offer_snapshot`].
+    /// Followers that need a snapshot: respond with [`Raft::offer_snapshot`].
     pub need_snapshot: Vec<ReplicaId>,
-    /// Put this snapshot in place of the state and the log, then call
-    /// [`Raft::installed`].
+    /// A snapshot that replaces the state and the log; call [`Raft::installed`] once it is in
+    /// place.
     pub install: Option<(SnapshotMeta, Vec<u8>)>,
 }
 
-/// What a replica is at present.
+/// Current role of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     #[default]
     Follower,
-    /// Asks whether it would be elected, without disturbing anybody.
+    /// Asks whether it would be elected, without raising the term of the others.
     PreCandidate,
-    /// Asks to be elected.
+    /// Asks for votes.
     Candidate,
-    /// Leads.
+    /// Leads the group.
     Leader,
 }
 
@@ -191,7 +192,7 @@
     bytes: Vec<u8>,
 }
 
-/// One replica of the log.
+/// One replica of the replicated log.
 pub struct Raft {
     id: ReplicaId,
     hard: HardState,
@@ -207,7 +208,7 @@
     heartbeat_at: Moment,
     led_since: u64,
     elected_at: Moment,
-    /// This leader has asked another to take over, and grants nothing any more.
+    /// This leader has asked another replica to take over and grants no leases any more.
     handing_over: bool,
     votes: BTreeSet<ReplicaId>,
     progress: BTreeMap<ReplicaId, Progress>,
@@ -221,19 +222,19 @@
     out: Output,
 }
 
-/// What a replica starts with: what its disk holds.
+/// The state that a replica restores from its disk.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// The newest durable one.
+    /// The newest durable hard state.
     pub hard: HardState,
-    /// Of the snapshot that the state was read from.
+    /// Position of the snapshot that the state was read from.
     pub snapshot: SnapshotMeta,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
 impl Raft {
-    /// A replica as its disk remembers it. `seed` decides its election times.
+    /// Creates a replica with the state on its disk. `seed` determines its election timeouts.
     ///
     /// ```
     /// use yuccalink_coordination::{Moment, raft::*};
@@ -284,15 +285,15 @@
         if raft.members.voters.len() == 1 {
             raft.election_at = now;
         } else if raft.hard.term > 0 {
-            // A leader that was heard just before the restart may hold a lease on
-            // the promise that this replica votes for nobody else meanwhile.
+            // A leader that was heard just before the restart may hold a lease that relies on this
+            // replica not voting for another meanwhile.
             raft.leader_heard = Some(now);
         }
         raft
     }
 
-    /// Founds a new system with these members. Only for a replica that has
-    /// nothing, after every other one has said that it has nothing either.
+    /// Bootstraps a new group with these members. Call it only on an empty replica, after all other
+    /// replicas have reported that they are empty too.
     pub fn bootstrap(&mut self, members: Members, now: Moment) {
         if self.log.last() > 0 || self.hard.term > 0 {
             return;
@@ -308,7 +309,7 @@
         self.id
     }
 
-    /// What it is at present.
+    /// Its current role.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -318,17 +319,17 @@
         self.hard.term
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, if one is known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The newest members, committed or not.
+    /// The newest members in the log, committed or not.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Whether the newest members are committed: only then is a repair done.
+    /// Whether the newest members are committed; a membership change is complete only then.
     pub fn members_committed(&self) -> bool {
         self.members_index <= self.commit
     }
@@ -343,7 +344,7 @@
         self.log.last()
     }
 
-    /// Whether nothing was ever written here.
+    /// Whether nothing was ever written to this replica.
     pub fn is_empty(&self) -> bool {
         self.log.last() == 0 && self.hard == HardState::default()
     }
@@ -353,14 +354,14 @@
         self.log.term(index)
     }
 
-    /// Whether this replica leads and has applied everything that earlier
-    /// leaders committed.
+    /// Whether this replica leads and has committed an entry of its own term, and with it
+    /// everything that earlier leaders committed.
     pub fn has_committed_in_term(&self) -> bool {
         self.role == Role::Leader && self.commit >= self.led_since
     }
 
-    /// Whether no other replica can have been elected yet: a quorum was heard so
-    /// lately that it still refuses to vote. Only then may leases be granted.
+    /// Whether no other replica can have been elected yet: a quorum responded so recently that it
+    /// still refuses to vote for another. Leases may be granted only then.
     pub fn has_lease(&self, now: Moment) -> bool {
         if !self.has_committed_in_term() || self.handing_over {
             return false;
@@ -370,7 +371,8 @@
         now < self.quorum_heard(now) + span
     }
 
-    /// When the quorum's last answered messages were sent.
+    /// The time by which a quorum was last heard: when the newest messages that it answered were
+    /// sent.
     fn quorum_heard(&self, now: Moment) -> Moment {
         let heard = |voter: &Member| match voter.id == self.id {
             true => now,
@@ -381,7 +383,7 @@
         times.get(self.members.quorum() - 1).copied().unwrap_or(Moment::ZERO)
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take(&mut self) -> Output {
         self.hand_out();
         std::mem::take(&mut self.out)
@@ -400,7 +402,7 @@
 
     // ---- time ----
 
-    /// Does what is due at `now`.
+    /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Moment) {
         if self.role == Role::Leader {
             self.lead(now);
@@ -410,8 +412,8 @@
     }
 
     fn lead(&mut self, now: Moment) {
-        // A leader that no quorum hears steps down: its callers must find the
-        // other one, and a cut-off leader must not collect what it cannot commit.
+        // A leader without responses from a quorum steps down: clients must find the new leader,
+        // and a partitioned leader must not accept proposals that it cannot commit.
         let heard = self.quorum_heard(now).max(self.elected_at);
         if self.members.voters.len() > 1 && now.since(heard) > ELECTION_MAX * 2 {
             self.follow(now, self.hard.term, None);
@@ -443,18 +445,19 @@
 
     // ---- messages ----
 
-    /// Takes in a message of another replica.
+    /// Handles a message from another replica.
     pub fn step(&mut self, now: Moment, envelope: Envelope) {
         let Envelope { from, to, message } = envelope;
-        // Messages name the disk they are for: one for the disk that this one
-        // replaced must not be taken as its own.
+        // Messages carry the identity of the disk that they are for: one for the disk that this
+        // disk replaced must not be accepted.
         if to != self.id || from == self.id {
             return;
         }
         let term = message.term();
         match &message {
             Message::PreVote { .. } | Message::PreVoteReply { .. } => {}
-            // The leader itself asked for this election, and grants nothing any more.
+            // A vote that the leader itself requested is allowed, because that leader grants no
+            // leases any more.
             Message::Vote { handed_over: false, .. } if self.hears_leader(now) => return,
             _ if term > self.hard.term => self.follow(now, term, None),
             _ => {}
@@ -488,7 +491,7 @@
                 }
             }
             Message::Append { .. } | Message::Chunk { .. } if term < self.hard.term => {
-                // Tells a leader of the past that its time is over.
+                // Tells a leader of an earlier term about the newer term.
                 let reply = Message::AppendReply {
                     term: self.hard.term,
                     ok: false,
@@ -518,8 +521,8 @@
         }
     }
 
-    /// Whether a leader was heard so lately that no other may be elected. Leases
-    /// rest on this: without it a leader could be replaced while it grants them.
+    /// Whether a leader was heard so recently that no other may be elected. Leases depend on this:
+    /// otherwise a leader could be replaced while it grants them.
     fn hears_leader(&self, now: Moment) -> bool {
         match self.role {
             Role::Leader => now.since(self.quorum_heard(now)) < ELECTION_MIN,
@@ -549,7 +552,7 @@
     }
 }
 
-/// Whether the voters differ by one at most.
+/// Whether the voters differ by at most one.
 fn one_step(old: &Members, new: &Members) -> bool {
     let ids = |members: &Members| -> BTreeSet<ReplicaId> {
         members.voters.iter().map(|voter| voter.id).collect()
--- a/crates/coordination/src/raft/election.rs
+++ b/crates/coordination/src/raft/election.rs
@@ -1,10 +1,10 @@
-//! Elections: asking beforehand, campaigning, voting.
+//! Elections: pre-vote, campaign and votes.
 
 use super::*;
 
 impl Raft {
-    /// Asks whether it would be elected. A replica that was cut off would
-    /// otherwise come back with a high term and unseat a good leader.
+    /// Starts a pre-vote. Without it, a replica that was partitioned would come back with a high
+    /// term and depose a working leader.
     pub(super) fn ask_beforehand(&mut self, now: Moment) {
         self.role = Role::PreCandidate;
         self.leader = None;
@@ -25,7 +25,7 @@
         self.votes = BTreeSet::new();
         self.rest(now);
         self.write(self.log.last() + 1, Vec::new());
-        // Its own vote counts once it is on the disk, like everybody else's.
+        // Its own vote counts once it is on the disk, as for any other voter.
         let (index, last_term) = self.log.tail();
         let term = self.hard.term;
         self.ask_voters(&Message::Vote { term, index, last_term, handed_over });
@@ -60,8 +60,8 @@
         self.handing_over = false;
         self.progress.clear();
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
-        // An entry of its own term commits all earlier ones with it; entries of
-        // earlier terms must not be counted on their own (Raft, figure 8).
+        // An entry of its own term commits all earlier entries with it. Entries of earlier terms
+        // must not be committed by counting replicas (Raft paper, figure 8).
         self.append(vec![Payload::Empty]);
         self.led_since = self.log.last();
         self.meet_members(now);
--- a/crates/coordination/src/raft/follower.rs
+++ b/crates/coordination/src/raft/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader: its entries and its snapshots.
+//! Follower: handles entries and snapshots of the leader.
 
 use super::*;
 
@@ -33,8 +33,8 @@
             if index <= self.log.base() || self.log.term(index) == Some(entry.term) {
                 continue;
             }
-            // The first entry that differs: this and all after it were never
-            // committed, and are replaced by the leader's.
+            // This is the first entry that differs. It and all later ones were never committed, so
+            // the leader's entries replace them.
             self.replace(index, entries[at..].to_vec());
             break;
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Finds the newest members in the log.
+    /// Reads the newest members from the log.
     pub(super) fn read_members(&mut self) {
         self.members = self.log.base_members().clone();
         self.members_index = self.log.base();
@@ -94,7 +94,7 @@
             return;
         }
         if meta.index <= self.commit {
-            // It has caught up by entries meanwhile.
+            // The follower has caught up through entries in the meantime.
             let ok = Message::AppendReply { term, ok: true, index: self.commit, echo: sent };
             return self.send(from, ok);
         }
@@ -118,8 +118,8 @@
         self.send(from, Message::ChunkReply { term, index: meta.index, offset: have, echo: sent });
     }
 
-    /// The snapshot of the last [`Output::install`] is durable and in place, or
-    /// `None` when it could not be read.
+    /// Reports that the snapshot of the last [`Output::install`] is durable and in place, or `None`
+    /// if it could not be read.
     pub fn installed(&mut self, meta: Option<SnapshotMeta>) {
         self.installing = false;
         let Some(meta) = meta else { return };
@@ -127,7 +127,7 @@
             return;
         }
         if self.log.term(meta.index) == Some(meta.term) {
-            // What follows the snapshot here was acknowledged and must stay.
+            // Entries after the snapshot were acknowledged here and must stay.
             self.log.compact(meta.index);
         } else {
             self.log = MemoryLog::new(meta.index, meta.term, Vec::new());
--- a/crates/coordination/src/raft/leader.rs
+++ b/crates/coordination/src/raft/leader.rs
@@ -1,12 +1,13 @@
-//! Leading: proposals, changes of members, and what followers have.
+//! Leader: proposals, membership changes and replication to followers.
 
 use super::*;
 
 impl Raft {
-    /// Proposes commands; returns the index of the first.
+    /// Proposes commands; returns the index of the first one.
     ///
     /// # Errors
-    /// [`NotProposed::NotLeader`].
+    /// [`NotProposed::NotLeader`] if this replica does not lead, or not yet with an entry committed
+    /// in its term.
     pub fn propose(&mut self, now: Moment, commands: Vec<Arc<[u8]>>) -> Result<u64, NotProposed> {
         if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
@@ -17,7 +18,7 @@
         Ok(first)
     }
 
-    /// Proposes the next members, which may differ by one voter at most.
+    /// Proposes the next members; the voters may differ by at most one.
     ///
     /// # Errors
     /// [`NotProposed::Busy`] while an earlier change is not committed.
@@ -25,7 +26,7 @@
         if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
         }
-        // Two changes at once could give two disjoint quorums.
+        // Two concurrent changes could produce two disjoint quorums.
         if self.members_index > self.commit || !one_step(&self.members, &members) {
             return Err(NotProposed::Busy);
         }
@@ -36,10 +37,10 @@
         Ok(())
     }
 
-    /// Asks the voter that is furthest to take over, before a planned stop: the
-    /// others need not wait until they miss this leader. False when none can.
-    /// From then on it grants nothing until it is elected again: the election it
-    /// asked for, which may come late, does not wait for leases.
+    /// Asks an up-to-date voter to take over before a planned stop, so that the others need not
+    /// wait for an election timeout. Returns false if no voter is ready. From then on this leader
+    /// grants no leases until it is elected again: the election that it requested may come late and
+    /// does not wait for leases.
     pub fn transfer_leadership(&mut self) -> bool {
         if !self.has_committed_in_term() {
             return false;
@@ -61,7 +62,7 @@
         self.progress.get(&id).is_some_and(|p| p.matched + CAUGHT_UP >= self.log.last())
     }
 
-    /// When a member was last heard by this leader.
+    /// When this leader last heard from a member.
     pub fn last_heard(&self, id: ReplicaId) -> Option<Moment> {
         self.progress.get(&id).map(|progress| progress.last_heard)
     }
@@ -83,7 +84,7 @@
         self.out.persist.push(LogWrite { seq: self.seq, hard: self.hard, first, entries });
     }
 
-    /// The disk has confirmed all writes up to `seq`.
+    /// Records that the disk has confirmed all writes up to `seq`.
     pub fn persisted(&mut self, seq: u64, now: Moment) {
         self.written = self.written.max(seq);
         while let Some((at, last)) = self.writing.front().copied() {
@@ -102,11 +103,11 @@
 
     pub(super) fn send(&mut self, to: ReplicaId, message: Message) {
         let envelope = Envelope { from: self.id, to, message };
-        // Whatever this replica tells rests on what it has decided to write.
+        // Every message of this replica may depend on the newest write that it has queued.
         self.out.messages.push((self.seq, envelope));
     }
 
-    /// Messages that promise nothing of this replica's own disk.
+    /// Sends a message that does not depend on this replica's own disk.
     pub(super) fn send_now(&mut self, to: ReplicaId, message: Message) {
         let envelope = Envelope { from: self.id, to, message };
         self.out.messages.push((0, envelope));
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Keeps a follower from electing another while it takes in a snapshot.
+    /// Sends an empty append, so that a follower that is receiving a snapshot starts no election.
     pub(super) fn beat(&mut self, now: Moment, to: ReplicaId) {
         let base = self.log.base();
         let message = Message::Append {
@@ -205,7 +206,7 @@
                     progress.sending = Sending::Entries;
                     progress.next = index + 1;
                 } else if offered.is_some_and(|offered| index >= offered) {
-                    // The entries after it were forgotten while it was on its way.
+                    // The entries after the snapshot were compacted while it was sent.
                     progress.sending = Sending::Snapshot { asked: false, bytes: None };
                 }
             }
--- a/crates/coordination/src/raft/log.rs
+++ b/crates/coordination/src/raft/log.rs
@@ -1,33 +1,33 @@
-//! The part of the log that is in memory: everything after the last snapshot,
-//! and a little before it.
+//! The part of the log that is in memory: the entries after the last snapshot, and some before
+//! it.
 
 use super::{APPEND_BYTES, APPEND_ENTRIES, Members};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What an entry carries.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader's first entry.
+    /// No payload: the first entry of a new leader.
     Empty,
-    /// New members, in force as soon as they are in the log.
+    /// New members, in effect as soon as they are in the log.
     Members(Members),
-    /// A command of the state machine, encoded.
+    /// An encoded command of the state machine.
     Command(Arc<[u8]>),
 }
 
-/// An entry with the term of the leader that made it.
+/// An entry with the term of the leader that created it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// The leader's term.
     pub term: u64,
-    /// What it carries.
+    /// Its payload.
     pub payload: Payload,
 }
 
 impl LogEntry {
-    /// About how many bytes it takes.
+    /// Approximate size in bytes.
     pub(super) fn size(&self) -> usize {
         const OVERHEAD: usize = 32;
         match &self.payload {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Entries after a base whose own content is in a snapshot.
+/// Entries after a base index; everything up to the base is covered by a snapshot.
 pub(super) struct MemoryLog {
     base: u64,
     base_term: u64,
@@ -67,7 +67,7 @@
         self.base + self.entries.len() as u64
     }
 
-    /// Last index and its term.
+    /// The last index and its term.
     pub(super) fn tail(&self) -> (u64, u64) {
         (self.last(), self.entries.back().map_or(self.base_term, |entry| entry.term))
     }
@@ -92,13 +92,13 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes `first` and all after it.
+    /// Removes `first` and all later entries.
     pub(super) fn truncate(&mut self, first: u64) {
         let keep = first.saturating_sub(self.base + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
-    /// Entries from `first` on that fit into one message.
+    /// The entries from `first` on that fit into one message.
     pub(super) fn slice(&self, first: u64) -> Vec<LogEntry> {
         let Some(start) = self.offset(first) else { return Vec::new() };
         let mut bytes = 0;
@@ -113,8 +113,8 @@
         slice
     }
 
-    /// Where a leader should try next after `prev` did not match: before all
-    /// entries of the term that stands there.
+    /// The index that a leader should try next after `prev` did not match: the one before all
+    /// entries of the conflicting term.
     pub(super) fn before_conflict(&self, prev: u64) -> u64 {
         if prev > self.last() {
             return self.last();
@@ -137,7 +137,7 @@
         members.clone()
     }
 
-    /// Forgets everything up to `index`.
+    /// Removes all entries up to `index`.
     pub(super) fn compact(&mut self, index: u64) {
         let index = index.min(self.last());
         if index <= self.base {
--- a/crates/coordination/src/raft/message.rs
+++ b/crates/coordination/src/raft/message.rs
@@ -1,48 +1,48 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use super::{LogEntry, ReplicaId, SnapshotMeta};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender and the disk that it is for.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
     pub from: ReplicaId,
-    /// The replica that it is for.
+    /// The replica that it is for, identified by its disk.
     pub to: ReplicaId,
     /// The message.
     pub message: Message,
 }
 
-/// One message. `sent` and `echo` are on the leader's own clock.
+/// A Raft message. `sent` and `echo` are readings of the leader's own clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in this term?
+    /// Asks whether the receiver would vote for the sender in this term.
     PreVote {
-        /// The term it would ask for.
+        /// The term that the sender would campaign in.
         term: u64,
-        /// Last index of its log.
+        /// Last index of the sender's log.
         index: u64,
         /// Term of that entry.
         last_term: u64,
     },
-    /// Answer to it.
+    /// Response to [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked for, or a newer one when refused.
+        /// The requested term, or a newer one if refused.
         term: u64,
-        /// Whether it would.
+        /// Whether the receiver would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me in this term.
+    /// Asks for a vote in this term.
     Vote {
-        /// The term.
+        /// The candidate's term.
         term: u64,
-        /// Last index of its log.
+        /// Last index of the candidate's log.
         index: u64,
         /// Term of that entry.
         last_term: u64,
-        /// The leader asked for it.
+        /// Whether the leader requested this election.
         handed_over: bool,
     },
     /// A leader that is about to stop asks the receiver to take over.
@@ -50,69 +50,69 @@
         /// The leader's term.
         term: u64,
     },
-    /// Answer to [`Message::Vote`].
+    /// Response to [`Message::Vote`].
     VoteReply {
-        /// The term.
+        /// The voter's term.
         term: u64,
-        /// Whether it has the vote.
+        /// Whether the candidate got the vote.
         granted: bool,
     },
-    /// Entries of the leader; without any, a heartbeat.
+    /// Entries from the leader; without entries, a heartbeat.
     Append {
         /// The leader's term.
         term: u64,
         /// Index before the first entry.
         prev: u64,
-        /// Term of that entry.
+        /// Term of the entry at `prev`.
         prev_term: u64,
-        /// Entries.
+        /// The entries.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: u64,
-        /// When it was sent.
+        /// When the message was sent.
         sent: Moment,
     },
-    /// Answer to it.
+    /// Response to [`Message::Append`].
     AppendReply {
         /// The follower's term.
         term: u64,
-        /// Whether its log matches now.
+        /// Whether the follower's log now matches.
         ok: bool,
-        /// Up to where it matches, or where the leader should try next.
+        /// The index up to which the log matches, or the index that the leader should try next.
         index: u64,
-        /// `sent` of the message answered.
+        /// `sent` of the message that this answers.
         echo: Moment,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     Chunk {
         /// The leader's term.
         term: u64,
-        /// What the snapshot stands for.
+        /// Position of the snapshot in the log.
         meta: SnapshotMeta,
-        /// Where the piece begins.
+        /// Offset of the chunk in the snapshot, in bytes.
         offset: u64,
-        /// Length of the snapshot.
+        /// Length of the snapshot in bytes.
         total: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         data: Box<[u8]>,
-        /// When it was sent.
+        /// When the message was sent.
         sent: Moment,
     },
-    /// Answer to it.
+    /// Response to [`Message::Chunk`].
     ChunkReply {
         /// The follower's term.
         term: u64,
         /// Index of the snapshot.
         index: u64,
-        /// How much of it the follower has.
+        /// Bytes of the snapshot that the follower has.
         offset: u64,
-        /// `sent` of the message answered.
+        /// `sent` of the message that this answers.
         echo: Moment,
     },
 }
 
 impl Message {
-    /// About how many bytes it takes.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         const SMALL: usize = 64;
         match self {
--- a/crates/coordination/src/raft/progress.rs
+++ b/crates/coordination/src/raft/progress.rs
@@ -1,4 +1,4 @@
-//! How far the leader knows a follower to be.
+//! The leader's view of a follower's replication progress.
 
 use super::{APPENDS_IN_FLIGHT, SnapshotMeta};
 use crate::moment::Moment;
@@ -12,20 +12,20 @@
 pub(super) struct Progress {
     /// Next index to send.
     pub(super) next: u64,
-    /// Up to where its log is known to match.
+    /// The index up to which its log is known to match.
     pub(super) matched: u64,
     pub(super) sending: Sending,
-    /// Messages with entries that are not answered.
+    /// Messages with entries that are not answered yet.
     pub(super) in_flight: usize,
-    /// When it was last heard.
+    /// When the leader last heard from it.
     pub(super) last_heard: Moment,
-    /// When the last message that it answered was sent.
+    /// When the newest message that it answered was sent.
     pub(super) echoed: Moment,
-    /// When sending was last begun anew.
+    /// When sending was last restarted.
     pub(super) retried: Moment,
-    /// How much of a snapshot it has.
+    /// Bytes of the snapshot that it has.
     pub(super) offset: u64,
-    /// When that last grew.
+    /// When `offset` last increased.
     pub(super) moved: Moment,
     probing: bool,
 }
@@ -50,7 +50,7 @@
         matches!(self.sending, Sending::Snapshot { bytes: Some(_), .. })
     }
 
-    /// One message at a time until it is known where the logs match.
+    /// Maximum number of messages in flight: one until it is known where the logs match.
     pub(super) fn window(&self) -> usize {
         if self.probing { 1 } else { APPENDS_IN_FLIGHT }
     }
@@ -73,7 +73,7 @@
         self.next = (hint + 1).min(self.next.saturating_sub(1)).max(self.matched + 1);
     }
 
-    /// What was sent is taken as lost.
+    /// Restarts sending; everything in flight counts as lost.
     pub(super) fn start_anew(&mut self, now: Moment) {
         self.retried = now;
         self.in_flight = 0;
--- a/crates/coordination/src/raft/snapshots.rs
+++ b/crates/coordination/src/raft/snapshots.rs
@@ -1,9 +1,9 @@
-//! Sending snapshots to followers that are too far behind.
+//! Sends snapshots to followers that are too far behind.
 
 use super::*;
 
 impl Raft {
-    /// Answers [`Output::need_snapshot`] with the state after an applied entry.
+    /// Responds to [`Output::need_snapshot`] with the state after an applied entry.
     pub fn offer_snapshot(
         &mut self,
         now: Moment,
@@ -20,13 +20,13 @@
         }
     }
 
-    /// Members after the applied entry `index`, for a snapshot of it.
+    /// The members after the applied entry `index`, for a snapshot at that index.
     pub fn members_at(&self, index: u64) -> Members {
         self.log.members_at(index)
     }
 
-    /// Forgets entries that a durable snapshot of `index` contains, but the last
-    /// `keep`, for followers that are a little behind; see [`RETAINED_LOG_ENTRIES`].
+    /// Removes entries that a durable snapshot at `index` contains, except the last `keep`, which
+    /// serve followers that are slightly behind; see [`RETAINED_LOG_ENTRIES`].
     pub fn compact(&mut self, index: u64, keep: u64) {
         let base = index.min(self.handed_out).saturating_sub(keep);
         self.log.compact(base);
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -1,14 +1,14 @@
-//! A budget for repeated work: retries and hedges may add only a set share to
-//! the load, so that a fault never multiplies it.
+//! Retry budget: retries and hedged requests may add only a fixed share to the load, so a fault
+//! never multiplies it.
 
-/// Extra tries allowed per hundred successes.
+/// Retries earned per hundred successes.
 pub const PERCENT: u32 = 10;
-/// Most extra tries that can be saved up.
+/// Maximum number of retries that can be saved up.
 pub const SAVED_MAX: u32 = 20;
 
 const PER_TRY: u32 = 100;
 
-/// The budget of one service at one entry.
+/// The retry budget of one service at one entry.
 ///
 /// ```
 /// use yuccalink_coordination::retry::Budget;
@@ -31,12 +31,12 @@
 }
 
 impl Budget {
-    /// Notes a success, which pays for a share of an extra try.
+    /// Records a success, which earns a fraction of a retry.
     pub fn earn(&mut self) {
         self.saved = (self.saved + PERCENT).min(SAVED_MAX * PER_TRY);
     }
 
-    /// Takes one extra try out, or says that there is none.
+    /// Spends one retry; returns false if the budget has none.
     pub fn spend(&mut self) -> bool {
         let Some(left) = self.saved.checked_sub(PER_TRY) else { return false };
         self.saved = left;
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -1,47 +1,47 @@
-//! Who is to vote: the next step, one at a time, from the disks that are heard.
+//! Decides the next membership change, one step at a time, from the disks that report.
 //!
-//! Nobody lists the voters beforehand. The founder votes alone, takes in disks
-//! that it hears of until there are as many voters as the tolerance asks, and
-//! later leaders replace voters whose disk is gone.
+//! The voters are not configured. The replica that bootstraps the cell is the only voter at
+//! first. It adds disks that report until there are as many voters as the required fault
+//! tolerance needs. Later leaders replace voters whose disk is gone.
 
 use crate::raft::{Member, Members, ReplicaId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Silence after which a voter may be replaced by a disk that has caught up. Above
-/// the usual freeze, so that a machine that only stood still keeps its seat.
+/// Time without a message after which a voter may be replaced by a disk that has caught up. It
+/// is longer than a usual pause, so a machine that only froze keeps its vote.
 pub const REPLACE_AFTER: Duration = Duration::from_secs(5);
-/// Silence after which a disk that only follows is no longer sent to.
+/// Time without a message after which a learner is removed.
 pub const FORGET_AFTER: Duration = Duration::from_secs(20);
 
-/// A disk that was heard of.
+/// A disk that was reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disk {
-    /// Its replica and daemon.
+    /// The replica and its daemon.
     pub member: Member,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// Time since its daemon was last heard.
+    /// Time since the last message from its daemon.
     pub silent: Duration,
 }
 
-/// What the leader knows.
+/// The leader's view of the members and disks.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipView {
     /// The newest committed members.
     pub members: Members,
     /// The leader's own replica.
     pub own: ReplicaId,
-    /// Disks heard of by themselves, members or not.
+    /// Disks that reported themselves, members or not.
     pub disks: Vec<Disk>,
-    /// Time since the leader heard a member's replica.
+    /// Time since the last Raft message from each member.
     pub silent: BTreeMap<ReplicaId, Duration>,
-    /// Members whose log is all but complete.
+    /// Members whose log is complete except for the newest entries.
     pub caught_up: Vec<ReplicaId>,
 }
 
-/// Voters that survive the loss of `machines` at once, or as many as there are.
-/// Three at the least: one that restarts must not stop the others.
+/// Number of voters that survives the simultaneous loss of `machines`. At least three, so that
+/// the restart of one does not stop the others.
 ///
 /// ```
 /// use yuccalink_coordination::voters::wanted;
@@ -51,7 +51,7 @@
     (2 * machines + 1).max(3)
 }
 
-/// The next change of members, and why; `None` when all is as it should be.
+/// The next membership change and its reason; `None` if none is needed.
 ///
 /// ```
 /// use yuccalink_coordination::voters::{MembershipView, next};
@@ -76,7 +76,7 @@
         self.silent(id) < REPLACE_AFTER
     }
 
-    /// Another disk is at the member's address, be it the leader's: the member's is gone.
+    /// Whether the member's disk is gone: another disk, or the leader's, reports from its address.
     fn is_replaced(&self, member: &Member) -> bool {
         let heard = self.disks.iter().filter(|disk| disk.silent < REPLACE_AFTER);
         let own = self.members.get(self.own);
@@ -108,8 +108,8 @@
     Some((members, format!("replica {} of {} follows", disk.member.id, disk.member.name).into()))
 }
 
-/// A learner votes once it has caught up: before that it would count in a quorum
-/// for nothing.
+/// Makes a learner a voter once it has caught up; before that, it would count towards the
+/// quorum without contributing to it.
 fn promote(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     if view.members.voters.len() >= wanted {
         return None;
@@ -121,8 +121,8 @@
     Some((members, format!("replica {} of {} votes", ready.id, ready.name).into()))
 }
 
-/// The learner that is ready and whose zone has the fewest voters: a zone that
-/// fails must take no more than its share of them.
+/// The learner that has caught up and whose zone has the fewest voters, so that the failure of
+/// a zone takes as few voters as possible.
 fn best_learner(view: &MembershipView) -> Option<Member> {
     let ready = view
         .members
@@ -136,10 +136,10 @@
     ready.min_by_key(voters_in_zone).cloned()
 }
 
-/// Replaces a voter whose disk is gone: another votes beside it first, and only then it
-/// votes no more. The other way round the voters are one fewer for a moment, and one disk
-/// that is lost in that moment leaves a majority that needs the lost one for ever: the
-/// voter that was merely cut off, and has everything, is none any more.
+/// Replaces a voter whose disk is gone: first another replica becomes a voter, and only then
+/// the old one is removed. In the other order there is one voter fewer for a moment. If a disk
+/// is lost in that moment, the remaining majority needs the lost disk for ever, while the
+/// removed voter, which was merely disconnected and has all entries, no longer counts.
 fn replace(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     let dead = |voter: &&Member| {
         voter.id != view.own && (view.is_replaced(voter) || !view.is_live(voter.id))
@@ -157,6 +157,6 @@
         why
     };
     let live = members.voters.iter().filter(|voter| view.is_live(voter.id)).count();
-    // Without a live quorum among those voters nothing could be agreed on any more.
+    // Without a live quorum among the new voters, nothing could be committed any more.
     (live > members.voters.len() / 2).then(|| (members, why.into()))
 }
--- a/crates/coordination/src/workers.rs
+++ b/crates/coordination/src/workers.rs
@@ -1,4 +1,4 @@
-//! When a worker, or a former run of it, is surely no longer running anything.
+//! Decides when a worker, or a previous incarnation of it, certainly no longer runs anything.
 
 use crate::directory::{Directory, WORKER_LEASE};
 use crate::moment::{Moment, lease_span_with_drift};
@@ -7,8 +7,8 @@
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::worker::{WorkerPhase, WorkerSpec};
 
-/// Workers whose lease has surely ended. A leader counts from `since`, when it
-/// began to lead, for those it has not heard: the last leader may have renewed
+/// Workers whose lease has certainly expired. For workers that have not reported to this
+/// leader, time counts from `since`, when it was elected: the previous leader may have renewed
 /// their leases until then.
 ///
 /// ```
@@ -34,9 +34,9 @@
         .collect()
 }
 
-/// The former run of a worker that announces itself anew, which must be given
-/// up before the new run is taken in: its tasks would otherwise stay committed
-/// to a program that does not exist, for as long as the new one is heard.
+/// The previous incarnation of a worker that announces itself again. It must be marked as gone
+/// before the new one is accepted: otherwise its tasks would stay committed to a process that
+/// no longer exists, for as long as the new one reports.
 ///
 /// ```
 /// # use yuccalink_coordination::workers::previous_incarnation;
@@ -53,8 +53,8 @@
     (former != spec.incarnation && known.phase != WorkerPhase::Gone).then_some(former)
 }
 
-/// How long a new run must wait at a leader that leads since `since` and has
-/// heard neither run: the former one may hold a lease of the last leader.
+/// How long a new incarnation must wait at a leader that was elected at `since` and has heard
+/// from neither incarnation: the previous one may hold a lease from the last leader.
 ///
 /// ```
 /// # use yuccalink_coordination::{Moment, workers::wait_after_election};
