--- a/crates/coordination/src/directory.rs
+++ b/crates/coordination/src/directory.rs
@@ -299,7 +299,7 @@
                 (_, Health::Live) if silent >= target.suspect_after() => Health::Suspected,
                 _ => continue,
             };
-            log::info!("target {name} is {health} after {silent:?} of silence");
+            log::info!("target {name} is {health} after {silent:?} without a heartbeat");
             self.version += 1;
             target.health = health;
             target.changed = self.version;
--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -8,9 +8,9 @@
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Violation {
-    /// worker {0} is committed beyond what it has
+    /// the committed resources of worker {0} exceed its capacity
     OverCommitted(Name),
-    /// worker {0} counts commitments that its tasks do not add up to
+    /// the committed resources of worker {0} differ from the sum of its tasks
     WrongSum(Name),
     /// task {task} ran as epoch {first} and epoch {second} at once
     TwoPlaces {
@@ -23,13 +23,13 @@
     },
     /// task {0} finished twice
     FinishedTwice(TaskId),
-    /// request {0} got an answer that was not its own
+    /// request {0} got the response to another request
     WrongAnswer(Box<str>),
     /// request {0} must run at most once and ran {1} times
     RanAgain(Box<str>, u32),
-    /// request {0} was called "not run" and had run
+    /// request {0} was reported as "not run" but had run
     FalseNotRun(Box<str>),
-    /// runner {runner} held {held} requests and has {slots} slots
+    /// runner {runner} ran {held} requests at once but has {slots} slots
     OverSlots {
         /// The runner.
         runner: Box<str>,
@@ -145,7 +145,7 @@
 /// checker.ran("invoice", "r1", 8);
 /// checker.done("r1");
 /// checker.record_outcome("invoice", CallerOutcome::NotRun);
-/// assert_eq!(checker.violations()[0].to_string(), "request invoice was called \"not run\" and had run");
+/// assert_eq!(checker.violations()[0].to_string(), "request invoice was reported as \"not run\" but had run");
 /// ```
 #[derive(Debug, Default)]
 pub struct RequestChecker {
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -181,7 +181,7 @@
 pub enum NotProposed {
     /// this replica does not lead; ask the leader
     NotLeader,
-    /// another change of members is under way; try again
+    /// another membership change is in progress; try again
     Busy,
 }
 
--- a/crates/coordination/src/router.rs
+++ b/crates/coordination/src/router.rs
@@ -1,9 +1,9 @@
-//! Routing at one entry VM: which of the runners that this entry owns gets a
-//! request, who waits, and who is refused at once.
+//! Request routing at one entry VM: decides which of this entry's runners gets a request, which
+//! requests wait, and which are refused at once.
 //!
-//! A runner is owned by one entry at a time, so counting here is enough to
-//! keep it within its slots. Waiting is late-bound: a request waits for the
-//! service, not for a runner, and the worthiest waiting one gets the next slot.
+//! Each runner is owned by one entry at a time, so local counters are enough to keep it within
+//! its slots. Binding is late: a request waits for the service and not for a runner, and the
+//! waiting request with the highest worth gets the next free slot.
 
 use crate::moment::Moment;
 use crate::retry::Budget;
@@ -14,21 +14,21 @@
 use yuccalink_state::id::Name;
 use yuccalink_state::target::RunnerSpec;
 
-/// Failures in a row after which a runner is ejected for a while.
+/// Consecutive failures after which a runner is ejected for some time.
 pub const EJECT_AFTER: u32 = 5;
-/// First ejection time; it doubles with each further one.
+/// Duration of the first ejection; it doubles with each further ejection.
 pub const EJECT_FIRST: Duration = Duration::from_secs(1);
-/// Longest ejection time.
+/// Longest ejection.
 pub const EJECT_LONGEST: Duration = Duration::from_secs(30);
-/// At most one in this many of a service's runners is ejected at once, but always
-/// one where there are several, so that bad luck or a fault of the service itself
-/// cannot eject them all.
+/// At most one in this many of a service's runners is ejected at once, but always one if there
+/// are several. Random failures or a fault of the service itself therefore cannot eject them
+/// all.
 pub const EJECT_SHARE: usize = 3;
-/// Waiting requests allowed per slot of the service.
+/// Maximum number of waiting requests per slot of the service.
 pub const QUEUE_PER_SLOT: usize = 4;
-/// Service time assumed before any was seen.
+/// Service time assumed before the first measurement.
 const FIRST_GUESS: Duration = Duration::from_millis(10);
-/// Weight of the newest service time, as one in this many.
+/// The newest service time has a weight of one in this many.
 const SMOOTHING: u32 = 8;
 
 new_key_type! {
@@ -38,33 +38,33 @@
     struct PoolKey;
 }
 
-/// A request that asks for a runner.
+/// A request that needs a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest<'a> {
-    /// The service asked.
+    /// The requested service.
     pub service: &'a Name,
     /// When its caller stops waiting.
     pub deadline: Moment,
-    /// What a correct answer is worth.
+    /// The worth of a correct answer.
     pub worth: u32,
-    /// A runner that this request already failed on.
+    /// A runner on which this request already failed.
     pub avoid: Option<RunnerKey>,
 }
 
-/// A slot of a runner, held until [`Router::release`].
+/// A slot of a runner, in use until [`Router::release`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The runner.
     pub runner: RunnerKey,
-    /// When it was given.
+    /// When the slot was granted.
     pub at: Moment,
 }
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Why a request is refused without having run.
+/// Why a request was refused without being executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Refusal {
     /// no runner of this service is known here
@@ -77,30 +77,30 @@
     TooLate,
 }
 
-/// What becomes of a request that arrives.
+/// Decision about an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent now.
+    /// The request may be sent now.
     Granted(Grant),
-    /// It waits under this ticket until [`Router::release`] or
-    /// [`Router::abandon`] names it.
+    /// The request waits under this ticket until [`Router::release`] or another call returns the
+    /// ticket with a slot, or [`Router::abandon`] removes it.
     Wait(Ticket),
-    /// It is refused; try again after the given time.
+    /// The request is refused; the caller may try again after the given time.
     Refuse(Refusal, Duration),
 }
 
 /// How a granted request ended at its runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunnerOutcome {
-    /// The whole answer came.
+    /// The complete response arrived.
     Answered,
-    /// The runner could not be reached, cut the answer or failed.
+    /// The runner could not be reached, cut off the response or failed.
     Failed,
-    /// The caller went away; nothing is learnt of the runner.
+    /// The caller disconnected, which says nothing about the runner.
     Abandoned,
 }
 
-/// A waiting request's turn has come.
+/// A waiting request that now has a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DequeuedRequest {
     /// The request.
@@ -109,29 +109,29 @@
     pub grant: Grant,
 }
 
-/// Whether a runner may be given requests.
+/// Whether a runner may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may.
+    /// The runner may get requests.
     Open,
-    /// Nothing new until the moment named.
+    /// The runner gets no requests until this moment.
     Ejected(Moment),
-    /// It said that it leaves, or it is silent.
+    /// The runner announced that it leaves, or it is silent.
     Closed,
 }
 
-/// A runner as this entry sees it.
+/// A runner as this entry knows it.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: RunnerSpec,
-    /// Whether it may be given requests.
+    /// Whether it may get requests.
     pub standing: Standing,
-    /// Requests of this entry that it holds.
+    /// Requests of this entry in flight at the runner.
     pub busy: u32,
-    /// Requests of an earlier owner that it still holds.
+    /// Requests of a previous owner that may still be in flight at the runner.
     pub reserved: u32,
-    /// Most that `busy` was since the last heartbeat.
+    /// Highest value of `busy` since the last heartbeat.
     pub peak: u32,
     failures: u32,
     ejections: u32,
@@ -168,16 +168,16 @@
     next: usize,
 }
 
-/// Counts since the start, for metrics and for tests.
+/// Counters since the start, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests given a slot.
+    /// Requests that got a slot.
     pub granted: u64,
     /// Requests that had to wait.
     pub waited: u64,
-    /// Requests refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Runners ejected.
+    /// Ejections of runners.
     pub ejected: u64,
 }
 
@@ -219,7 +219,7 @@
 }
 
 impl Router {
-    /// A router without runners for an entry VM in `zone`.
+    /// Creates a router without runners for an entry VM in `zone`.
     ///
     /// ```
     /// use yuccalink_coordination::{Moment, router::*};
@@ -243,9 +243,9 @@
         }
     }
 
-    /// Adds a runner that this entry now owns, or renews what is known of it.
-    /// `reserved` is how many requests it still holds for an earlier owner.
-    /// Requests whose turn has come are pushed to `turns`.
+    /// Adds a runner that this entry now owns, or updates its specification. `reserved` is the
+    /// number of requests that may still be in flight there for a previous owner. Waiting requests
+    /// that get a slot are pushed to `turns`.
     pub fn add_runner(
         &mut self,
         now: Moment,
@@ -284,8 +284,7 @@
         self.serve_queue_of(now, key, turns);
     }
 
-    /// Forgets a runner. Requests that it holds still end by
-    /// [`Router::release`], which then does nothing.
+    /// Removes a runner. [`Router::release`] has no effect for its requests that end later.
     pub fn remove_runner(&mut self, name: &Name) {
         let Some(key) = self.by_name.remove(name) else { return };
         if let Some(runner) = self.runners.remove(key) {
@@ -293,15 +292,15 @@
         }
     }
 
-    /// Gives a runner nothing new; what it holds goes on.
+    /// Sends no new requests to a runner; requests in flight continue.
     pub fn stop_routing_to(&mut self, name: &Name) {
         if let Some(runner) = self.by_name.get(name).and_then(|key| self.runners.get_mut(*key)) {
             runner.standing = Standing::Closed;
         }
     }
 
-    /// Takes in a runner's own count of requests, which may be late: only what
-    /// exceeds the most that this entry had there is somebody else's.
+    /// Applies a runner's own count of its requests, which may be outdated: only the excess over
+    /// the highest count of this entry belongs to a previous owner.
     pub fn update_busy_count(
         &mut self,
         now: Moment,
@@ -316,7 +315,7 @@
         self.serve_queue_of(now, key, turns);
     }
 
-    /// Decides on a request.
+    /// Decides whether a request gets a slot, waits or is refused.
     pub fn admit(&mut self, now: Moment, arrival: RoutingRequest<'_>) -> Admission {
         let Some(pool_key) = self.pool_by_name.get(arrival.service).copied() else {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
@@ -324,7 +323,7 @@
         if self.pools[pool_key].runners.is_empty() {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
         }
-        // Those that wait go first: a newcomer takes a free slot only if nobody waits.
+        // Waiting requests go first: a new request takes a free slot only if none waits.
         if self.pools[pool_key].queue.is_empty()
             && let Some(key) = self.choose(now, pool_key, arrival.avoid)
         {
@@ -368,15 +367,14 @@
         Admission::Refuse(why, retry)
     }
 
-    /// Takes a request that no longer waits out of the queue; false when its
-    /// turn had already come.
+    /// Removes a request from the queue; returns false if it already has a slot or is not queued.
     pub fn abandon(&mut self, ticket: Ticket) -> bool {
         let Some((pool, rank)) = self.tickets.remove(&ticket) else { return false };
         self.pools[pool].queue.remove(&(rank, ticket));
         true
     }
 
-    /// Gives a slot back and hands it to whoever is next.
+    /// Returns a slot and gives it to the next waiting request.
     pub fn release(
         &mut self,
         now: Moment,
@@ -405,13 +403,13 @@
         self.serve_queue(now, pool, turns);
     }
 
-    /// Whether a failed request of `service` may be tried once more.
+    /// Whether a failed request of `service` may be retried; spends one retry of the budget.
     pub fn may_retry(&mut self, service: &Name) -> bool {
         let key = self.pool(service);
         self.pools[key].budget.spend()
     }
 
-    /// Notes a success at another entry, which pays for a share of a retry.
+    /// Records a success at another entry, which earns a fraction of a retry.
     pub fn earn_retry(&mut self, service: &Name) {
         let key = self.pool(service);
         self.pools[key].budget.earn();
@@ -427,12 +425,12 @@
         self.runners.values()
     }
 
-    /// Requests waiting for `service`.
+    /// Number of requests waiting for `service`.
     pub fn queued(&self, service: &Name) -> usize {
         self.pool_by_name.get(service).map_or(0, |key| self.pools[*key].queue.len())
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -457,8 +455,8 @@
         open.filter(|runner| runner.open_at(now)).map(|runner| runner.spec.slots as usize).sum()
     }
 
-    /// The open runner with the smallest share of its slots in use; its own
-    /// zone first, then in turn.
+    /// The available runner with the smallest share of its slots in use; on a tie, one in the
+    /// entry's own zone, then by rotation.
     fn choose(
         &mut self,
         now: Moment,
@@ -502,7 +500,7 @@
         while let Some((rank, waiting)) = self.pools[pool].queue.first_key_value() {
             let (rank, waiting) = (*rank, waiting.clone());
             if waiting.deadline <= now {
-                // Its own timer answers it; a slot spent on it would be wasted.
+                // The request's own timer responds to its caller; a slot for it would be wasted.
                 self.pools[pool].queue.remove(&rank);
                 self.tickets.remove(&waiting.ticket);
                 continue;
@@ -539,7 +537,7 @@
         self.counts.ejected += 1;
     }
 
-    /// Requests of this entry that a runner holds, if it is owned here.
+    /// Requests of this entry in flight at a runner, if this entry owns the runner.
     pub fn in_flight(&self, name: &Name) -> Option<u32> {
         self.by_name.get(name).and_then(|key| self.runners.get(*key)).map(|runner| runner.busy)
     }
--- a/crates/coordination/src/scenario.rs
+++ b/crates/coordination/src/scenario.rs
@@ -1,8 +1,9 @@
-//! The small test language: one file a scenario, events with their instants,
-//! and expectations. Runs the coordination parts under a clock of its own, with
-//! fakes where workers, runners and callers would be.
+//! Scenario files for tests: events at given times, and expectations. A scenario runs the
+//! coordination components on a simulated clock, with fakes in place of workers, runners and
+//! callers.
 //!
-//! A scenario is a list of lines; `#` begins a comment. First what is there:
+//! A scenario is a list of lines; `#` starts a comment. The first lines declare the
+//! participants:
 //!
 //! ```text
 //! entry e1 zone=z1
@@ -11,7 +12,7 @@
 //! kind plan cores=1 memory=1024 class=batch spread=racks checkpoint=yes
 //! ```
 //!
-//! then what happens, in order of time:
+//! The next lines are events, in order of time:
 //!
 //! ```text
 //! at 0ms submit a kind=plan count=2
@@ -20,7 +21,7 @@
 //! at 300ms answer q
 //! ```
 //!
-//! `docs/SCENARIOS.md` lists every verb. After each step the invariants are checked.
+//! `docs/SCENARIOS.md` lists all verbs. The invariants are checked after each step.
 
 mod parse;
 mod world;
@@ -42,9 +43,9 @@
     pub runners: Vec<RunnerLine>,
     /// Workers.
     pub workers: Vec<WorkerLine>,
-    /// Kinds of task.
+    /// Task kinds.
     pub kinds: Vec<KindLine>,
-    /// What happens, in order of time.
+    /// Events and expectations, in order of time.
     pub steps: Vec<Step>,
 }
 
@@ -62,7 +63,7 @@
 pub struct RunnerLine {
     /// Its name.
     pub name: Name,
-    /// The service that it answers for.
+    /// The service that it serves.
     pub service: Name,
     /// Its slots.
     pub slots: u32,
@@ -75,7 +76,7 @@
 pub struct WorkerLine {
     /// Its name.
     pub name: Name,
-    /// All that it has.
+    /// Its total capacity.
     pub capacity: Resources,
     /// Its rack.
     pub rack: Name,
@@ -83,92 +84,92 @@
     pub zone: Name,
 }
 
-/// A kind of task.
+/// A task kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KindLine {
     /// Its name.
     pub name: Name,
-    /// What one task needs.
+    /// The resources that one task needs.
     pub need: Resources,
-    /// How urgent it is.
+    /// Its class, batch or latency-critical.
     pub class: TaskClass,
-    /// How it is spread.
+    /// Whether its tasks are spread over racks or zones.
     pub spread: Spread,
-    /// Whether its tasks can be saved and resumed.
+    /// Whether its tasks can be checkpointed and resumed.
     pub checkpoint: bool,
 }
 
-/// One line with an instant.
+/// One line with a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Line in the file, from 1.
+    /// Line number in the file, from 1.
     pub line: usize,
-    /// When, from the start.
+    /// Time since the start of the scenario.
     pub at: Duration,
-    /// What.
+    /// The event or expectation.
     pub event: Event,
 }
 
-/// What happens or is expected.
+/// An event or an expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Tasks are submitted, named `name`, or `name.1` and so on.
+    /// Submits tasks, named `name`, or `name.1`, `name.2` and so on if there are several.
     Submit {
-        /// Their name.
+        /// Name of the tasks.
         name: Box<str>,
-        /// Their kind.
+        /// Kind of the tasks.
         kind: Name,
-        /// How many.
+        /// Number of tasks.
         count: u32,
-        /// Whether they go first.
+        /// Whether the tasks go ahead of others.
         urgent: bool,
     },
-    /// Tasks are cancelled.
+    /// Cancels tasks.
     Cancel(Box<str>),
-    /// Tasks are ordered to make room.
+    /// Evicts tasks.
     Evict(Box<str>),
-    /// A running task ends well at its worker.
+    /// A running task finishes successfully at its worker.
     Finish(Box<str>),
     /// A running task fails at its worker.
     Fail(Box<str>),
-    /// A target or an entry is cut off.
+    /// A target or an entry is disconnected.
     Silence(Name),
-    /// It is back.
+    /// A target or an entry is connected again.
     Hear(Name),
-    /// A target or an entry says that it leaves.
+    /// A target or an entry announces that it leaves.
     Leave(Name),
-    /// A worker's or runner's program is started anew.
+    /// The process of a worker, runner or entry restarts.
     Restart(Name),
     /// A caller sends a request.
     Request {
-        /// Its name.
+        /// Name of the request.
         name: Box<str>,
-        /// The service asked.
+        /// The requested service.
         service: Name,
-        /// The entry that the balancer chose.
+        /// The entry that the load balancer chose.
         entry: Name,
         /// How long the caller waits.
         deadline: Duration,
-        /// What a correct answer is worth.
+        /// The worth of a correct answer.
         worth: u32,
     },
     /// A runner answers a request.
     Answer(Box<str>),
-    /// A runner fails at a request.
+    /// A runner fails a request.
     Break(Box<str>),
-    /// Something must be so now.
+    /// Something that must be true at this time.
     Expect(Expect),
 }
 
-/// What must be so.
+/// An expectation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expect {
     /// A task or request is in this state.
     State(Box<str>, Box<str>),
     /// A task is on this worker, or a request at this runner.
     On(Box<str>, Name),
-    /// A worker holds this many tasks, or a runner this many requests.
+    /// A worker runs this many tasks, or a runner this many requests.
     Holds(Name, u32),
-    /// A runner is routed to by this entry.
+    /// A runner is owned by this entry.
     Owner(Name, Name),
 }
--- a/crates/coordination/src/scenario/parse.rs
+++ b/crates/coordination/src/scenario/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the text of a scenario; every error names its line.
+//! Parses a scenario; every error names its line.
 
 use super::{EntryLine, Event, Expect, KindLine, RunnerLine, Scenario, Step, WorkerLine};
 use std::collections::BTreeMap;
@@ -7,29 +7,29 @@
 use yuccalink_state::document::{Spread, TaskClass};
 use yuccalink_state::id::Name;
 
-/// What is wrong with a line.
+/// An invalid line.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 /// line {line}: {what}
 pub struct BadLine {
-    /// Counted from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong and what was expected.
+    /// The error and what was expected.
     pub what: Box<str>,
 }
 
 impl std::error::Error for BadLine {}
 
-/// Most lines of one scenario.
+/// Maximum number of lines in a scenario.
 const LINES_MAX: usize = 10_000;
-/// Longest scenario.
+/// Maximum duration of a scenario.
 const TIME_MAX: Duration = Duration::from_secs(24 * 60 * 60);
 
 type Parsed<T> = Result<T, Box<str>>;
 
-/// Reads a scenario.
+/// Parses a scenario.
 ///
 /// # Errors
-/// [`BadLine`], the first one.
+/// [`BadLine`] for the first invalid line.
 ///
 /// ```
 /// use yuccalink_coordination::scenario::parse;
@@ -162,9 +162,10 @@
         ["leave", name] => Ok(Event::Leave(named(name)?)),
         ["restart", name] => Ok(Event::Restart(named(name)?)),
         ["expect", rest @ ..] => expect(rest).map(Event::Expect),
-        [verb, ..] => {
-            Err(format!("`{verb}` with these words is not known; see docs/SCENARIOS.md").into())
-        }
+        [verb, ..] => Err(format!(
+            "`{verb}` is not known, or not with these arguments; see docs/SCENARIOS.md"
+        )
+        .into()),
         [] => Err("an event is missing after the instant".into()),
     }
 }
@@ -181,7 +182,7 @@
     }
 }
 
-/// `name=value` words of one line, each to be taken once.
+/// The `name=value` words of one line; each can be taken once.
 struct Fields<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
@@ -256,5 +257,8 @@
         _ => return Err(format!("`{text}` is no time; write 250ms, 3s, 2m or 1h").into()),
     };
     let number: u64 = number.parse().map_err(|_| format!("`{text}` is no time"))?;
-    number.checked_mul(scale).map(Duration::from_millis).ok_or_else(|| "too long a time".into())
+    number
+        .checked_mul(scale)
+        .map(Duration::from_millis)
+        .ok_or_else(|| "the duration is too long".into())
 }
--- a/crates/coordination/src/scenario/world.rs
+++ b/crates/coordination/src/scenario/world.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: the real coordination parts, with fakes for what is outside.
+//! Runs a scenario with the real coordination components and fakes for everything outside them.
 
 mod events;
 mod expectations;
@@ -26,20 +26,20 @@
 use yuccalink_state::worker::{WorkerPhase, WorkerSpec};
 use yuccalink_state::{Command, Outcome, StateMachine};
 
-/// How often the parts look at the time.
+/// Interval at which the components are ticked.
 const TICK: Duration = Duration::from_millis(50);
-/// How often an entry renews its lease.
+/// Interval at which an entry renews its lease.
 const SYNC: Duration = Duration::from_millis(500);
-/// Scenarios begin when leases of an earlier leader have surely ended.
+/// Scenarios start after leases of an earlier leader have certainly expired.
 const START: Moment = Moment::from_millis(10_000);
 
 /// Why a scenario failed.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 /// line {line}: {what}
 pub struct Failure {
-    /// The line whose expectation does not hold, or after which an invariant broke.
+    /// The line whose expectation failed or after which an invariant was violated.
     pub line: usize,
-    /// What was found.
+    /// The observed difference or violation.
     pub what: Box<str>,
 }
 
@@ -48,7 +48,7 @@
 /// Runs a scenario to its end.
 ///
 /// # Errors
-/// [`Failure`] at the first line that does not hold.
+/// [`Failure`] for the first line that fails.
 ///
 /// ```
 /// use yuccalink_coordination::scenario::{parse, run};
@@ -264,7 +264,7 @@
         self.settle();
     }
 
-    /// Everything that is due now.
+    /// Performs everything that is due now.
     fn settle(&mut self) {
         self.end_leases();
         self.sync_entries();
--- a/crates/coordination/src/scenario/world/events.rs
+++ b/crates/coordination/src/scenario/world/events.rs
@@ -1,4 +1,4 @@
-//! What the lines of a scenario do.
+//! Performs the events of a scenario.
 
 use super::*;
 
@@ -55,11 +55,11 @@
                 }
                 Ok(())
             }
-            other => Err(format!("submitting came to {other:?}").into()),
+            other => Err(format!("the submission returned {other:?}").into()),
         }
     }
 
-    /// The tasks called `name`, or `name.1` and so on.
+    /// The tasks named `name`, or `name.1` and so on.
     pub(super) fn ids(&self, name: &str) -> Result<Box<[TaskId]>, Box<str>> {
         let group = format!("{name}.");
         let found: Box<[TaskId]> = self
@@ -77,7 +77,9 @@
     pub(super) fn end(&mut self, name: &str, event: &TaskEvent) -> Result<(), Box<str>> {
         for task in self.ids(name)? {
             let holder = self.workers.iter_mut().find(|w| w.running.contains_key(&task));
-            let Some(worker) = holder else { return Err(format!("{name} runs nowhere").into()) };
+            let Some(worker) = holder else {
+                return Err(format!("{name} is not running on any worker").into());
+            };
             let Some(epoch) = worker.running.remove(&task) else { continue };
             match event {
                 TaskEvent::Finished => self.task_checker.finished(task, epoch),
@@ -182,9 +184,10 @@
     }
 
     pub(super) fn answer(&mut self, name: &str, ended: RunnerOutcome) -> Result<(), Box<str>> {
-        let request = self.requests.get_mut(name).ok_or_else(|| format!("no request {name}"))?;
+        let request =
+            self.requests.get_mut(name).ok_or_else(|| format!("no request is called {name}"))?;
         let RequestState::At(grant, runner) = request.state.clone() else {
-            return Err(format!("request {name} is at no runner").into());
+            return Err(format!("request {name} is not at a runner").into());
         };
         request.state = match ended {
             RunnerOutcome::Answered => RequestState::Answered,
--- a/crates/coordination/src/scenario/world/expectations.rs
+++ b/crates/coordination/src/scenario/world/expectations.rs
@@ -1,4 +1,4 @@
-//! What the lines of a scenario expect.
+//! Checks the expectations of a scenario.
 
 use super::*;
 
@@ -79,7 +79,7 @@
         found.extend(self.request_checker.violations());
         match found.first() {
             None => Ok(()),
-            Some(violation) => Err(format!("a promise is broken: {violation}").into()),
+            Some(violation) => Err(format!("invariant violated: {violation}").into()),
         }
     }
 }
--- a/crates/coordination/src/scenario/world/routing.rs
+++ b/crates/coordination/src/scenario/world/routing.rs
@@ -1,8 +1,9 @@
-//! Fake runners and entries: ownership and requests under way.
+//! Fake runners and entries: ownership and requests in flight.
 
 use super::*;
 
-/// Changes that an entry is told at once: few, so that most are told in pieces.
+/// Maximum number of changes sent to an entry at once; low, so that most updates need several
+/// messages.
 const CHANGES_MAX: usize = 8;
 
 impl World {
--- a/crates/coordination/src/scenario/world/tasks.rs
+++ b/crates/coordination/src/scenario/world/tasks.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// A worker whose lease has ended drops everything, cut off or not.
+    /// A worker whose lease has expired stops all tasks, whether it is connected or not.
     pub(super) fn end_leases(&mut self) {
         for worker in &mut self.workers {
             if self.now < worker.lease_until {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// True when the lease was renewed.
+    /// Sends one heartbeat or announcement; returns true if the lease was renewed.
     pub(super) fn worker_beat(&mut self, at: usize) -> bool {
         let worker = &mut self.workers[at];
         let spec = worker.spec.clone();
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -96,7 +96,10 @@
     let id = view.members.learners.iter().find(gone)?.id;
     let mut members = view.members.clone();
     members.learners.retain(|learner| learner.id != id);
-    Some((members, format!("replica {id} follows no more: it is silent or replaced").into()))
+    Some((
+        members,
+        format!("replica {id} is removed from the learners: it is silent or replaced").into(),
+    ))
 }
 
 fn add_learner(view: &MembershipView) -> Option<(Members, Box<str>)> {
@@ -105,7 +108,10 @@
     let disk = view.disks.iter().find(new)?;
     let mut members = view.members.clone();
     members.learners.push(disk.member.clone());
-    Some((members, format!("replica {} of {} follows", disk.member.id, disk.member.name).into()))
+    Some((
+        members,
+        format!("replica {} of {} becomes a learner", disk.member.id, disk.member.name).into(),
+    ))
 }
 
 /// Makes a learner a voter once it has caught up; before that, it would count towards the
@@ -118,7 +124,7 @@
     let mut members = view.members.clone();
     members.learners.retain(|learner| learner.id != ready.id);
     members.voters.push(ready.clone());
-    Some((members, format!("replica {} of {} votes", ready.id, ready.name).into()))
+    Some((members, format!("replica {} of {} becomes a voter", ready.id, ready.name).into()))
 }
 
 /// The learner that has caught up and whose zone has the fewest voters, so that the failure of
@@ -148,11 +154,14 @@
     let mut members = view.members.clone();
     let why = if members.voters.len() > wanted {
         members.voters.retain(|other| other.id != voter.id);
-        format!("replica {} of {} votes no more", voter.id, voter.name)
+        format!("replica {} of {} is removed from the voters", voter.id, voter.name)
     } else {
         let ready = best_learner(view)?;
         members.learners.retain(|learner| learner.id != ready.id);
-        let why = format!("replica {} votes beside {}, which is silent", ready.id, voter.id);
+        let why = format!(
+            "replica {} becomes a voter to replace {}, which is silent",
+            ready.id, voter.id
+        );
         members.voters.push(ready);
         why
     };
