--- a/crates/coordination/src/directory.rs
+++ b/crates/coordination/src/directory.rs
@@ -17,7 +17,7 @@
 /// A target is suspected after this many of its usual heartbeat intervals without a heartbeat.
 const SUSPECT_INTERVALS: u32 = 3;
 /// Time without a heartbeat after which a runner is marked as gone.
-pub const DEAD: Duration = Duration::from_secs(15);
+pub const RUNNER_GONE_AFTER: Duration = Duration::from_secs(15);
 /// How long a worker runs its tasks after the last heartbeat that was answered.
 pub const WORKER_LEASE: Duration = Duration::from_secs(10);
 /// Longest gap between two ticks of a leader that is running. After a longer gap the leader
@@ -25,9 +25,9 @@
 /// targets.
 const TICK_GAP_MAX: Duration = Duration::from_millis(500);
 /// Upper bound on the time that a request takes from its owner to a runner.
-const SETTLE: Duration = Duration::from_millis(500);
+const TRANSIT_MAX: Duration = Duration::from_millis(500);
 /// How long a runner that is gone is still reported to entries as gone.
-const TOMBSTONE: Duration = Duration::from_secs(60);
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 /// Whether a target can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
@@ -73,14 +73,14 @@
     /// Upper bound on the requests of a previous owner that it may still be executing.
     reserved: u32,
     /// The release by the previous owner that must complete before another owner is chosen.
-    released: Option<Release>,
+    pending_release: Option<Release>,
     changed: u64,
     interval: Duration,
 }
 
 impl Target {
     /// The update for entries if this target is a runner.
-    fn as_change(&self) -> Option<RunnerUpdate> {
+    fn as_update(&self) -> Option<RunnerUpdate> {
         match &self.spec {
             TargetSpec::Worker(_) => None,
             TargetSpec::Runner(spec) => Some(RunnerUpdate {
@@ -99,17 +99,17 @@
 #[derive(Clone, Debug)]
 enum Release {
     /// The previous owner is alive and will confirm when none of its requests is in flight.
-    Asked(Name),
+    AwaitingOwner(Name),
     /// The previous owner cannot send anything after this moment. The number of requests that are
-    /// still running is taken from a heartbeat that arrives at least [`SETTLE`] later.
-    Ended(Moment),
+    /// still running is taken from a heartbeat that arrives at least [`TRANSIT_MAX`] later.
+    OwnerStopped(Moment),
 }
 
 impl Release {
-    fn waits(&self, heard: Moment) -> bool {
+    fn is_pending(&self, heard: Moment) -> bool {
         match self {
-            Self::Asked(_) => true,
-            Self::Ended(at) => heard < *at + SETTLE,
+            Self::AwaitingOwner(_) => true,
+            Self::OwnerStopped(at) => heard < *at + TRANSIT_MAX,
         }
     }
 }
@@ -173,9 +173,9 @@
 pub struct Directory {
     targets: BTreeMap<Name, Target>,
     version: u64,
-    ticked: Moment,
+    last_tick: Moment,
     /// Since when the leader has ticked without a gap longer than [`TICK_GAP_MAX`].
-    awake_since: Moment,
+    ticking_since: Moment,
 }
 
 impl Directory {
@@ -195,7 +195,7 @@
             && known.health != Health::Gone
             && known.spec.incarnation() != spec.incarnation()
         {
-            let wait = wait_for_old_run(now, known);
+            let wait = wait_for_previous_incarnation(now, known);
             if wait > Duration::ZERO {
                 return HeartbeatOutcome::PreviousIncarnationAlive(wait);
             }
@@ -204,7 +204,7 @@
         let name = spec.name().clone();
         let usage = Usage { busy, ..Usage::default() };
         match self.targets.get_mut(&name) {
-            Some(known) if known.health != Health::Gone && same_place(&known.spec, &spec) => {
+            Some(known) if known.health != Health::Gone && is_same_kind(&known.spec, &spec) => {
                 known.spec = spec;
                 known.last_heard = now;
                 known.health = Health::Live;
@@ -219,7 +219,7 @@
                     last_heard: now,
                     owner: None,
                     reserved: 0,
-                    released: None,
+                    pending_release: None,
                     changed: self.version,
                     interval: HEARTBEAT_INTERVAL,
                 };
@@ -234,28 +234,28 @@
         &mut self,
         now: Moment,
         name: &Name,
-        run: Incarnation,
+        incarnation: Incarnation,
         usage: Usage,
     ) -> HeartbeatOutcome {
         let Some(target) = self.targets.get_mut(name) else {
             return HeartbeatOutcome::AnnounceAgain;
         };
-        if target.spec.incarnation() != run || target.health == Health::Gone {
+        if target.spec.incarnation() != incarnation || target.health == Health::Gone {
             return HeartbeatOutcome::AnnounceAgain;
         }
-        let gap = now.since(target.last_heard).min(DEAD);
+        let gap = now.since(target.last_heard).min(RUNNER_GONE_AFTER);
         target.interval = (target.interval * 7 + gap) / 8;
         target.last_heard = now;
         // The owner counts its own requests. It needs an update only for requests that a previous
         // owner left at the runner.
-        let tells_owner = target.reserved > 0 && target.usage.busy != usage.busy;
+        let owner_needs_update = target.reserved > 0 && target.usage.busy != usage.busy;
         target.reserved = target.reserved.min(usage.busy);
         target.usage = usage;
         let revived = target.health == Health::Suspected;
         if revived {
             target.health = Health::Live;
         }
-        if revived || tells_owner {
+        if revived || owner_needs_update {
             self.version += 1;
             target.changed = self.version;
         }
@@ -263,11 +263,11 @@
     }
 
     /// Handles the message of a target that leaves.
-    pub fn leave(&mut self, name: &Name, run: Incarnation) -> HeartbeatOutcome {
+    pub fn leave(&mut self, name: &Name, incarnation: Incarnation) -> HeartbeatOutcome {
         let Some(target) = self.targets.get_mut(name) else {
             return HeartbeatOutcome::AnnounceAgain;
         };
-        if target.spec.incarnation() != run {
+        if target.spec.incarnation() != incarnation {
             return HeartbeatOutcome::AnnounceAgain;
         }
         if target.health != Health::Gone {
@@ -281,21 +281,21 @@
     /// Suspects and drops silent targets, and assigns an owner to each runner. Returns the runners
     /// that got a new owner.
     pub fn tick(&mut self, now: Moment, entries: &EntryTable) -> Vec<Name> {
-        if now.since(self.ticked) > TICK_GAP_MAX {
-            self.awake_since = now;
+        if now.since(self.last_tick) > TICK_GAP_MAX {
+            self.ticking_since = now;
         }
-        self.ticked = now;
-        self.note_silence(now);
-        self.take_from_lost_owners(now, entries);
+        self.last_tick = now;
+        self.update_health(now);
+        self.release_from_lost_owners(now, entries);
         self.assign(now, entries)
     }
 
-    fn note_silence(&mut self, now: Moment) {
+    fn update_health(&mut self, now: Moment) {
         for (name, target) in &mut self.targets {
-            let silent = now.since(target.last_heard.max(self.awake_since));
+            let silent = now.since(target.last_heard.max(self.ticking_since));
             let health = match (&target.spec, target.health) {
                 (_, Health::Gone) => continue,
-                (TargetSpec::Runner(_), _) if silent >= DEAD => Health::Gone,
+                (TargetSpec::Runner(_), _) if silent >= RUNNER_GONE_AFTER => Health::Gone,
                 (_, Health::Live) if silent >= target.suspect_after() => Health::Suspected,
                 _ => continue,
             };
@@ -305,11 +305,12 @@
             target.changed = self.version;
         }
         self.targets.retain(|_, target| {
-            target.health != Health::Gone || now.since(target.last_heard) < DEAD + TOMBSTONE
+            target.health != Health::Gone
+                || now.since(target.last_heard) < RUNNER_GONE_AFTER + GONE_RETENTION
         });
     }
 
-    fn take_from_lost_owners(&mut self, now: Moment, entries: &EntryTable) {
+    fn release_from_lost_owners(&mut self, now: Moment, entries: &EntryTable) {
         let usable = |e: &EntryRecord| !e.draining && e.may_hold_lease(now);
         let successor = entries.iter().any(|(_, entry)| usable(entry));
         for target in self.targets.values_mut() {
@@ -322,9 +323,13 @@
                 continue;
             }
             let alive = entry.is_some_and(|entry| entry.may_hold_lease(now));
-            let release = if alive { Release::Asked(owner.clone()) } else { Release::Ended(now) };
+            let release = if alive {
+                Release::AwaitingOwner(owner.clone())
+            } else {
+                Release::OwnerStopped(now)
+            };
             self.version += 1;
-            target.released = Some(release);
+            target.pending_release = Some(release);
             target.owner = None;
             target.changed = self.version;
         }
@@ -335,31 +340,32 @@
             return Vec::new();
         }
         let mut load = self.load(now, entries);
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         for (name, target) in &mut self.targets {
             let TargetSpec::Runner(spec) = &target.spec else { continue };
-            if let Some(Release::Asked(from)) = &target.released
+            if let Some(Release::AwaitingOwner(from)) = &target.pending_release
                 && !entries.get(from).is_some_and(|entry| entry.may_hold_lease(now))
             {
-                target.released = Some(Release::Ended(now));
+                target.pending_release = Some(Release::OwnerStopped(now));
             }
-            let waits = target.released.as_ref().is_some_and(|r| r.waits(target.last_heard));
+            let waits =
+                target.pending_release.as_ref().is_some_and(|r| r.is_pending(target.last_heard));
             if target.owner.is_some() || target.health == Health::Gone || waits {
                 continue;
             }
-            let best = load
-                .iter_mut()
-                .min_by_key(|(at, held)| (held.of(&spec.service), held.zone != spec.zone, *at));
-            let Some((owner, held)) = best else { break };
-            held.add(&spec.service, spec.slots);
+            let best = load.iter_mut().min_by_key(|(at, entry_load)| {
+                (entry_load.slots_of(&spec.service), entry_load.zone != spec.zone, *at)
+            });
+            let Some((owner, entry_load)) = best else { break };
+            entry_load.add(&spec.service, spec.slots);
             self.version += 1;
             target.owner = Some(owner.clone());
             target.reserved = target.usage.busy;
-            target.released = None;
+            target.pending_release = None;
             target.changed = self.version;
-            given.push(name.clone());
+            assigned.push(name.clone());
         }
-        given
+        assigned
     }
 
     fn load(&self, now: Moment, entries: &EntryTable) -> BTreeMap<Name, Load> {
@@ -368,8 +374,8 @@
             usable.map(|(name, e)| (name.clone(), Load::new(e.zone.clone()))).collect();
         for target in self.targets.values() {
             let TargetSpec::Runner(spec) = &target.spec else { continue };
-            if let Some(held) = target.owner.as_ref().and_then(|owner| load.get_mut(owner)) {
-                held.add(&spec.service, spec.slots);
+            if let Some(entry_load) = target.owner.as_ref().and_then(|owner| load.get_mut(owner)) {
+                entry_load.add(&spec.service, spec.slots);
             }
         }
         load
@@ -382,7 +388,7 @@
             if target.owner.as_ref() == Some(owner) {
                 self.version += 1;
                 target.owner = None;
-                target.released = Some(Release::Ended(now));
+                target.pending_release = Some(Release::OwnerStopped(now));
                 target.changed = self.version;
             }
         }
@@ -391,9 +397,9 @@
     /// Handles an owner's confirmation that none of its requests is in flight at `name`.
     pub fn confirm_release(&mut self, name: &Name, by: &Name) {
         if let Some(target) = self.targets.get_mut(name)
-            && matches!(&target.released, Some(Release::Asked(from)) if from == by)
+            && matches!(&target.pending_release, Some(Release::AwaitingOwner(from)) if from == by)
         {
-            target.released = None;
+            target.pending_release = None;
         }
     }
 
@@ -414,7 +420,7 @@
             last_heard: now,
             owner: None,
             reserved: 0,
-            released: None,
+            pending_release: None,
             changed,
             interval: HEARTBEAT_INTERVAL,
         });
@@ -430,15 +436,15 @@
             .targets
             .values()
             .filter(is_new)
-            .filter_map(|target| Some((target.changed, target.as_change()?)))
+            .filter_map(|target| Some((target.changed, target.as_update()?)))
             .collect();
         changed.sort_by_key(|(changed, _)| *changed);
         let upto = match changed.len() > most {
             true => changed[..most].last().map_or(version, |(last, _)| *last),
             false => self.version,
         };
-        let told = changed.into_iter().take_while(|(changed, _)| *changed <= upto);
-        (told.map(|(_, change)| change).collect(), upto)
+        let pending = changed.into_iter().take_while(|(changed, _)| *changed <= upto);
+        (pending.map(|(_, change)| change).collect(), upto)
     }
 
     /// Every target, by name.
@@ -460,7 +466,7 @@
 /// Time until a new incarnation may replace the known one: two incarnations of a target must
 /// not have work at once. The old one has certainly stopped when its lease has expired, or when
 /// it announced that it leaves and executes nothing.
-fn wait_for_old_run(now: Moment, known: &Target) -> Duration {
+fn wait_for_previous_incarnation(now: Moment, known: &Target) -> Duration {
     let lease = match &known.spec {
         TargetSpec::Worker(_) => lease_span_with_drift(WORKER_LEASE),
         TargetSpec::Runner(_) => return Duration::ZERO,
@@ -471,7 +477,7 @@
     lease.saturating_sub(now.since(known.last_heard))
 }
 
-fn same_place(old: &TargetSpec, new: &TargetSpec) -> bool {
+fn is_same_kind(old: &TargetSpec, new: &TargetSpec) -> bool {
     match (old, new) {
         (TargetSpec::Runner(a), TargetSpec::Runner(b)) => a.service == b.service,
         (TargetSpec::Worker(_), TargetSpec::Worker(_)) => true,
@@ -489,7 +495,7 @@
         Self { zone, slots: BTreeMap::new() }
     }
 
-    fn of(&self, service: &Name) -> u32 {
+    fn slots_of(&self, service: &Name) -> u32 {
         self.slots.get(service).copied().unwrap_or(0)
     }
 
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -59,10 +59,10 @@
         let mut due = Vec::new();
         for task in state.tasks_on_worker(worker) {
             let Some(order) = order_for(state, task) else { continue };
-            let at = self.sent.entry((task.id, task.epoch, order)).or_insert(Moment::ZERO);
-            let first = *at == Moment::ZERO;
-            if first || now.since(*at) >= RESEND {
-                *at = now.max(Moment(1));
+            let last_sent = self.sent.entry((task.id, task.epoch, order)).or_insert(Moment::ZERO);
+            let first = *last_sent == Moment::ZERO;
+            if first || now.since(*last_sent) >= RESEND {
+                *last_sent = now.max(Moment(1));
                 due.push(DueOrder { task: task.id, epoch: task.epoch, order });
             }
             if due.len() == BATCH_MAX {
@@ -137,24 +137,24 @@
     ) -> Differences {
         let mut found = Differences::default();
         for task in state.tasks_on_worker(worker) {
-            let at = (task.id, task.epoch);
+            let key = (task.id, task.epoch);
             let running = matches!(task.phase, TaskPhase::Running(_) | TaskPhase::Stopping(..));
-            if !running || held.contains(&at) {
-                self.missing.remove(&at);
+            if !running || held.contains(&key) {
+                self.missing.remove(&key);
                 continue;
             }
-            let times = self.missing.entry(at).or_default();
+            let times = self.missing.entry(key).or_default();
             *times += 1;
             if *times >= 2 {
-                self.missing.remove(&at);
-                found.lost.push(at);
+                self.missing.remove(&key);
+                found.lost.push(key);
             }
         }
-        let should = |id: &TaskId, epoch: &Epoch| {
+        let is_assigned = |id: &TaskId, epoch: &Epoch| {
             let task = state.task(*id);
             task.is_some_and(|t| t.epoch == *epoch && t.worker() == Some(worker))
         };
-        found.stray.extend(held.iter().filter(|(id, epoch)| !should(id, epoch)));
+        found.stray.extend(held.iter().filter(|(id, epoch)| !is_assigned(id, epoch)));
         found
     }
 }
--- a/crates/coordination/src/entries.rs
+++ b/crates/coordination/src/entries.rs
@@ -9,7 +9,7 @@
 /// How long an entry may serve after it sent the request that renewed its lease.
 pub const CONFIG_LEASE: Duration = Duration::from_millis(3_000);
 /// Time without a report after which an entry is no longer listed.
-pub const FORGET: Duration = Duration::from_secs(600);
+pub const ENTRY_RETENTION: Duration = Duration::from_secs(600);
 
 /// One entry VM.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,23 +58,23 @@
 /// use yuccalink_coordination::{Moment, entries::*};
 /// use yuccalink_state::id::{Incarnation, Name, Revision};
 /// let mut entries = EntryTable::new(Moment::ZERO);
-/// let mut hello = EntryReport {
+/// let mut report = EntryReport {
 ///     name: Name::new("e1")?, incarnation: Incarnation(1), caller_address: "127.0.0.1:8080".into(),
 ///     zone: Name::new("brno")?, acked_revision: Revision(6), draining: false,
 /// };
 /// let at = |ms| Moment::from_millis(ms);
-/// entries.record_report(at(10_000), &hello);
-/// assert_eq!(entries.rollout_status(at(10_100), Revision(7)), RolloutStatus::Not([hello.name.clone()].into()));
+/// entries.record_report(at(10_000), &report);
+/// assert_eq!(entries.rollout_status(at(10_100), Revision(7)), RolloutStatus::Not([report.name.clone()].into()));
 /// assert_eq!(entries.rollout_status(at(14_000), Revision(7)), RolloutStatus::Everywhere, "its lease ended");
-/// hello.acked_revision = Revision(7);
-/// entries.record_report(at(10_200), &hello);
+/// report.acked_revision = Revision(7);
+/// entries.record_report(at(10_200), &report);
 /// assert_eq!(entries.rollout_status(at(10_200), Revision(7)), RolloutStatus::Everywhere);
 /// # Ok::<(), yuccalink_state::id::BadName>(())
 /// ```
 #[derive(Debug)]
 pub struct EntryTable {
-    all: BTreeMap<Name, EntryRecord>,
-    since: Moment,
+    records: BTreeMap<Name, EntryRecord>,
+    elected_at: Moment,
 }
 
 /// Whether a revision is in force at every entry.
@@ -99,7 +99,7 @@
     /// assert_eq!(entries.rollout_status(Moment::from_millis(4_000), Revision(1)), RolloutStatus::Everywhere);
     /// ```
     pub fn new(now: Moment) -> Self {
-        Self { all: BTreeMap::new(), since: now }
+        Self { records: BTreeMap::new(), elected_at: now }
     }
 
     /// Stores a report, which renews the sender's lease. Returns true if the entry was known with
@@ -113,33 +113,33 @@
             last_heard: now,
             draining: report.draining,
         };
-        let before = self.all.insert(report.name.clone(), entry);
+        let before = self.records.insert(report.name.clone(), entry);
         before.is_some_and(|known| known.incarnation != report.incarnation)
     }
 
     /// Removes an entry that has reported that it stopped serving.
     pub fn leave(&mut self, name: &Name) {
-        self.all.remove(name);
+        self.records.remove(name);
     }
 
-    /// Removes entries that have not reported for [`FORGET`].
+    /// Removes entries that have not reported for [`ENTRY_RETENTION`].
     pub fn tidy(&mut self, now: Moment) {
-        self.all.retain(|_, entry| now.since(entry.last_heard) < FORGET);
+        self.records.retain(|_, entry| now.since(entry.last_heard) < ENTRY_RETENTION);
     }
 
     /// Every entry, by name.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &EntryRecord)> {
-        self.all.iter()
+        self.records.iter()
     }
 
     /// The entry called `name`.
     pub fn get(&self, name: &Name) -> Option<&EntryRecord> {
-        self.all.get(name)
+        self.records.get(name)
     }
 
     /// Whether leases granted by an earlier leader may still be valid.
     pub fn earlier_leases_may_run(&self, now: Moment) -> bool {
-        now.since(self.since) <= lease_span_with_drift(CONFIG_LEASE)
+        now.since(self.elected_at) <= lease_span_with_drift(CONFIG_LEASE)
     }
 
     /// Whether `revision` is in force at every entry that may be serving.
@@ -148,7 +148,7 @@
     /// so it is waited for only until then.
     pub fn rollout_status(&self, now: Moment, revision: Revision) -> RolloutStatus {
         let behind: Box<[Name]> = self
-            .all
+            .records
             .iter()
             .filter(|(_, entry)| entry.acked_revision < revision && entry.may_hold_lease(now))
             .map(|(name, _)| name.clone())
--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Violation {
     /// the committed resources of worker {0} exceed its capacity
-    OverCommitted(Name),
+    CapacityExceeded(Name),
     /// the committed resources of worker {0} differ from the sum of its tasks
-    WrongSum(Name),
+    CommitmentMismatch(Name),
     /// task {task} ran as epoch {first} and epoch {second} at once
-    TwoPlaces {
+    ConcurrentRuns {
         /// The task.
         task: TaskId,
         /// The earlier start.
@@ -26,15 +26,15 @@
     /// request {0} got the response to another request
     WrongAnswer(Box<str>),
     /// request {0} must run at most once and ran {1} times
-    RanAgain(Box<str>, u32),
+    ExecutedRepeatedly(Box<str>, u32),
     /// request {0} was reported as "not run" but had run
-    FalseNotRun(Box<str>),
-    /// runner {runner} ran {held} requests at once but has {slots} slots
-    OverSlots {
+    ExecutedDespiteNotRun(Box<str>),
+    /// runner {runner} ran {running} requests at once but has {slots} slots
+    SlotsExceeded {
         /// The runner.
         runner: Box<str>,
         /// Requests that it executed at once.
-        held: u32,
+        running: u32,
         /// The number of its slots.
         slots: u32,
     },
@@ -59,10 +59,10 @@
     for (key, worker) in state.workers() {
         let sum = sums.get(&key).copied().unwrap_or_default();
         if sum != worker.committed {
-            found.push(Violation::WrongSum(worker.spec.name.clone()));
+            found.push(Violation::CommitmentMismatch(worker.spec.name.clone()));
         }
         if !worker.spec.capacity.covers(sum) {
-            found.push(Violation::OverCommitted(worker.spec.name.clone()));
+            found.push(Violation::CapacityExceeded(worker.spec.name.clone()));
         }
     }
     found
@@ -89,7 +89,7 @@
     /// Records that a worker started a task.
     pub fn started(&mut self, task: TaskId, epoch: Epoch) {
         if let Some(first) = self.running.insert(task, epoch) {
-            self.violations.push(Violation::TwoPlaces { task, first, second: epoch });
+            self.violations.push(Violation::ConcurrentRuns { task, first, second: epoch });
         }
     }
 
@@ -129,10 +129,10 @@
 
 #[derive(Clone, Debug, Default)]
 struct Request {
-    once: bool,
+    at_most_once: bool,
     tag: u64,
     runs: u32,
-    told: Vec<CallerOutcome>,
+    outcomes: Vec<CallerOutcome>,
 }
 
 /// Checks the requests that runners execute against what callers are told. Each attempt of a
@@ -150,55 +150,56 @@
 #[derive(Debug, Default)]
 pub struct RequestChecker {
     requests: BTreeMap<Box<str>, Request>,
-    held: BTreeMap<Box<str>, u32>,
+    running: BTreeMap<Box<str>, u32>,
     violations: Vec<Violation>,
 }
 
 impl RequestChecker {
     /// Records that a caller sent a request; `tag` is the tag that its response must carry.
-    pub fn sent(&mut self, name: &str, tag: u64, once: bool) {
+    pub fn sent(&mut self, name: &str, tag: u64, at_most_once: bool) {
         let request = self.requests.entry(name.into()).or_default();
         request.tag = tag;
-        request.once = once;
+        request.at_most_once = at_most_once;
     }
 
     /// Records that a runner started a request.
     pub fn ran(&mut self, name: &str, runner: &str, slots: u32) {
         self.requests.entry(name.into()).or_default().runs += 1;
-        let held = self.held.entry(runner.into()).or_default();
-        *held += 1;
-        if *held > slots {
-            let violation = Violation::OverSlots { runner: runner.into(), held: *held, slots };
+        let running = self.running.entry(runner.into()).or_default();
+        *running += 1;
+        if *running > slots {
+            let violation =
+                Violation::SlotsExceeded { runner: runner.into(), running: *running, slots };
             self.violations.push(violation);
         }
     }
 
     /// Records that a runner finished a request.
     pub fn done(&mut self, runner: &str) {
-        if let Some(held) = self.held.get_mut(runner) {
-            *held = held.saturating_sub(1);
+        if let Some(running) = self.running.get_mut(runner) {
+            *running = running.saturating_sub(1);
         }
     }
 
     /// Records what a caller was told.
-    pub fn record_outcome(&mut self, name: &str, told: CallerOutcome) {
-        self.requests.entry(name.into()).or_default().told.push(told);
+    pub fn record_outcome(&mut self, name: &str, outcome: CallerOutcome) {
+        self.requests.entry(name.into()).or_default().outcomes.push(outcome);
     }
 
     /// All violations; call this at the end of a run.
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = self.violations.clone();
         for (name, request) in &self.requests {
-            if request.once && request.runs > 1 {
-                found.push(Violation::RanAgain(name.clone(), request.runs));
+            if request.at_most_once && request.runs > 1 {
+                found.push(Violation::ExecutedRepeatedly(name.clone(), request.runs));
             }
-            for told in &request.told {
-                match told {
+            for outcome in &request.outcomes {
+                match outcome {
                     CallerOutcome::Answer(tag) if *tag != request.tag => {
                         found.push(Violation::WrongAnswer(name.clone()));
                     }
                     CallerOutcome::NotRun if request.runs > 0 => {
-                        found.push(Violation::FalseNotRun(name.clone()));
+                        found.push(Violation::ExecutedDespiteNotRun(name.clone()));
                     }
                     CallerOutcome::Answer(_) | CallerOutcome::NotRun | CallerOutcome::Unknown => {}
                 }
--- a/crates/coordination/src/peer_table.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -48,11 +48,11 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownPeer {
     info: NodeInfo,
     /// When its own last message arrived; none if only other processes reported it.
-    heard: Option<Moment>,
-    told: Moment,
+    last_heard: Option<Moment>,
+    last_reported: Moment,
 }
 
 /// What one process knows of the others.
@@ -80,15 +80,15 @@
     /// Addresses to contact first, in an order that all processes share at the first start.
     pub seeds: Vec<SocketAddr>,
     bootstrap: bool,
-    known: BTreeMap<SocketAddr, Known>,
-    lead: Option<(LeaderInfo, Moment)>,
+    known: BTreeMap<SocketAddr, KnownPeer>,
+    leader: Option<(LeaderInfo, Moment)>,
     /// The replica that this process, as the first seed and without a disk, chose to bootstrap the
     /// cell.
     designated: Option<ReplicaId>,
     /// The replica that the first seed chose to bootstrap the cell, as the first seed reported it.
-    founder: Option<ReplicaId>,
+    bootstrapper: Option<ReplicaId>,
     /// Another process has reported a leader, so the cell exists.
-    founded: bool,
+    cell_exists: bool,
 }
 
 impl PeerTable {
@@ -101,10 +101,10 @@
             seeds,
             bootstrap,
             known,
-            lead: None,
+            leader: None,
             designated: None,
-            founder: None,
-            founded: false,
+            bootstrapper: None,
+            cell_exists: false,
         }
     }
 
@@ -121,7 +121,7 @@
         {
             self.designated = info.replica;
         }
-        self.known.insert(info.peer, Known { info, heard: Some(now), told: now });
+        self.known.insert(info.peer, KnownPeer { info, last_heard: Some(now), last_reported: now });
     }
 
     /// Records a disk that another process reports.
@@ -131,69 +131,69 @@
         }
         match self.known.get_mut(&info.peer) {
             // A recent report of the process about itself takes precedence over what others report.
-            Some(known) if known.heard.is_some_and(|at| now.since(at) < DISK_FORGET) => {}
-            Some(known) => known.told = now,
+            Some(known) if known.last_heard.is_some_and(|at| now.since(at) < DISK_FORGET) => {}
+            Some(known) => known.last_reported = now,
             None => {
-                let known = Known { info: info.clone(), heard: None, told: now };
+                let known = KnownPeer { info: info.clone(), last_heard: None, last_reported: now };
                 self.known.insert(info.peer, known);
             }
         }
     }
 
     /// Records the leader that another process reports.
-    pub fn record_leader(&mut self, lead: LeaderInfo, from: SocketAddr, now: Moment) {
-        self.founded = true;
+    pub fn record_leader(&mut self, leader: LeaderInfo, from: SocketAddr, now: Moment) {
+        self.cell_exists = true;
         // Whether this process leads is decided by its own replica.
-        if lead.peer == self.me.peer {
+        if leader.peer == self.me.peer {
             return;
         }
-        let by_itself = lead.peer == from;
-        match &mut self.lead {
-            Some((known, _)) if known.term > lead.term => {}
-            Some((known, at)) if known.term == lead.term && known.peer == lead.peer => {
+        let by_itself = leader.peer == from;
+        match &mut self.leader {
+            Some((known, _)) if known.term > leader.term => {}
+            Some((known, at)) if known.term == leader.term && known.peer == leader.peer => {
                 if by_itself {
-                    (*known, *at) = (lead, now);
+                    (*known, *at) = (leader, now);
                 }
             }
             other => {
-                let lead = LeaderInfo { serving: lead.serving && by_itself, ..lead };
-                if other.as_ref().is_none_or(|(known, _)| known.peer != lead.peer) {
-                    log::info!("leader={} term={} told-by={from}", lead.peer, lead.term);
+                let leader = LeaderInfo { serving: leader.serving && by_itself, ..leader };
+                if other.as_ref().is_none_or(|(known, _)| known.peer != leader.peer) {
+                    log::info!("leader={} term={} told-by={from}", leader.peer, leader.term);
                 }
-                *other = Some((lead, now));
+                *other = Some((leader, now));
             }
         }
     }
 
     /// Removes the leader if it is `peer`, because it does not answer or no longer leads.
     pub fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
-        if self.lead.is_some_and(|(lead, _)| lead.peer == peer) {
+        if self.leader.is_some_and(|(leader, _)| leader.peer == peer) {
             log::warn!("leader={peer} lost why={why}");
-            self.lead = None;
+            self.leader = None;
         }
     }
 
     /// Drops a leader that has been silent for longer than [`LEAD_FRESH`], and processes that were
     /// not reported for 30 s.
     pub fn tick(&mut self, now: Moment) {
-        if let Some((lead, at)) = self.lead
+        if let Some((leader, at)) = self.leader
             && now.since(at) > LEAD_FRESH
         {
-            self.clear_leader(lead.peer, "silent");
+            self.clear_leader(leader.peer, "silent");
         }
-        self.known.retain(|_, known| now.since(known.told) < DISK_FORGET);
+        self.known.retain(|_, known| now.since(known.last_reported) < DISK_FORGET);
     }
 
     /// The leader, if one is known.
     pub fn lead(&self) -> Option<LeaderInfo> {
-        self.lead.map(|(lead, _)| lead)
+        self.leader.map(|(leader, _)| leader)
     }
 
     /// Records the replica that the first seed chose to bootstrap the cell; only the first seed's
     /// message counts.
-    pub fn record_bootstrapper(&mut self, founder: Option<ReplicaId>, from: SocketAddr) {
-        if self.seeds.first() == Some(&from) && founder.is_some() {
-            self.founder = founder;
+    pub fn record_bootstrapper(&mut self, bootstrapper: Option<ReplicaId>, from: SocketAddr) {
+        if self.seeds.first() == Some(&from) && bootstrapper.is_some() {
+            self.bootstrapper = bootstrapper;
         }
     }
 
@@ -205,16 +205,17 @@
 
     /// Disks that recently reported to this process, for other processes.
     pub fn disks(&self, now: Moment) -> Vec<NodeInfo> {
-        let fresh = |known: &&Known| known.heard.is_some_and(|at| now.since(at) < DISK_FORGET);
+        let fresh =
+            |known: &&KnownPeer| known.last_heard.is_some_and(|at| now.since(at) < DISK_FORGET);
         let disks = self.known.values().filter(fresh).map(|known| &known.info);
         disks.filter(|info| info.replica.is_some()).cloned().collect()
     }
 
     /// Disks that have reported to this process, as candidates for voters.
     pub fn candidates(&self, now: Moment) -> Vec<Disk> {
-        let candidate = |known: &Known| {
+        let candidate = |known: &KnownPeer| {
             let info = &known.info;
-            let silent = now.since(known.heard?);
+            let silent = now.since(known.last_heard?);
             let member = member_of(info)?;
             Some(Disk { member, zone: info.zone.clone(), silent })
         };
@@ -223,7 +224,7 @@
 
     /// Address of the process whose disk holds this replica.
     pub fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let is = |known: &&Known| known.info.replica == Some(id);
+        let is = |known: &&KnownPeer| known.info.replica == Some(id);
         self.known.values().find(is).map(|known| known.info.peer)
     }
 
@@ -237,15 +238,15 @@
     pub fn wanted_links(&self, members: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let mut wanted = BTreeSet::new();
         let has_disk = self.me.replica.is_some();
-        if let Some((lead, _)) = &self.lead {
-            wanted.insert(lead.peer);
+        if let Some((leader, _)) = &self.leader {
+            wanted.insert(leader.peer);
         }
-        if self.lead.is_none() || has_disk {
+        if self.leader.is_none() || has_disk {
             let disks = self.known.values().filter(|known| known.info.replica.is_some());
             wanted.extend(disks.map(|known| known.info.peer));
             wanted.extend(members);
         }
-        if self.lead.is_none() {
+        if self.leader.is_none() {
             wanted.extend(&self.seeds);
         }
         wanted.remove(&self.me.peer);
@@ -257,7 +258,7 @@
     /// two cells that each consider themselves the only one. A seed that does not answer may have a
     /// disk, so no process after it bootstraps until it answers.
     pub fn should_bootstrap(&self, empty: bool) -> bool {
-        if !self.bootstrap || !empty || self.founded || self.lead.is_some() {
+        if !self.bootstrap || !empty || self.cell_exists || self.leader.is_some() {
             return false;
         }
         for seed in &self.seeds {
@@ -265,13 +266,13 @@
                 return true;
             }
             match self.known.get(seed) {
-                Some(known) if known.heard.is_some() && known.info.replica.is_none() => {}
+                Some(known) if known.last_heard.is_some() && known.info.replica.is_none() => {}
                 _ => return false,
             }
         }
         match self.seeds.is_empty() {
             true => true,
-            false => self.founder.is_some() && self.founder == self.me.replica,
+            false => self.bootstrapper.is_some() && self.bootstrapper == self.me.replica,
         }
     }
 }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -88,7 +88,7 @@
     })
 }
 
-struct Room {
+struct WorkerCapacity {
     key: WorkerKey,
     free: Resources,
     capacity: Resources,
@@ -98,7 +98,7 @@
 
 /// Number of tasks of one service and kind in each rack or zone, depending on the kind's
 /// spread.
-type Neighbours = HashMap<(ServiceKey, Name), HashMap<Name, u32>>;
+type SpreadCounts = HashMap<(ServiceKey, Name), HashMap<Name, u32>>;
 
 /// Plans placements for the waiting tasks, the most urgent first.
 ///
@@ -123,97 +123,97 @@
 
 struct Planner<'a> {
     state: &'a StateMachine,
-    rooms: Vec<Room>,
-    full_for: HashSet<Resources>,
-    neighbours: Option<Neighbours>,
+    workers: Vec<WorkerCapacity>,
+    unplaceable: HashSet<Resources>,
+    spread_counts: Option<SpreadCounts>,
 }
 
 impl<'a> Planner<'a> {
     fn new(state: &'a StateMachine) -> Self {
         let live = state.workers().filter(|(_, w)| w.phase == WorkerPhase::Live);
-        let rooms = live.map(|(key, worker)| Room {
+        let workers = live.map(|(key, worker)| WorkerCapacity {
             key,
             free: worker.free(),
             capacity: worker.spec.capacity,
             rack: worker.spec.rack.clone(),
             zone: worker.spec.zone.clone(),
         });
-        let rooms = rooms.collect();
-        Self { state, rooms, full_for: HashSet::new(), neighbours: None }
+        let workers = workers.collect();
+        Self { state, workers, unplaceable: HashSet::new(), spread_counts: None }
     }
 
     fn place(&mut self, task: &Task) -> Option<Decision> {
         // A need that fits no worker now fits none later in this plan. Skipping it avoids one scan
         // of all workers per task in a long queue of equal tasks.
-        if self.full_for.contains(&task.need) {
+        if self.unplaceable.contains(&task.need) {
             return None;
         }
         let kind = self.state.kind_of(task);
         let spread = kind.map_or(Spread::None, |kind| kind.spread);
         let class = kind.map_or(TaskClass::Batch, |kind| kind.class);
-        let near = self.neighbours_of(task, spread);
+        let counts = self.counts_for(task, spread);
         let mut best = None;
         let mut passed_over = 0;
-        for (at, room) in self.rooms.iter().enumerate() {
-            let Some(left) = room.free.minus(task.need) else {
+        for (at, worker) in self.workers.iter().enumerate() {
+            let Some(left) = worker.free.minus(task.need) else {
                 passed_over += 1;
                 continue;
             };
-            let crowd = spread_place(spread, room).and_then(|place| near.get(place));
-            let rank = (crowd.copied().unwrap_or(0), packing(class, left, room.capacity));
+            let in_domain = spread_domain(spread, worker).and_then(|domain| counts.get(domain));
+            let rank = (in_domain.copied().unwrap_or(0), packing(class, left, worker.capacity));
             if best.is_none_or(|(least, _)| rank < least) {
                 best = Some((rank, at));
             }
         }
         let Some((_, at)) = best else {
-            self.full_for.insert(task.need);
+            self.unplaceable.insert(task.need);
             return None;
         };
-        let room = &mut self.rooms[at];
-        room.free = room.free.minus(task.need)?;
-        let decision = Decision { task: task.id, worker: room.key, passed_over };
-        self.note_neighbour(task, spread, at);
+        let worker = &mut self.workers[at];
+        worker.free = worker.free.minus(task.need)?;
+        let decision = Decision { task: task.id, worker: worker.key, passed_over };
+        self.count_placement(task, spread, at);
         Some(decision)
     }
 
-    fn neighbours_of(&mut self, task: &Task, spread: Spread) -> HashMap<Name, u32> {
+    fn counts_for(&mut self, task: &Task, spread: Spread) -> HashMap<Name, u32> {
         if spread == Spread::None {
             return HashMap::new();
         }
         let state = self.state;
-        let all = self.neighbours.get_or_insert_with(|| count_neighbours(state));
-        all.get(&(task.service, task.kind.clone())).cloned().unwrap_or_default()
+        let by_kind = self.spread_counts.get_or_insert_with(|| count_tasks(state));
+        by_kind.get(&(task.service, task.kind.clone())).cloned().unwrap_or_default()
     }
 
-    fn note_neighbour(&mut self, task: &Task, spread: Spread, at: usize) {
-        let Some(place) = spread_place(spread, &self.rooms[at]).cloned() else { return };
-        let Some(all) = &mut self.neighbours else { return };
-        let counts = all.entry((task.service, task.kind.clone())).or_default();
-        *counts.entry(place).or_default() += 1;
+    fn count_placement(&mut self, task: &Task, spread: Spread, at: usize) {
+        let Some(domain) = spread_domain(spread, &self.workers[at]).cloned() else { return };
+        let Some(by_kind) = &mut self.spread_counts else { return };
+        let counts = by_kind.entry((task.service, task.kind.clone())).or_default();
+        *counts.entry(domain).or_default() += 1;
     }
 }
 
-fn count_neighbours(state: &StateMachine) -> Neighbours {
-    let mut all = Neighbours::new();
+fn count_tasks(state: &StateMachine) -> SpreadCounts {
+    let mut by_kind = SpreadCounts::new();
     for (key, worker) in state.workers() {
         for task in state.tasks_on_worker(key) {
-            let place = match state.kind_of(task).map(|kind| kind.spread) {
+            let domain = match state.kind_of(task).map(|kind| kind.spread) {
                 Some(Spread::Racks) => &worker.spec.rack,
                 Some(Spread::Zones) => &worker.spec.zone,
                 Some(Spread::None) | None => continue,
             };
-            let counts = all.entry((task.service, task.kind.clone())).or_default();
-            *counts.entry(place.clone()).or_default() += 1;
+            let counts = by_kind.entry((task.service, task.kind.clone())).or_default();
+            *counts.entry(domain.clone()).or_default() += 1;
         }
     }
-    all
+    by_kind
 }
 
-fn spread_place(spread: Spread, room: &Room) -> Option<&Name> {
+fn spread_domain(spread: Spread, worker: &WorkerCapacity) -> Option<&Name> {
     match spread {
         Spread::None => None,
-        Spread::Racks => Some(&room.rack),
-        Spread::Zones => Some(&room.zone),
+        Spread::Racks => Some(&worker.rack),
+        Spread::Zones => Some(&worker.zone),
     }
 }
 
--- a/crates/coordination/src/pressure.rs
+++ b/crates/coordination/src/pressure.rs
@@ -12,9 +12,9 @@
 use yuccalink_state::task::{Task, TaskPhase};
 
 /// Share of a worker's CPU in use from which it is under pressure, in thousandths.
-pub const PRESSED_FROM: u64 = 900;
+pub const PRESSURE_START_PERMILLE: u64 = 900;
 /// Share of CPU in use below which the pressure ends, in thousandths; the gap avoids flapping.
-pub const EASED_BELOW: u64 = 700;
+pub const PRESSURE_END_PERMILLE: u64 = 700;
 /// Share of its CPU that a throttled task gets, in thousandths.
 pub const THROTTLED_SHARE_PERMILLE: u32 = 500;
 /// How long a throttle lasts unless it is renewed.
@@ -51,8 +51,8 @@
     /// ```
     /// # use yuccalink_coordination::pressure::Pressure;
     /// # use yuccalink_state::{StateMachine, id::WorkerKey};
-    /// let (throttles, turn) = Pressure::default().note(&StateMachine::new(), WorkerKey(0), 900);
-    /// assert!(throttles.is_empty() && turn.is_none());
+    /// let (throttles, change) = Pressure::default().note(&StateMachine::new(), WorkerKey(0), 900);
+    /// assert!(throttles.is_empty() && change.is_none());
     /// ```
     pub fn note(
         &mut self,
@@ -63,26 +63,26 @@
         let critical = state
             .tasks_on_worker(worker)
             .any(|task| state.class_of(task) == TaskClass::LatencyCritical);
-        let was = self.pressed.contains(&worker);
-        let from = if was { EASED_BELOW } else { PRESSED_FROM };
-        let is = critical && used_share(state, worker, used_millicores) >= from;
-        let turn = match (was, is) {
+        let was_pressed = self.pressed.contains(&worker);
+        let threshold = if was_pressed { PRESSURE_END_PERMILLE } else { PRESSURE_START_PERMILLE };
+        let is_pressed = critical && used_permille(state, worker, used_millicores) >= threshold;
+        let change = match (was_pressed, is_pressed) {
             (false, true) => Some(PressureChange::Pressed),
             (true, false) => Some(PressureChange::Eased),
             _ => None,
         };
-        if !is {
+        if !is_pressed {
             self.pressed.remove(&worker);
-            return (Vec::new(), turn);
+            return (Vec::new(), change);
         }
         self.pressed.insert(worker);
         let throttles = state.tasks_on_worker(worker).filter(|task| may_throttle(state, task));
-        (throttles.map(|task| Throttle { task: task.id, epoch: task.epoch }).collect(), turn)
+        (throttles.map(|task| Throttle { task: task.id, epoch: task.epoch }).collect(), change)
     }
 }
 
 /// CPU in use, in thousandths of the worker's capacity.
-fn used_share(state: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
+fn used_permille(state: &StateMachine, worker: WorkerKey, used_millicores: u64) -> u64 {
     let all = state.worker_at(worker).spec.capacity.millicores;
     used_millicores.saturating_mul(1000) / all.max(1)
 }
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -44,13 +44,13 @@
 /// Maximum number of unanswered messages with entries to one follower.
 pub const APPENDS_IN_FLIGHT: usize = 16;
 /// Bytes of a snapshot in one message.
-pub const CHUNK: usize = 256 * 1024;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 /// Largest snapshot that is accepted, in bytes.
-pub const SNAPSHOT_MAX: usize = 1024 * 1024 * 1024;
+pub const SNAPSHOT_MAX_BYTES: usize = 1024 * 1024 * 1024;
 /// Log entries kept before the snapshot for followers that are slightly behind.
 pub const RETAINED_LOG_ENTRIES: u64 = 4_096;
 /// A learner may become a voter once it is at most this many entries behind.
-pub const CAUGHT_UP: u64 = 64;
+pub const CAUGHT_UP_ENTRIES: u64 = 64;
 
 /// Identity of one disk. It is drawn when the disk is first used, so a replacement is never
 /// mistaken for the disk that it replaces.
@@ -187,7 +187,7 @@
 
 impl std::error::Error for NotProposed {}
 
-struct Incoming {
+struct IncomingSnapshot {
     meta: SnapshotMeta,
     bytes: Vec<u8>,
 }
@@ -202,17 +202,17 @@
     members: Members,
     members_index: u64,
     commit: u64,
-    handed_out: u64,
-    leader_heard: Option<Moment>,
+    delivered: u64,
+    last_leader_contact: Option<Moment>,
     election_at: Moment,
     heartbeat_at: Moment,
-    led_since: u64,
+    term_start_index: u64,
     elected_at: Moment,
     /// This leader has asked another replica to take over and grants no leases any more.
-    handing_over: bool,
+    transferring_leadership: bool,
     votes: BTreeSet<ReplicaId>,
     progress: BTreeMap<ReplicaId, Progress>,
-    incoming: Option<Incoming>,
+    incoming: Option<IncomingSnapshot>,
     installing: bool,
     seq: u64,
     written: u64,
@@ -262,13 +262,13 @@
             members: Members::default(),
             members_index: commit,
             commit,
-            handed_out: commit,
-            leader_heard: None,
+            delivered: commit,
+            last_leader_contact: None,
             election_at: now,
             heartbeat_at: now,
-            led_since: 0,
+            term_start_index: 0,
             elected_at: Moment::ZERO,
-            handing_over: false,
+            transferring_leadership: false,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             incoming: None,
@@ -281,13 +281,13 @@
             out: Output::default(),
         };
         raft.read_members();
-        raft.rest(now);
+        raft.reset_election_timer(now);
         if raft.members.voters.len() == 1 {
             raft.election_at = now;
         } else if raft.hard.term > 0 {
             // A leader that was heard just before the restart may hold a lease that relies on this
             // replica not voting for another meanwhile.
-            raft.leader_heard = Some(now);
+            raft.last_leader_contact = Some(now);
         }
         raft
     }
@@ -357,26 +357,26 @@
     /// Whether this replica leads and has committed an entry of its own term, and with it
     /// everything that earlier leaders committed.
     pub fn has_committed_in_term(&self) -> bool {
-        self.role == Role::Leader && self.commit >= self.led_since
+        self.role == Role::Leader && self.commit >= self.term_start_index
     }
 
     /// Whether no other replica can have been elected yet: a quorum responded so recently that it
     /// still refuses to vote for another. Leases may be granted only then.
     pub fn has_lease(&self, now: Moment) -> bool {
-        if !self.has_committed_in_term() || self.handing_over {
+        if !self.has_committed_in_term() || self.transferring_leadership {
             return false;
         }
         let micros = u64::try_from(ELECTION_MIN.as_micros()).unwrap_or(0);
         let span = Duration::from_micros(micros - micros * 2 * DRIFT_PPM / 1_000_000);
-        now < self.quorum_heard(now) + span
+        now < self.quorum_contact(now) + span
     }
 
     /// The time by which a quorum was last heard: when the newest messages that it answered were
     /// sent.
-    fn quorum_heard(&self, now: Moment) -> Moment {
+    fn quorum_contact(&self, now: Moment) -> Moment {
         let heard = |voter: &Member| match voter.id == self.id {
             true => now,
-            false => self.progress.get(&voter.id).map_or(Moment::ZERO, |p| p.echoed),
+            false => self.progress.get(&voter.id).map_or(Moment::ZERO, |p| p.newest_answered),
         };
         let mut times: Vec<Moment> = self.members.voters.iter().map(heard).collect();
         times.sort_by(|a, b| b.cmp(a));
@@ -385,18 +385,18 @@
 
     /// Takes the actions that have accumulated since the last call.
     pub fn take(&mut self) -> Output {
-        self.hand_out();
+        self.deliver_committed();
         std::mem::take(&mut self.out)
     }
 
-    fn hand_out(&mut self) {
+    fn deliver_committed(&mut self) {
         if self.installing {
             return;
         }
-        while self.handed_out < self.commit {
-            let Some(entry) = self.log.get(self.handed_out + 1) else { return };
-            self.handed_out += 1;
-            self.out.committed.push((self.handed_out, entry.clone()));
+        while self.delivered < self.commit {
+            let Some(entry) = self.log.get(self.delivered + 1) else { return };
+            self.delivered += 1;
+            self.out.committed.push((self.delivered, entry.clone()));
         }
     }
 
@@ -405,26 +405,27 @@
     /// Performs what is due at `now`.
     pub fn tick(&mut self, now: Moment) {
         if self.role == Role::Leader {
-            self.lead(now);
+            self.tick_leader(now);
         } else if now >= self.election_at && self.members.is_voter(self.id) {
-            self.ask_beforehand(now);
+            self.start_pre_vote(now);
         }
     }
 
-    fn lead(&mut self, now: Moment) {
+    fn tick_leader(&mut self, now: Moment) {
         // A leader without responses from a quorum steps down: clients must find the new leader,
         // and a partitioned leader must not accept proposals that it cannot commit.
-        let heard = self.quorum_heard(now).max(self.elected_at);
+        let heard = self.quorum_contact(now).max(self.elected_at);
         if self.members.voters.len() > 1 && now.since(heard) > ELECTION_MAX * 2 {
-            self.follow(now, self.hard.term, None);
+            self.become_follower(now, self.hard.term, None);
             return;
         }
         let mut stalled = Vec::new();
         for (id, progress) in &mut self.progress {
-            if now.since(progress.last_heard) > RESEND && now.since(progress.retried) > RESEND {
-                progress.start_anew(now);
-            } else if now.since(progress.moved) > RESEND && progress.sends_chunks() {
-                progress.moved = now;
+            if now.since(progress.last_heard) > RESEND && now.since(progress.restarted_at) > RESEND
+            {
+                progress.restart_sending(now);
+            } else if now.since(progress.offset_changed_at) > RESEND && progress.sends_chunks() {
+                progress.offset_changed_at = now;
                 stalled.push((*id, progress.offset));
             }
         }
@@ -437,7 +438,7 @@
         }
     }
 
-    fn rest(&mut self, now: Moment) {
+    fn reset_election_timer(&mut self, now: Moment) {
         let min = u64::try_from(ELECTION_MIN.as_micros()).unwrap_or(0);
         let max = u64::try_from(ELECTION_MAX.as_micros()).unwrap_or(1);
         self.election_at = now + Duration::from_micros(self.rng.random_range(min..max));
@@ -458,23 +459,23 @@
             Message::PreVote { .. } | Message::PreVoteReply { .. } => {}
             // A vote that the leader itself requested is allowed, because that leader grants no
             // leases any more.
-            Message::Vote { handed_over: false, .. } if self.hears_leader(now) => return,
-            _ if term > self.hard.term => self.follow(now, term, None),
+            Message::Vote { handed_over: false, .. } if self.has_recent_leader(now) => return,
+            _ if term > self.hard.term => self.become_follower(now, term, None),
             _ => {}
         }
         match message {
             Message::PreVote { term, index, last_term } => {
                 let granted = term > self.hard.term
                     && self.is_up_to_date(index, last_term)
-                    && !self.hears_leader(now);
+                    && !self.has_recent_leader(now);
                 let term = if granted { term } else { self.hard.term };
                 self.send(from, Message::PreVoteReply { term, granted });
             }
             Message::PreVoteReply { term, granted } => {
                 if granted && self.role == Role::PreCandidate && term == self.hard.term + 1 {
-                    self.vote_came(now, from);
+                    self.record_vote(now, from);
                 } else if term > self.hard.term && !granted {
-                    self.follow(now, term, None);
+                    self.become_follower(now, term, None);
                 }
             }
             Message::TakeOver { term } => {
@@ -483,11 +484,11 @@
                 }
             }
             Message::Vote { term, index, last_term, .. } => {
-                self.asked(now, from, term, index, last_term)
+                self.handle_vote_request(now, from, term, index, last_term)
             }
             Message::VoteReply { term, granted } => {
                 if granted && self.role == Role::Candidate && term == self.hard.term {
-                    self.vote_came(now, from);
+                    self.record_vote(now, from);
                 }
             }
             Message::Append { .. } | Message::Chunk { .. } if term < self.hard.term => {
@@ -501,21 +502,21 @@
                 self.send(from, reply);
             }
             Message::Append { term, prev, prev_term, entries, commit, sent } => {
-                self.hear_leader(now, from, term);
-                self.take_entries(from, (prev, prev_term), &entries, commit, sent);
+                self.record_leader_contact(now, from, term);
+                self.handle_append(from, (prev, prev_term), &entries, commit, sent);
             }
             Message::AppendReply { term, ok, index, echo } => {
                 if term == self.hard.term && self.role == Role::Leader {
-                    self.append_answered(now, from, ok, index, echo);
+                    self.handle_append_reply(now, from, ok, index, echo);
                 }
             }
             Message::Chunk { term, meta, offset, total, data, sent } => {
-                self.hear_leader(now, from, term);
-                self.take_chunk(from, &meta, offset, total, &data, sent);
+                self.record_leader_contact(now, from, term);
+                self.handle_chunk(from, &meta, offset, total, &data, sent);
             }
             Message::ChunkReply { term, index, offset, echo } => {
                 if term == self.hard.term && self.role == Role::Leader {
-                    self.chunk_answered(now, from, index, offset, echo);
+                    self.handle_chunk_reply(now, from, index, offset, echo);
                 }
             }
         }
@@ -523,10 +524,10 @@
 
     /// Whether a leader was heard so recently that no other may be elected. Leases depend on this:
     /// otherwise a leader could be replaced while it grants them.
-    fn hears_leader(&self, now: Moment) -> bool {
+    fn has_recent_leader(&self, now: Moment) -> bool {
         match self.role {
-            Role::Leader => now.since(self.quorum_heard(now)) < ELECTION_MIN,
-            _ => self.leader_heard.is_some_and(|heard| now.since(heard) < ELECTION_MIN),
+            Role::Leader => now.since(self.quorum_contact(now)) < ELECTION_MIN,
+            _ => self.last_leader_contact.is_some_and(|heard| now.since(heard) < ELECTION_MIN),
         }
     }
 
@@ -535,25 +536,32 @@
         (last_term, index) >= (own_term, own)
     }
 
-    fn asked(&mut self, now: Moment, from: ReplicaId, term: u64, index: u64, last_term: u64) {
+    fn handle_vote_request(
+        &mut self,
+        now: Moment,
+        from: ReplicaId,
+        term: u64,
+        index: u64,
+        last_term: u64,
+    ) {
         let free = self.hard.vote.is_none_or(|vote| vote == from);
         let granted = term == self.hard.term && free && self.is_up_to_date(index, last_term);
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(from);
             self.write(self.log.last() + 1, Vec::new());
-            self.rest(now);
+            self.reset_election_timer(now);
         }
         self.send(from, Message::VoteReply { term: self.hard.term, granted });
     }
 
-    fn hear_leader(&mut self, now: Moment, from: ReplicaId, term: u64) {
-        self.follow(now, term, Some(from));
-        self.leader_heard = Some(now);
+    fn record_leader_contact(&mut self, now: Moment, from: ReplicaId, term: u64) {
+        self.become_follower(now, term, Some(from));
+        self.last_leader_contact = Some(now);
     }
 }
 
 /// Whether the voters differ by at most one.
-fn one_step(old: &Members, new: &Members) -> bool {
+fn is_single_change(old: &Members, new: &Members) -> bool {
     let ids = |members: &Members| -> BTreeSet<ReplicaId> {
         members.voters.iter().map(|voter| voter.id).collect()
     };
--- a/crates/coordination/src/raft/election.rs
+++ b/crates/coordination/src/raft/election.rs
@@ -5,11 +5,11 @@
 impl Raft {
     /// Starts a pre-vote. Without it, a replica that was partitioned would come back with a high
     /// term and depose a working leader.
-    pub(super) fn ask_beforehand(&mut self, now: Moment) {
+    pub(super) fn start_pre_vote(&mut self, now: Moment) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = BTreeSet::from([self.id]);
-        self.rest(now);
+        self.reset_election_timer(now);
         if self.votes.len() >= self.members.quorum() {
             return self.campaign(now, false);
         }
@@ -23,7 +23,7 @@
         self.hard = HardState { term: self.hard.term + 1, vote: Some(self.id) };
         self.leader = None;
         self.votes = BTreeSet::new();
-        self.rest(now);
+        self.reset_election_timer(now);
         self.write(self.log.last() + 1, Vec::new());
         // Its own vote counts once it is on the disk, as for any other voter.
         let (index, last_term) = self.log.tail();
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(super) fn vote_came(&mut self, now: Moment, from: ReplicaId) {
+    pub(super) fn record_vote(&mut self, now: Moment, from: ReplicaId) {
         if self.members.is_voter(from) {
             self.votes.insert(from);
         }
@@ -57,19 +57,19 @@
         self.role = Role::Leader;
         self.leader = Some(self.id);
         self.elected_at = now;
-        self.handing_over = false;
+        self.transferring_leadership = false;
         self.progress.clear();
         self.heartbeat_at = now + HEARTBEAT_INTERVAL;
         // An entry of its own term commits all earlier entries with it. Entries of earlier terms
         // must not be committed by counting replicas (Raft paper, figure 8).
         self.append(vec![Payload::Empty]);
-        self.led_since = self.log.last();
-        self.meet_members(now);
+        self.term_start_index = self.log.last();
+        self.sync_progress(now);
         self.send_all(now, false);
-        self.advance();
+        self.advance_commit();
     }
 
-    pub(super) fn meet_members(&mut self, now: Moment) {
+    pub(super) fn sync_progress(&mut self, now: Moment) {
         let ids: BTreeSet<ReplicaId> =
             self.members.all().map(|m| m.id).filter(|id| *id != self.id).collect();
         self.progress.retain(|id, _| ids.contains(id));
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(super) fn follow(&mut self, now: Moment, term: u64, leader: Option<ReplicaId>) {
+    pub(super) fn become_follower(&mut self, now: Moment, term: u64, leader: Option<ReplicaId>) {
         if term > self.hard.term {
             self.hard = HardState { term, vote: None };
             self.write(self.log.last() + 1, Vec::new());
@@ -89,6 +89,6 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.rest(now);
+        self.reset_election_timer(now);
     }
 }
--- a/crates/coordination/src/raft/follower.rs
+++ b/crates/coordination/src/raft/follower.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Raft {
-    pub(super) fn take_entries(
+    pub(super) fn handle_append(
         &mut self,
         from: ReplicaId,
         (prev, prev_term): (u64, u64),
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn take_chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         from: ReplicaId,
         meta: &SnapshotMeta,
@@ -90,7 +90,7 @@
         sent: Moment,
     ) {
         let term = self.hard.term;
-        if self.installing || total > SNAPSHOT_MAX as u64 {
+        if self.installing || total > SNAPSHOT_MAX_BYTES as u64 {
             return;
         }
         if meta.index <= self.commit {
@@ -100,7 +100,7 @@
         }
         let fresh = self.incoming.as_ref().is_none_or(|incoming| incoming.meta != *meta);
         if fresh {
-            self.incoming = Some(Incoming { meta: meta.clone(), bytes: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { meta: meta.clone(), bytes: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming else { return };
         let have = incoming.bytes.len() as u64;
@@ -109,7 +109,7 @@
         }
         let have = incoming.bytes.len() as u64;
         if have >= total {
-            if let Some(Incoming { meta, bytes }) = self.incoming.take() {
+            if let Some(IncomingSnapshot { meta, bytes }) = self.incoming.take() {
                 self.installing = true;
                 self.out.install = Some((meta, bytes));
             }
@@ -138,7 +138,7 @@
         }
         self.read_members();
         self.commit = meta.index;
-        self.handed_out = meta.index;
+        self.delivered = meta.index;
         if let Some(leader) = self.leader {
             let term = self.hard.term;
             let done =
--- a/crates/coordination/src/raft/leader.rs
+++ b/crates/coordination/src/raft/leader.rs
@@ -27,13 +27,13 @@
             return Err(NotProposed::NotLeader);
         }
         // Two concurrent changes could produce two disjoint quorums.
-        if self.members_index > self.commit || !one_step(&self.members, &members) {
+        if self.members_index > self.commit || !is_single_change(&self.members, &members) {
             return Err(NotProposed::Busy);
         }
         self.append(vec![Payload::Members(members)]);
-        self.meet_members(now);
+        self.sync_progress(now);
         self.send_all(now, false);
-        self.advance();
+        self.advance_commit();
         Ok(())
     }
 
@@ -52,14 +52,14 @@
         let best = self.progress.iter().filter(ready).max_by_key(|(_, p)| p.last_heard);
         let Some((to, _)) = best else { return false };
         let to = *to;
-        self.handing_over = true;
+        self.transferring_leadership = true;
         self.send_now(to, Message::TakeOver { term: self.hard.term });
         true
     }
 
     /// Whether a learner has all but the newest entries.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
-        self.progress.get(&id).is_some_and(|p| p.matched + CAUGHT_UP >= self.log.last())
+        self.progress.get(&id).is_some_and(|p| p.matched + CAUGHT_UP_ENTRIES >= self.log.last())
     }
 
     /// When this leader last heard from a member.
@@ -95,8 +95,8 @@
             self.stable = self.stable.max(last).min(self.log.last());
         }
         match self.role {
-            Role::Candidate if self.written == self.seq => self.vote_came(now, self.id),
-            Role::Leader => self.advance(),
+            Role::Candidate if self.written == self.seq => self.record_vote(now, self.id),
+            Role::Leader => self.advance_commit(),
             _ => {}
         }
     }
@@ -123,16 +123,16 @@
     pub(super) fn send_to(&mut self, now: Moment, to: ReplicaId, heartbeat: bool) {
         let Some(progress) = self.progress.get_mut(&to) else { return };
         match &mut progress.sending {
-            Sending::Snapshot { asked: false, .. } => {
+            Sending::Snapshot { requested: false, .. } => {
                 self.out.need_snapshot.push(to);
-                if let Sending::Snapshot { asked, .. } = &mut progress.sending {
-                    *asked = true;
+                if let Sending::Snapshot { requested, .. } = &mut progress.sending {
+                    *requested = true;
                 }
-                self.beat(now, to);
+                self.send_empty_append(now, to);
             }
             Sending::Snapshot { .. } => {
                 if heartbeat {
-                    self.beat(now, to);
+                    self.send_empty_append(now, to);
                 }
             }
             Sending::Entries => self.send_entries(now, to, heartbeat),
@@ -140,7 +140,7 @@
     }
 
     /// Sends an empty append, so that a follower that is receiving a snapshot starts no election.
-    pub(super) fn beat(&mut self, now: Moment, to: ReplicaId) {
+    pub(super) fn send_empty_append(&mut self, now: Moment, to: ReplicaId) {
         let base = self.log.base();
         let message = Message::Append {
             term: self.hard.term,
@@ -159,9 +159,9 @@
             let Some(progress) = self.progress.get_mut(&to) else { return };
             let prev = progress.next - 1;
             let Some(prev_term) = self.log.term(prev) else {
-                progress.sending = Sending::Snapshot { asked: true, bytes: None };
+                progress.sending = Sending::Snapshot { requested: true, bytes: None };
                 self.out.need_snapshot.push(to);
-                return self.beat(now, to);
+                return self.send_empty_append(now, to);
             };
             let full = progress.in_flight >= progress.window();
             let more = progress.next <= self.log.last() && !full;
@@ -186,7 +186,7 @@
         }
     }
 
-    pub(super) fn append_answered(
+    pub(super) fn handle_append_reply(
         &mut self,
         now: Moment,
         from: ReplicaId,
@@ -196,10 +196,10 @@
     ) {
         let last = self.log.last();
         let Some(progress) = self.progress.get_mut(&from) else { return };
-        progress.hear(now, echo);
+        progress.record_response(now, echo);
         if ok {
             let index = index.min(last);
-            progress.reached(index);
+            progress.record_match(index);
             if let Sending::Snapshot { bytes, .. } = &progress.sending {
                 let offered = bytes.as_ref().map(|(meta, _)| meta.index);
                 if index >= self.log.base() {
@@ -207,17 +207,17 @@
                     progress.next = index + 1;
                 } else if offered.is_some_and(|offered| index >= offered) {
                     // The entries after the snapshot were compacted while it was sent.
-                    progress.sending = Sending::Snapshot { asked: false, bytes: None };
+                    progress.sending = Sending::Snapshot { requested: false, bytes: None };
                 }
             }
-            self.advance();
+            self.advance_commit();
         } else {
-            progress.refused(index);
+            progress.record_mismatch(index);
         }
         self.send_to(now, from, false);
     }
 
-    pub(super) fn advance(&mut self) {
+    pub(super) fn advance_commit(&mut self) {
         let reached = |voter: &Member| match voter.id == self.id {
             true => self.stable,
             false => self.progress.get(&voter.id).map_or(0, |p| p.matched),
--- a/crates/coordination/src/raft/progress.rs
+++ b/crates/coordination/src/raft/progress.rs
@@ -6,7 +6,7 @@
 
 pub(super) enum Sending {
     Entries,
-    Snapshot { asked: bool, bytes: Option<(Box<SnapshotMeta>, Arc<[u8]>)> },
+    Snapshot { requested: bool, bytes: Option<(Box<SnapshotMeta>, Arc<[u8]>)> },
 }
 
 pub(super) struct Progress {
@@ -20,13 +20,13 @@
     /// When the leader last heard from it.
     pub(super) last_heard: Moment,
     /// When the newest message that it answered was sent.
-    pub(super) echoed: Moment,
+    pub(super) newest_answered: Moment,
     /// When sending was last restarted.
-    pub(super) retried: Moment,
+    pub(super) restarted_at: Moment,
     /// Bytes of the snapshot that it has.
     pub(super) offset: u64,
     /// When `offset` last increased.
-    pub(super) moved: Moment,
+    pub(super) offset_changed_at: Moment,
     probing: bool,
 }
 
@@ -38,10 +38,10 @@
             sending: Sending::Entries,
             in_flight: 0,
             last_heard: now,
-            echoed: Moment::ZERO,
-            retried: now,
+            newest_answered: Moment::ZERO,
+            restarted_at: now,
             offset: 0,
-            moved: now,
+            offset_changed_at: now,
             probing: true,
         }
     }
@@ -55,32 +55,32 @@
         if self.probing { 1 } else { APPENDS_IN_FLIGHT }
     }
 
-    pub(super) fn hear(&mut self, now: Moment, echo: Moment) {
+    pub(super) fn record_response(&mut self, now: Moment, echo: Moment) {
         self.last_heard = now;
-        self.echoed = self.echoed.max(echo);
+        self.newest_answered = self.newest_answered.max(echo);
     }
 
-    pub(super) fn reached(&mut self, index: u64) {
+    pub(super) fn record_match(&mut self, index: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.probing = false;
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
     }
 
-    pub(super) fn refused(&mut self, hint: u64) {
+    pub(super) fn record_mismatch(&mut self, hint: u64) {
         self.in_flight = 0;
         self.probing = true;
         self.next = (hint + 1).min(self.next.saturating_sub(1)).max(self.matched + 1);
     }
 
     /// Restarts sending; everything in flight counts as lost.
-    pub(super) fn start_anew(&mut self, now: Moment) {
-        self.retried = now;
+    pub(super) fn restart_sending(&mut self, now: Moment) {
+        self.restarted_at = now;
         self.in_flight = 0;
         self.probing = true;
         self.next = self.matched + 1;
-        if let Sending::Snapshot { asked, bytes } = &mut self.sending {
-            *asked = false;
+        if let Sending::Snapshot { requested, bytes } = &mut self.sending {
+            *requested = false;
             *bytes = None;
         }
     }
--- a/crates/coordination/src/raft/snapshots.rs
+++ b/crates/coordination/src/raft/snapshots.rs
@@ -13,9 +13,9 @@
     ) {
         if let Some(progress) = self.progress.get_mut(&to) {
             progress.sending =
-                Sending::Snapshot { asked: true, bytes: Some((Box::new(meta), bytes)) };
+                Sending::Snapshot { requested: true, bytes: Some((Box::new(meta), bytes)) };
             progress.offset = 0;
-            progress.moved = now;
+            progress.offset_changed_at = now;
             self.send_chunk(now, to, 0);
         }
     }
@@ -28,7 +28,7 @@
     /// Removes entries that a durable snapshot at `index` contains, except the last `keep`, which
     /// serve followers that are slightly behind; see [`RETAINED_LOG_ENTRIES`].
     pub fn compact(&mut self, index: u64, keep: u64) {
-        let base = index.min(self.handed_out).saturating_sub(keep);
+        let base = index.min(self.delivered).saturating_sub(keep);
         self.log.compact(base);
     }
 
@@ -38,7 +38,7 @@
             return;
         };
         let start = usize::try_from(offset).unwrap_or(usize::MAX).min(bytes.len());
-        let end = (start + CHUNK).min(bytes.len());
+        let end = (start + SNAPSHOT_CHUNK_BYTES).min(bytes.len());
         let message = Message::Chunk {
             term: self.hard.term,
             meta: (**meta).clone(),
@@ -50,7 +50,7 @@
         self.send_now(to, message);
     }
 
-    pub(super) fn chunk_answered(
+    pub(super) fn handle_chunk_reply(
         &mut self,
         now: Moment,
         from: ReplicaId,
@@ -59,14 +59,14 @@
         echo: Moment,
     ) {
         let Some(progress) = self.progress.get_mut(&from) else { return };
-        progress.hear(now, echo);
+        progress.record_response(now, echo);
         let same = match &progress.sending {
             Sending::Snapshot { bytes: Some((meta, _)), .. } => meta.index == index,
             _ => false,
         };
         if same && offset > progress.offset {
             progress.offset = offset;
-            progress.moved = now;
+            progress.offset_changed_at = now;
             self.send_chunk(now, from, offset);
         }
     }
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -2,11 +2,11 @@
 //! never multiplies it.
 
 /// Retries earned per hundred successes.
-pub const PERCENT: u32 = 10;
+pub const RETRY_PERCENT: u32 = 10;
 /// Maximum number of retries that can be saved up.
-pub const SAVED_MAX: u32 = 20;
+pub const SAVED_RETRIES_MAX: u32 = 20;
 
-const PER_TRY: u32 = 100;
+const CREDIT_PER_RETRY: u32 = 100;
 
 /// The retry budget of one service at one entry.
 ///
@@ -21,25 +21,25 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Budget {
-    saved: u32,
+    credit: u32,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { saved: SAVED_MAX * PER_TRY }
+        Self { credit: SAVED_RETRIES_MAX * CREDIT_PER_RETRY }
     }
 }
 
 impl Budget {
     /// Records a success, which earns a fraction of a retry.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + PERCENT).min(SAVED_MAX * PER_TRY);
+        self.credit = (self.credit + RETRY_PERCENT).min(SAVED_RETRIES_MAX * CREDIT_PER_RETRY);
     }
 
     /// Spends one retry; returns false if the budget has none.
     pub fn spend(&mut self) -> bool {
-        let Some(left) = self.saved.checked_sub(PER_TRY) else { return false };
-        self.saved = left;
+        let Some(left) = self.credit.checked_sub(CREDIT_PER_RETRY) else { return false };
+        self.credit = left;
         true
     }
 }
--- a/crates/coordination/src/router.rs
+++ b/crates/coordination/src/router.rs
@@ -19,17 +19,17 @@
 /// Duration of the first ejection; it doubles with each further ejection.
 pub const EJECT_FIRST: Duration = Duration::from_secs(1);
 /// Longest ejection.
-pub const EJECT_LONGEST: Duration = Duration::from_secs(30);
+pub const EJECT_MAX: Duration = Duration::from_secs(30);
 /// At most one in this many of a service's runners is ejected at once, but always one if there
 /// are several. Random failures or a fault of the service itself therefore cannot eject them
 /// all.
-pub const EJECT_SHARE: usize = 3;
+pub const EJECT_ONE_IN: usize = 3;
 /// Maximum number of waiting requests per slot of the service.
 pub const QUEUE_PER_SLOT: usize = 4;
 /// Service time assumed before the first measurement.
-const FIRST_GUESS: Duration = Duration::from_millis(10);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
 /// The newest service time has a weight of one in this many.
-const SMOOTHING: u32 = 8;
+const SERVICE_TIME_SMOOTHING: u32 = 8;
 
 new_key_type! {
     /// Key of a runner at this entry.
@@ -139,7 +139,7 @@
 }
 
 impl Runner {
-    fn open_at(&self, now: Moment) -> bool {
+    fn is_available(&self, now: Moment) -> bool {
         match self.standing {
             Standing::Open => true,
             Standing::Ejected(until) => now >= until && self.busy == 0,
@@ -153,7 +153,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     ticket: Ticket,
     deadline: Moment,
     avoid: Option<RunnerKey>,
@@ -162,10 +162,10 @@
 #[derive(Debug)]
 struct Pool {
     runners: Vec<RunnerKey>,
-    queue: BTreeMap<(Reverse<u32>, Ticket), Waiting>,
+    queue: BTreeMap<(Reverse<u32>, Ticket), WaitingRequest>,
     service_time: Duration,
     budget: Budget,
-    next: usize,
+    rotation: usize,
 }
 
 /// Counters since the start, for metrics and tests.
@@ -188,22 +188,22 @@
 /// use yuccalink_state::{id::{Incarnation, Name}, target::RunnerSpec};
 /// let (quotes, now) = (Name::new("quotes")?, Moment::from_millis(1));
 /// let mut router = Router::new(Name::new("brno")?);
-/// let mut turns = Vec::new();
+/// let mut dequeued = Vec::new();
 /// let spec = RunnerSpec {
 ///     name: Name::new("r1")?, incarnation: Incarnation(1), service: quotes.clone(),
 ///     address: "127.0.0.1:9".into(), slots: 1, connections: 8, zone: Name::new("brno")?,
 /// };
-/// router.add_runner(now, spec, 0, &mut turns);
+/// router.add_runner(now, spec, 0, &mut dequeued);
 /// let deadline = Moment::from_millis(9_000);
-/// let arrival = RoutingRequest { service: &quotes, deadline, worth: 1, avoid: None };
-/// let Admission::Granted(grant) = router.admit(now, arrival) else { panic!("a free slot") };
-/// let Admission::Wait(ticket) = router.admit(now, arrival) else { panic!("a queue") };
+/// let request = RoutingRequest { service: &quotes, deadline, worth: 1, avoid: None };
+/// let Admission::Granted(grant) = router.admit(now, request) else { panic!("a free slot") };
+/// let Admission::Wait(ticket) = router.admit(now, request) else { panic!("a queue") };
 /// assert_eq!(router.queued(&quotes), 1);
-/// router.release(now, grant, RunnerOutcome::Answered, &mut turns);
-/// assert_eq!(turns[0].ticket, ticket, "the waiting one is next");
+/// router.release(now, grant, RunnerOutcome::Answered, &mut dequeued);
+/// assert_eq!(dequeued[0].ticket, ticket, "the waiting one is next");
 /// router.stop_routing_to(&Name::new("r1")?);
 /// assert!(!router.abandon(ticket), "its turn has come already");
-/// assert!(matches!(router.admit(now, arrival), Admission::Refuse(Refusal::NoneHealthy, _)));
+/// assert!(matches!(router.admit(now, request), Admission::Refuse(Refusal::NoneHealthy, _)));
 /// # Ok::<(), yuccalink_state::id::BadName>(())
 /// ```
 #[derive(Debug)]
@@ -226,8 +226,8 @@
     /// use yuccalink_state::id::Name;
     /// let mut router = Router::new(Name::new("brno")?);
     /// let quotes = Name::new("quotes")?;
-    /// let arrival = RoutingRequest { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
-    /// assert!(matches!(router.admit(Moment::ZERO, arrival), Admission::Refuse(Refusal::NoRunner, _)));
+    /// let request = RoutingRequest { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
+    /// assert!(matches!(router.admit(Moment::ZERO, request), Admission::Refuse(Refusal::NoRunner, _)));
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
     pub fn new(zone: Name) -> Self {
@@ -245,13 +245,13 @@
 
     /// Adds a runner that this entry now owns, or updates its specification. `reserved` is the
     /// number of requests that may still be in flight there for a previous owner. Waiting requests
-    /// that get a slot are pushed to `turns`.
+    /// that get a slot are pushed to `dequeued`.
     pub fn add_runner(
         &mut self,
         now: Moment,
         spec: RunnerSpec,
         reserved: u32,
-        turns: &mut Vec<DequeuedRequest>,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         if let Some(key) = self.by_name.get(&spec.name).copied()
             && let Some(runner) = self.runners.get_mut(key)
@@ -262,7 +262,7 @@
                     runner.standing = Standing::Open;
                 }
                 runner.spec = spec;
-                self.serve_queue_of(now, key, turns);
+                self.serve_queue_of(now, key, dequeued);
                 return;
             }
             self.remove_runner(&spec.name);
@@ -281,7 +281,7 @@
         });
         self.by_name.insert(name, key);
         self.pools[pool].runners.push(key);
-        self.serve_queue_of(now, key, turns);
+        self.serve_queue_of(now, key, dequeued);
     }
 
     /// Removes a runner. [`Router::release`] has no effect for its requests that end later.
@@ -306,18 +306,18 @@
         now: Moment,
         name: &Name,
         busy: u32,
-        turns: &mut Vec<DequeuedRequest>,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         let Some(key) = self.by_name.get(name).copied() else { return };
         let Some(runner) = self.runners.get_mut(key) else { return };
         runner.reserved = busy.saturating_sub(runner.peak).min(runner.reserved);
         runner.peak = runner.busy;
-        self.serve_queue_of(now, key, turns);
+        self.serve_queue_of(now, key, dequeued);
     }
 
     /// Decides whether a request gets a slot, waits or is refused.
-    pub fn admit(&mut self, now: Moment, arrival: RoutingRequest<'_>) -> Admission {
-        let Some(pool_key) = self.pool_by_name.get(arrival.service).copied() else {
+    pub fn admit(&mut self, now: Moment, request: RoutingRequest<'_>) -> Admission {
+        let Some(pool_key) = self.pool_by_name.get(request.service).copied() else {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
         };
         if self.pools[pool_key].runners.is_empty() {
@@ -325,28 +325,28 @@
         }
         // Waiting requests go first: a new request takes a free slot only if none waits.
         if self.pools[pool_key].queue.is_empty()
-            && let Some(key) = self.choose(now, pool_key, arrival.avoid)
+            && let Some(key) = self.choose(now, pool_key, request.avoid)
         {
             return Admission::Granted(self.grant(now, key));
         }
-        self.enqueue(now, pool_key, arrival)
+        self.enqueue(now, pool_key, request)
     }
 
     fn enqueue(
         &mut self,
         now: Moment,
         pool_key: PoolKey,
-        arrival: RoutingRequest<'_>,
+        request: RoutingRequest<'_>,
     ) -> Admission {
         let pool = &self.pools[pool_key];
-        let slots = self.open_slots(now, pool);
+        let slots = self.available_slots(now, pool);
         if slots == 0 {
             return self.refuse(Refusal::NoneHealthy, EJECT_FIRST);
         }
-        let ahead = pool.queue.range(..(Reverse(arrival.worth), Ticket(u64::MAX))).count();
+        let ahead = pool.queue.range(..(Reverse(request.worth), Ticket(u64::MAX))).count();
         let rounds = u32::try_from(ahead / slots + 1).unwrap_or(u32::MAX);
         let wait = pool.service_time.saturating_mul(rounds);
-        if now + wait > arrival.deadline {
+        if now + wait > request.deadline {
             return self.refuse(Refusal::TooLate, wait);
         }
         if pool.queue.len() >= slots * QUEUE_PER_SLOT {
@@ -355,8 +355,8 @@
         self.last_ticket += 1;
         self.counts.waited += 1;
         let ticket = Ticket(self.last_ticket);
-        let rank = Reverse(arrival.worth);
-        let waiting = Waiting { ticket, deadline: arrival.deadline, avoid: arrival.avoid };
+        let rank = Reverse(request.worth);
+        let waiting = WaitingRequest { ticket, deadline: request.deadline, avoid: request.avoid };
         self.pools[pool_key].queue.insert((rank, ticket), waiting);
         self.tickets.insert(ticket, (pool_key, rank));
         Admission::Wait(ticket)
@@ -379,13 +379,13 @@
         &mut self,
         now: Moment,
         grant: Grant,
-        ended: RunnerOutcome,
-        turns: &mut Vec<DequeuedRequest>,
+        outcome: RunnerOutcome,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         let Some(runner) = self.runners.get_mut(grant.runner) else { return };
         runner.busy = runner.busy.saturating_sub(1);
         let pool = runner.pool;
-        match ended {
+        match outcome {
             RunnerOutcome::Answered => {
                 runner.failures = 0;
                 runner.ejections = 0;
@@ -394,13 +394,14 @@
                 }
                 let pool = &mut self.pools[pool];
                 let took = now.since(grant.at);
-                pool.service_time = (pool.service_time * (SMOOTHING - 1) + took) / SMOOTHING;
+                pool.service_time = (pool.service_time * (SERVICE_TIME_SMOOTHING - 1) + took)
+                    / SERVICE_TIME_SMOOTHING;
                 pool.budget.earn();
             }
-            RunnerOutcome::Failed => self.failed(now, grant.runner),
+            RunnerOutcome::Failed => self.record_failure(now, grant.runner),
             RunnerOutcome::Abandoned => {}
         }
-        self.serve_queue(now, pool, turns);
+        self.serve_queue(now, pool, dequeued);
     }
 
     /// Whether a failed request of `service` may be retried; spends one retry of the budget.
@@ -442,17 +443,19 @@
         let key = self.pools.insert(Pool {
             runners: Vec::new(),
             queue: BTreeMap::new(),
-            service_time: FIRST_GUESS,
+            service_time: INITIAL_SERVICE_TIME,
             budget: Budget::default(),
-            next: 0,
+            rotation: 0,
         });
         self.pool_by_name.insert(service.clone(), key);
         key
     }
 
-    fn open_slots(&self, now: Moment, pool: &Pool) -> usize {
+    fn available_slots(&self, now: Moment, pool: &Pool) -> usize {
         let open = pool.runners.iter().filter_map(|key| self.runners.get(*key));
-        open.filter(|runner| runner.open_at(now)).map(|runner| runner.spec.slots as usize).sum()
+        open.filter(|runner| runner.is_available(now))
+            .map(|runner| runner.spec.slots as usize)
+            .sum()
     }
 
     /// The available runner with the smallest share of its slots in use; on a tie, one in the
@@ -465,12 +468,12 @@
     ) -> Option<RunnerKey> {
         let pool = &mut self.pools[pool];
         let count = pool.runners.len();
-        pool.next = (pool.next + 1) % count.max(1);
+        pool.rotation = (pool.rotation + 1) % count.max(1);
         let mut best = None;
         for step in 0..count {
-            let key = pool.runners[(pool.next + step) % count];
+            let key = pool.runners[(pool.rotation + step) % count];
             let Some(runner) = self.runners.get(key) else { continue };
-            if runner.free() == 0 || !runner.open_at(now) || avoid == Some(key) && count > 1 {
+            if runner.free() == 0 || !runner.is_available(now) || avoid == Some(key) && count > 1 {
                 continue;
             }
             let share = (runner.busy + runner.reserved) * 1024 / runner.spec.slots.max(1);
@@ -490,13 +493,13 @@
         Grant { runner: key, at: now }
     }
 
-    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, turns: &mut Vec<DequeuedRequest>) {
+    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, dequeued: &mut Vec<DequeuedRequest>) {
         if let Some(runner) = self.runners.get(key) {
-            self.serve_queue(now, runner.pool, turns);
+            self.serve_queue(now, runner.pool, dequeued);
         }
     }
 
-    fn serve_queue(&mut self, now: Moment, pool: PoolKey, turns: &mut Vec<DequeuedRequest>) {
+    fn serve_queue(&mut self, now: Moment, pool: PoolKey, dequeued: &mut Vec<DequeuedRequest>) {
         while let Some((rank, waiting)) = self.pools[pool].queue.first_key_value() {
             let (rank, waiting) = (*rank, waiting.clone());
             if waiting.deadline <= now {
@@ -508,11 +511,11 @@
             let Some(key) = self.choose(now, pool, waiting.avoid) else { return };
             self.pools[pool].queue.remove(&rank);
             self.tickets.remove(&waiting.ticket);
-            turns.push(DequeuedRequest { ticket: waiting.ticket, grant: self.grant(now, key) });
+            dequeued.push(DequeuedRequest { ticket: waiting.ticket, grant: self.grant(now, key) });
         }
     }
 
-    fn failed(&mut self, now: Moment, key: RunnerKey) {
+    fn record_failure(&mut self, now: Moment, key: RunnerKey) {
         let runner = &mut self.runners[key];
         runner.failures += 1;
         let probe_failed = matches!(runner.standing, Standing::Ejected(_));
@@ -526,12 +529,12 @@
             .iter()
             .filter(|key| matches!(self.runners[**key].standing, Standing::Ejected(_)))
             .count();
-        let most = (all / EJECT_SHARE).max(1).min(all.saturating_sub(1));
+        let most = (all / EJECT_ONE_IN).max(1).min(all.saturating_sub(1));
         if !probe_failed && ejected >= most {
             return;
         }
         let runner = &mut self.runners[key];
-        let span = EJECT_FIRST.saturating_mul(1 << runner.ejections.min(5)).min(EJECT_LONGEST);
+        let span = EJECT_FIRST.saturating_mul(1 << runner.ejections.min(5)).min(EJECT_MAX);
         runner.ejections += 1;
         runner.standing = Standing::Ejected(now + span);
         self.counts.ejected += 1;
--- a/crates/coordination/src/scenario/parse.rs
+++ b/crates/coordination/src/scenario/parse.rs
@@ -49,56 +49,56 @@
         let content = raw.split('#').next().unwrap_or_default();
         let words: Vec<&str> = content.split_whitespace().collect();
         if !words.is_empty() {
-            read_line(&words, line, &mut scenario).map_err(bad)?;
+            parse_line(&words, line, &mut scenario).map_err(bad)?;
         }
     }
     Ok(scenario)
 }
 
-fn read_line(words: &[&str], line: usize, scenario: &mut Scenario) -> Parsed<()> {
+fn parse_line(words: &[&str], line: usize, scenario: &mut Scenario) -> Parsed<()> {
     match words {
         ["entry", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
-            let zone = fields.name_or("zone", "zone")?;
-            scenario.entries.push(EntryLine { name: named(name)?, zone });
-            fields.close()
+            let zone = fields.take_name_or("zone", "zone")?;
+            scenario.entries.push(EntryLine { name: parse_name(name)?, zone });
+            fields.finish()
         }
         ["runner", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
             let runner = RunnerLine {
-                name: named(name)?,
-                service: named(fields.need("service")?)?,
-                slots: number(fields.or("slots", "8"))?,
-                zone: fields.name_or("zone", "zone")?,
+                name: parse_name(name)?,
+                service: parse_name(fields.take_required("service")?)?,
+                slots: parse_number(fields.take_or("slots", "8"))?,
+                zone: fields.take_name_or("zone", "zone")?,
             };
             scenario.runners.push(runner);
-            fields.close()
+            fields.finish()
         }
         ["worker", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
             let worker = WorkerLine {
-                name: named(name)?,
-                capacity: resources(&mut fields)?,
-                rack: fields.name_or("rack", "rack")?,
-                zone: fields.name_or("zone", "zone")?,
+                name: parse_name(name)?,
+                capacity: parse_resources(&mut fields)?,
+                rack: fields.take_name_or("rack", "rack")?,
+                zone: fields.take_name_or("zone", "zone")?,
             };
             scenario.workers.push(worker);
-            fields.close()
+            fields.finish()
         }
         ["kind", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
-            scenario.kinds.push(kind(name, &mut fields)?);
-            fields.close()
+            scenario.kinds.push(parse_kind(name, &mut fields)?);
+            fields.finish()
         }
         ["at", instant, rest @ ..] => {
-            let at = span(instant)?;
+            let at = parse_duration(instant)?;
             if at > TIME_MAX {
                 return Err("a scenario lasts at most 24h".into());
             }
             if scenario.steps.last().is_some_and(|last| last.at > at) {
                 return Err("the instants must not go back; sort the lines".into());
             }
-            let event = event(rest)?;
+            let event = parse_event(rest)?;
             scenario.steps.push(Step { line, at, event });
             Ok(())
         }
@@ -110,45 +110,51 @@
     }
 }
 
-fn kind(name: &str, fields: &mut Fields<'_>) -> Parsed<KindLine> {
-    let class = match fields.or("class", "batch") {
+fn parse_kind(name: &str, fields: &mut Fields<'_>) -> Parsed<KindLine> {
+    let class = match fields.take_or("class", "batch") {
         "batch" => TaskClass::Batch,
         "latency-critical" => TaskClass::LatencyCritical,
         other => return Err(format!("class={other}: use batch or latency-critical").into()),
     };
-    let spread = match fields.or("spread", "none") {
+    let spread = match fields.take_or("spread", "none") {
         "none" => Spread::None,
         "racks" => Spread::Racks,
         "zones" => Spread::Zones,
         other => return Err(format!("spread={other}: use none, racks or zones").into()),
     };
-    let checkpoint = yes(fields.or("checkpoint", "no"))?;
-    Ok(KindLine { name: named(name)?, need: resources(fields)?, class, spread, checkpoint })
+    let checkpoint = parse_yes_no(fields.take_or("checkpoint", "no"))?;
+    Ok(KindLine {
+        name: parse_name(name)?,
+        need: parse_resources(fields)?,
+        class,
+        spread,
+        checkpoint,
+    })
 }
 
-fn event(words: &[&str]) -> Parsed<Event> {
+fn parse_event(words: &[&str]) -> Parsed<Event> {
     match words {
         ["submit", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
             let event = Event::Submit {
                 name: (*name).into(),
-                kind: named(fields.need("kind")?)?,
-                count: number(fields.or("count", "1"))?,
-                urgent: yes(fields.or("urgent", "no"))?,
+                kind: parse_name(fields.take_required("kind")?)?,
+                count: parse_number(fields.take_or("count", "1"))?,
+                urgent: parse_yes_no(fields.take_or("urgent", "no"))?,
             };
-            fields.close()?;
+            fields.finish()?;
             Ok(event)
         }
         ["request", name, rest @ ..] => {
             let mut fields = Fields::new(rest)?;
             let event = Event::Request {
                 name: (*name).into(),
-                service: named(fields.need("service")?)?,
-                entry: named(fields.need("entry")?)?,
-                deadline: span(fields.or("deadline", "1s"))?,
-                worth: number(fields.or("worth", "1"))?,
+                service: parse_name(fields.take_required("service")?)?,
+                entry: parse_name(fields.take_required("entry")?)?,
+                deadline: parse_duration(fields.take_or("deadline", "1s"))?,
+                worth: parse_number(fields.take_or("worth", "1"))?,
             };
-            fields.close()?;
+            fields.finish()?;
             Ok(event)
         }
         ["cancel", name] => Ok(Event::Cancel((*name).into())),
@@ -157,11 +163,11 @@
         ["fail", name] => Ok(Event::Fail((*name).into())),
         ["answer", name] => Ok(Event::Answer((*name).into())),
         ["break", name] => Ok(Event::Break((*name).into())),
-        ["silence", name] => Ok(Event::Silence(named(name)?)),
-        ["hear", name] => Ok(Event::Hear(named(name)?)),
-        ["leave", name] => Ok(Event::Leave(named(name)?)),
-        ["restart", name] => Ok(Event::Restart(named(name)?)),
-        ["expect", rest @ ..] => expect(rest).map(Event::Expect),
+        ["silence", name] => Ok(Event::Silence(parse_name(name)?)),
+        ["hear", name] => Ok(Event::Hear(parse_name(name)?)),
+        ["leave", name] => Ok(Event::Leave(parse_name(name)?)),
+        ["restart", name] => Ok(Event::Restart(parse_name(name)?)),
+        ["expect", rest @ ..] => parse_expect(rest).map(Event::Expect),
         [verb, ..] => Err(format!(
             "`{verb}` is not known, or not with these arguments; see docs/SCENARIOS.md"
         )
@@ -170,11 +176,11 @@
     }
 }
 
-fn expect(words: &[&str]) -> Parsed<Expect> {
+fn parse_expect(words: &[&str]) -> Parsed<Expect> {
     match words {
-        [name, "on", place] => Ok(Expect::On((*name).into(), named(place)?)),
-        [name, "holds", count] => Ok(Expect::Holds(named(name)?, number(count)?)),
-        [name, "owner", entry] => Ok(Expect::Owner(named(name)?, named(entry)?)),
+        [name, "on", place] => Ok(Expect::On((*name).into(), parse_name(place)?)),
+        [name, "holds", count] => Ok(Expect::Holds(parse_name(name)?, parse_number(count)?)),
+        [name, "owner", entry] => Ok(Expect::Owner(parse_name(name)?, parse_name(entry)?)),
         [name, state] => Ok(Expect::State((*name).into(), (*state).into())),
         _ => Err("write expect NAME STATE, expect NAME on PLACE, expect PLACE holds N or expect \
                   RUNNER owner ENTRY"
@@ -198,19 +204,19 @@
         Ok(Self(all))
     }
 
-    fn need(&mut self, name: &str) -> Parsed<&'a str> {
+    fn take_required(&mut self, name: &str) -> Parsed<&'a str> {
         self.0.remove(name).ok_or_else(|| format!("`{name}=...` is missing").into())
     }
 
-    fn or(&mut self, name: &str, default: &'static str) -> &'a str {
+    fn take_or(&mut self, name: &str, default: &'static str) -> &'a str {
         self.0.remove(name).unwrap_or(default)
     }
 
-    fn name_or(&mut self, name: &str, default: &'static str) -> Parsed<Name> {
-        named(self.or(name, default))
+    fn take_name_or(&mut self, name: &str, default: &'static str) -> Parsed<Name> {
+        parse_name(self.take_or(name, default))
     }
 
-    fn close(self) -> Parsed<()> {
+    fn finish(self) -> Parsed<()> {
         match self.0.keys().next() {
             Some(name) => Err(format!("`{name}` is not known on this line").into()),
             None => Ok(()),
@@ -218,27 +224,27 @@
     }
 }
 
-fn resources(fields: &mut Fields<'_>) -> Parsed<Resources> {
-    let cores: u64 = number(fields.need("cores")?)?;
+fn parse_resources(fields: &mut Fields<'_>) -> Parsed<Resources> {
+    let cores: u64 = parse_number(fields.take_required("cores")?)?;
     Ok(Resources {
         millicores: cores.checked_mul(1000).ok_or("cores is too large")?,
-        memory_mib: number(fields.need("memory")?)?,
-        accelerators: number(fields.or("accelerators", "0"))?,
+        memory_mib: parse_number(fields.take_required("memory")?)?,
+        accelerators: parse_number(fields.take_or("accelerators", "0"))?,
     })
 }
 
-fn named(text: &str) -> Parsed<Name> {
+fn parse_name(text: &str) -> Parsed<Name> {
     Name::new(text).map_err(|bad| bad.to_string().into())
 }
 
-fn number<T>(text: &str) -> Parsed<T>
+fn parse_number<T>(text: &str) -> Parsed<T>
 where
     T: std::str::FromStr,
 {
     text.parse().map_err(|_| format!("`{text}` is no whole number that fits").into())
 }
 
-fn yes(text: &str) -> Parsed<bool> {
+fn parse_yes_no(text: &str) -> Parsed<bool> {
     match text {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -246,7 +252,7 @@
     }
 }
 
-fn span(text: &str) -> Parsed<Duration> {
+fn parse_duration(text: &str) -> Parsed<Duration> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
     let scale = match unit {
--- a/crates/coordination/src/scenario/world.rs
+++ b/crates/coordination/src/scenario/world.rs
@@ -27,9 +27,9 @@
 use yuccalink_state::{Command, Outcome, StateMachine};
 
 /// Interval at which the components are ticked.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which an entry renews its lease.
-const SYNC: Duration = Duration::from_millis(500);
+const ENTRY_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 /// Scenarios start after leases of an earlier leader have certainly expired.
 const START: Moment = Moment::from_millis(10_000);
 
@@ -68,7 +68,7 @@
     for step in &scenario.steps {
         world.advance(START + step.at);
         world.step(step).map_err(|what| Failure { line: step.line, what })?;
-        world.settle();
+        world.perform_due();
         world.check().map_err(|what| Failure { line: step.line, what })?;
     }
     Ok(())
@@ -80,7 +80,7 @@
     silent: bool,
     leaving: bool,
     lease_until: Moment,
-    next_beat: Moment,
+    next_heartbeat: Moment,
     running: BTreeMap<TaskId, Epoch>,
     seen: BTreeMap<TaskId, Epoch>,
     reports: Vec<TaskReport>,
@@ -91,14 +91,14 @@
     known: bool,
     silent: bool,
     leaving: bool,
-    next_beat: Moment,
+    next_heartbeat: Moment,
     busy: u32,
 }
 
 struct FakeEntry {
     name: Name,
     zone: Name,
-    run: Incarnation,
+    incarnation: Incarnation,
     router: Router,
     lease: ConfigLease,
     silent: bool,
@@ -132,12 +132,12 @@
     service: Name,
     workers: Vec<FakeWorker>,
     runners: Vec<FakeRunner>,
-    fakes: Vec<FakeEntry>,
+    fake_entries: Vec<FakeEntry>,
     tasks: BTreeMap<Box<str>, TaskId>,
     requests: BTreeMap<Box<str>, Request>,
     task_checker: TaskChecker,
     request_checker: RequestChecker,
-    next_run: u64,
+    last_incarnation: u64,
 }
 
 fn name(text: &str) -> Name {
@@ -155,21 +155,21 @@
             service: name("scenario"),
             workers: Vec::new(),
             runners: Vec::new(),
-            fakes: Vec::new(),
+            fake_entries: Vec::new(),
             tasks: BTreeMap::new(),
             requests: BTreeMap::new(),
             task_checker: TaskChecker::default(),
             request_checker: RequestChecker::default(),
-            next_run: 1,
+            last_incarnation: 1,
         };
         world.set_up(scenario);
-        world.settle();
+        world.perform_due();
         world
     }
 
-    fn run_number(&mut self) -> Incarnation {
-        self.next_run += 1;
-        Incarnation(self.next_run)
+    fn next_incarnation(&mut self) -> Incarnation {
+        self.last_incarnation += 1;
+        Incarnation(self.last_incarnation)
     }
 
     fn set_up(&mut self, scenario: &Scenario) {
@@ -177,7 +177,7 @@
         for line in &scenario.workers {
             let spec = WorkerSpec {
                 name: line.name.clone(),
-                incarnation: self.run_number(),
+                incarnation: self.next_incarnation(),
                 address: "127.0.0.1:1".into(),
                 capacity: line.capacity,
                 rack: line.rack.clone(),
@@ -189,7 +189,7 @@
                 silent: false,
                 leaving: false,
                 lease_until: Moment::ZERO,
-                next_beat: START,
+                next_heartbeat: START,
                 running: BTreeMap::new(),
                 seen: BTreeMap::new(),
                 reports: Vec::new(),
@@ -198,7 +198,7 @@
         for line in &scenario.runners {
             let spec = RunnerSpec {
                 name: line.name.clone(),
-                incarnation: self.run_number(),
+                incarnation: self.next_incarnation(),
                 service: line.service.clone(),
                 address: "127.0.0.1:1".into(),
                 slots: line.slots,
@@ -210,16 +210,16 @@
                 known: false,
                 silent: false,
                 leaving: false,
-                next_beat: START,
+                next_heartbeat: START,
                 busy: 0,
             });
         }
         for line in &scenario.entries {
-            let run = self.run_number();
-            self.fakes.push(FakeEntry {
+            let incarnation = self.next_incarnation();
+            self.fake_entries.push(FakeEntry {
                 name: line.name.clone(),
                 zone: line.zone.clone(),
-                run,
+                incarnation,
                 router: Router::new(line.zone.clone()),
                 lease: ConfigLease::default(),
                 silent: false,
@@ -256,30 +256,30 @@
     }
 
     fn advance(&mut self, to: Moment) {
-        while self.now + TICK <= to {
-            self.now = self.now + TICK;
-            self.settle();
+        while self.now + TICK_INTERVAL <= to {
+            self.now = self.now + TICK_INTERVAL;
+            self.perform_due();
         }
         self.now = self.now.max(to);
-        self.settle();
+        self.perform_due();
     }
 
     /// Performs everything that is due now.
-    fn settle(&mut self) {
-        self.end_leases();
-        self.sync_entries();
-        self.beat_workers();
-        self.beat_runners();
+    fn perform_due(&mut self) {
+        self.expire_leases();
+        self.sync_due_entries();
+        self.send_worker_heartbeats();
+        self.send_runner_heartbeats();
         self.directory.tick(self.now, &self.entries);
-        self.sync_entries();
-        self.give_up_workers();
+        self.sync_due_entries();
+        self.remove_expired_workers();
         self.place();
         self.deliver_orders();
         self.expire_requests();
     }
 }
 
-fn same(found: &str, want: &str, name: &str) -> Result<(), Box<str>> {
+fn expect_equal(found: &str, want: &str, name: &str) -> Result<(), Box<str>> {
     match found == want {
         true => Ok(()),
         false => Err(format!("{name} is {found}, expected {want}").into()),
--- a/crates/coordination/src/scenario/world/events.rs
+++ b/crates/coordination/src/scenario/world/events.rs
@@ -95,7 +95,7 @@
             worker.silent = silent;
         } else if let Some(runner) = self.runners.iter_mut().find(|r| r.spec.name == *name) {
             runner.silent = silent;
-        } else if let Some(entry) = self.fakes.iter_mut().find(|e| e.name == *name) {
+        } else if let Some(entry) = self.fake_entries.iter_mut().find(|e| e.name == *name) {
             entry.silent = silent;
         } else {
             return Err(format!("nothing is called {name}").into());
@@ -106,11 +106,11 @@
     pub(super) fn leave(&mut self, name: &Name) -> Result<(), Box<str>> {
         if let Some(worker) = self.workers.iter_mut().find(|w| w.spec.name == *name) {
             worker.leaving = true;
-            worker.next_beat = self.now;
+            worker.next_heartbeat = self.now;
         } else if let Some(runner) = self.runners.iter_mut().find(|r| r.spec.name == *name) {
             runner.leaving = true;
-            runner.next_beat = self.now;
-        } else if let Some(entry) = self.fakes.iter_mut().find(|e| e.name == *name) {
+            runner.next_heartbeat = self.now;
+        } else if let Some(entry) = self.fake_entries.iter_mut().find(|e| e.name == *name) {
             entry.draining = true;
             entry.next_sync = self.now;
         } else {
@@ -120,25 +120,25 @@
     }
 
     pub(super) fn restart(&mut self, name: &Name) -> Result<(), Box<str>> {
-        let run = self.run_number();
+        let incarnation = self.next_incarnation();
         if let Some(worker) = self.workers.iter_mut().find(|w| w.spec.name == *name) {
             for (task, epoch) in std::mem::take(&mut worker.running) {
                 self.task_checker.stopped(task, epoch);
             }
-            worker.spec.incarnation = run;
+            worker.spec.incarnation = incarnation;
             worker.known = false;
             worker.seen.clear();
             worker.reports.clear();
-            worker.next_beat = self.now;
+            worker.next_heartbeat = self.now;
             Ok(())
         } else if let Some(runner) = self.runners.iter_mut().find(|r| r.spec.name == *name) {
-            runner.spec.incarnation = run;
+            runner.spec.incarnation = incarnation;
             runner.known = false;
             runner.busy = 0;
-            runner.next_beat = self.now;
+            runner.next_heartbeat = self.now;
             Ok(())
-        } else if let Some(entry) = self.fakes.iter_mut().find(|e| e.name == *name) {
-            entry.run = run;
+        } else if let Some(entry) = self.fake_entries.iter_mut().find(|e| e.name == *name) {
+            entry.incarnation = incarnation;
             entry.router = Router::new(entry.zone.clone());
             entry.version = 0;
             entry.lease = ConfigLease::default();
@@ -157,11 +157,11 @@
         deadline: Duration,
         worth: u32,
     ) -> Result<(), Box<str>> {
-        let at = self.fakes.iter().position(|fake| fake.name == *entry);
+        let at = self.fake_entries.iter().position(|fake| fake.name == *entry);
         let at = at.ok_or_else(|| format!("no entry is called {entry}"))?;
         self.request_checker.sent(name, 0, true);
         let deadline = self.now + deadline;
-        let fake = &mut self.fakes[at];
+        let fake = &mut self.fake_entries[at];
         let state = if fake.lease.holds(self.now) {
             let arrival = RoutingRequest { service, deadline, worth, avoid: None };
             fake.router.admit(self.now, arrival)
@@ -183,13 +183,13 @@
         Ok(())
     }
 
-    pub(super) fn answer(&mut self, name: &str, ended: RunnerOutcome) -> Result<(), Box<str>> {
+    pub(super) fn answer(&mut self, name: &str, outcome: RunnerOutcome) -> Result<(), Box<str>> {
         let request =
             self.requests.get_mut(name).ok_or_else(|| format!("no request is called {name}"))?;
         let RequestState::At(grant, runner) = request.state.clone() else {
             return Err(format!("request {name} is not at a runner").into());
         };
-        request.state = match ended {
+        request.state = match outcome {
             RunnerOutcome::Answered => RequestState::Answered,
             RunnerOutcome::Failed | RunnerOutcome::Abandoned => RequestState::Broken,
         };
@@ -198,9 +198,9 @@
             self.request_checker.done(runner.as_str());
         }
         let at = request.entry;
-        let mut turns = Vec::new();
-        self.fakes[at].router.release(self.now, grant, ended, &mut turns);
-        self.take_turns(at, turns);
+        let mut dequeued = Vec::new();
+        self.fake_entries[at].router.release(self.now, grant, outcome, &mut dequeued);
+        self.send_dequeued(at, dequeued);
         Ok(())
     }
 }
--- a/crates/coordination/src/scenario/world/expectations.rs
+++ b/crates/coordination/src/scenario/world/expectations.rs
@@ -5,23 +5,23 @@
 impl World {
     pub(super) fn expect(&self, expect: &Expect) -> Result<(), Box<str>> {
         match expect {
-            Expect::State(name, want) => same(&self.state_of(name)?, want, name),
+            Expect::State(name, want) => expect_equal(&self.state_of(name)?, want, name),
             Expect::On(name, want) => {
-                let found = self.place_of(name)?;
-                same(
+                let found = self.location_of(name)?;
+                expect_equal(
                     &found.map_or_else(|| "nowhere".into(), |at| at.to_string()),
                     want.as_str(),
                     name,
                 )
             }
             Expect::Holds(name, want) => {
-                same(&self.held_at(name)?, &want.to_string(), name.as_str())
+                expect_equal(&self.running_count_at(name)?, &want.to_string(), name.as_str())
             }
             Expect::Owner(name, want) => {
                 let target = self.directory.get(name);
                 let owner = target.and_then(|target| target.owner.clone());
                 let found = owner.map_or_else(|| "nobody".into(), |owner| owner.to_string());
-                same(&found, want.as_str(), name.as_str())
+                expect_equal(&found, want.as_str(), name.as_str())
             }
         }
     }
@@ -52,7 +52,7 @@
         Ok(found.into())
     }
 
-    pub(super) fn place_of(&self, name: &str) -> Result<Option<Name>, Box<str>> {
+    pub(super) fn location_of(&self, name: &str) -> Result<Option<Name>, Box<str>> {
         if let Some(id) = self.tasks.get(name) {
             let key: Option<WorkerKey> = self.state.task(*id).and_then(|task| task.worker());
             return Ok(key.map(|key| self.state.worker_at(key).spec.name.clone()));
@@ -64,7 +64,7 @@
         })
     }
 
-    pub(super) fn held_at(&self, name: &Name) -> Result<String, Box<str>> {
+    pub(super) fn running_count_at(&self, name: &Name) -> Result<String, Box<str>> {
         if let Some(worker) = self.workers.iter().find(|worker| worker.spec.name == *name) {
             return Ok(worker.running.len().to_string());
         }
--- a/crates/coordination/src/scenario/world/routing.rs
+++ b/crates/coordination/src/scenario/world/routing.rs
@@ -7,9 +7,9 @@
 const CHANGES_MAX: usize = 8;
 
 impl World {
-    pub(super) fn beat_runners(&mut self) {
+    pub(super) fn send_runner_heartbeats(&mut self) {
         for runner in &mut self.runners {
-            if runner.silent || self.now < runner.next_beat {
+            if runner.silent || self.now < runner.next_heartbeat {
                 continue;
             }
             let spec = &runner.spec;
@@ -25,15 +25,15 @@
                 self.directory.heartbeat(self.now, &spec.name, spec.incarnation, usage)
             };
             runner.known = heard == HeartbeatOutcome::Noted;
-            runner.next_beat = self.now + HEARTBEAT_INTERVAL;
+            runner.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
         }
     }
 
-    pub(super) fn sync_entries(&mut self) {
-        for at in 0..self.fakes.len() {
-            let entry = &self.fakes[at];
-            let news = self.directory.version() > entry.version;
-            if entry.silent || (self.now < entry.next_sync && !news) {
+    pub(super) fn sync_due_entries(&mut self) {
+        for at in 0..self.fake_entries.len() {
+            let entry = &self.fake_entries[at];
+            let has_changes = self.directory.version() > entry.version;
+            if entry.silent || (self.now < entry.next_sync && !has_changes) {
                 continue;
             }
             self.sync_entry(at);
@@ -41,16 +41,16 @@
     }
 
     pub(super) fn sync_entry(&mut self, at: usize) {
-        let entry = &mut self.fakes[at];
-        let hello = EntryReport {
+        let entry = &mut self.fake_entries[at];
+        let report = EntryReport {
             name: entry.name.clone(),
-            incarnation: entry.run,
+            incarnation: entry.incarnation,
             caller_address: "127.0.0.1:1".into(),
             zone: entry.zone.clone(),
             acked_revision: Revision(1),
             draining: entry.draining,
         };
-        if self.entries.record_report(self.now, &hello) {
+        if self.entries.record_report(self.now, &report) {
             self.directory.owner_restarted(self.now, &entry.name);
         }
         let done: Vec<Name> = entry
@@ -66,40 +66,40 @@
         }
         let (changes, version) = self.directory.changes(entry.version, CHANGES_MAX);
         entry.version = version;
-        let mut turns = Vec::new();
+        let mut dequeued = Vec::new();
         for change in changes {
             let name = &change.spec.name;
-            let mine = change.owner.as_ref() == Some(&entry.name);
-            if mine && change.usable {
-                entry.router.update_busy_count(self.now, name, change.busy, &mut turns);
-                entry.router.add_runner(self.now, change.spec.clone(), change.busy, &mut turns);
+            let owned = change.owner.as_ref() == Some(&entry.name);
+            if owned && change.usable {
+                entry.router.update_busy_count(self.now, name, change.busy, &mut dequeued);
+                entry.router.add_runner(self.now, change.spec.clone(), change.busy, &mut dequeued);
             } else if entry.router.in_flight(name).is_some() {
                 entry.router.stop_routing_to(name);
-                if !mine {
+                if !owned {
                     entry.releasing.insert(name.clone());
                 }
             }
         }
         entry.lease.renew(self.now);
-        entry.next_sync = self.now + SYNC;
-        self.take_turns(at, turns);
+        entry.next_sync = self.now + ENTRY_SYNC_INTERVAL;
+        self.send_dequeued(at, dequeued);
     }
 
-    pub(super) fn take_turns(&mut self, entry: usize, turns: Vec<DequeuedRequest>) {
-        for turn in turns {
+    pub(super) fn send_dequeued(&mut self, entry: usize, dequeued: Vec<DequeuedRequest>) {
+        for granted in dequeued {
             let found = self.requests.iter().find(|(_, request)| {
                 request.entry == entry
-                    && matches!(&request.state, RequestState::Waiting(t) if *t == turn.ticket)
+                    && matches!(&request.state, RequestState::Waiting(t) if *t == granted.ticket)
             });
             if let Some(name) = found.map(|(name, _)| name.clone()) {
-                self.send(&name, turn.grant);
+                self.send(&name, granted.grant);
             }
         }
     }
 
     pub(super) fn send(&mut self, name: &str, grant: Grant) {
         let Some(request) = self.requests.get_mut(name) else { return };
-        let router = &self.fakes[request.entry].router;
+        let router = &self.fake_entries[request.entry].router;
         let Some(runner) = router.runner(grant.runner).map(|r| r.spec.name.clone()) else { return };
         if let Some(fake) = self.runners.iter_mut().find(|fake| fake.spec.name == runner) {
             fake.busy += 1;
@@ -118,7 +118,7 @@
         for name in late {
             let Some(request) = self.requests.get_mut(&name) else { continue };
             if let RequestState::Waiting(ticket) = request.state {
-                self.fakes[request.entry].router.abandon(ticket);
+                self.fake_entries[request.entry].router.abandon(ticket);
                 request.state = RequestState::NotRun;
                 self.request_checker.record_outcome(&name, CallerOutcome::NotRun);
             }
--- a/crates/coordination/src/scenario/world/tasks.rs
+++ b/crates/coordination/src/scenario/world/tasks.rs
@@ -4,7 +4,7 @@
 
 impl World {
     /// A worker whose lease has expired stops all tasks, whether it is connected or not.
-    pub(super) fn end_leases(&mut self) {
+    pub(super) fn expire_leases(&mut self) {
         for worker in &mut self.workers {
             if self.now < worker.lease_until {
                 continue;
@@ -16,22 +16,22 @@
         }
     }
 
-    pub(super) fn beat_workers(&mut self) {
+    pub(super) fn send_worker_heartbeats(&mut self) {
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
-            if worker.silent || (self.now < worker.next_beat && worker.reports.is_empty()) {
+            if worker.silent || (self.now < worker.next_heartbeat && worker.reports.is_empty()) {
                 continue;
             }
-            if self.worker_beat(at) {
+            if self.send_worker_heartbeat(at) {
                 let worker = &mut self.workers[at];
                 worker.lease_until = self.now + WORKER_LEASE;
-                worker.next_beat = self.now + HEARTBEAT_INTERVAL;
+                worker.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
             }
         }
     }
 
     /// Sends one heartbeat or announcement; returns true if the lease was renewed.
-    pub(super) fn worker_beat(&mut self, at: usize) -> bool {
+    pub(super) fn send_worker_heartbeat(&mut self, at: usize) -> bool {
         let worker = &mut self.workers[at];
         let spec = worker.spec.clone();
         if !worker.known {
@@ -63,7 +63,7 @@
         true
     }
 
-    pub(super) fn give_up_workers(&mut self) {
+    pub(super) fn remove_expired_workers(&mut self) {
         for (name, run) in workers::expired_workers(&self.state, &self.directory, START, self.now) {
             self.state.apply(Command::WorkerGone(name.clone(), run));
             self.directory.drop_worker(&name);
@@ -89,14 +89,14 @@
             for due in due {
                 match self.workers[at].silent {
                     true => self.dispatch.failed(&due),
-                    false => reports.extend(self.obey(at, &due)),
+                    false => reports.extend(self.execute_order(at, &due)),
                 }
             }
             self.state.apply(Command::Report(reports.into()));
         }
     }
 
-    pub(super) fn obey(&mut self, at: usize, due: &DueOrder) -> Option<TaskReport> {
+    pub(super) fn execute_order(&mut self, at: usize, due: &DueOrder) -> Option<TaskReport> {
         let DueOrder { task, epoch, order } = *due;
         let worker = &mut self.workers[at];
         let report = |event| Some(TaskReport { task, epoch, event });
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -12,7 +12,7 @@
 /// is longer than a usual pause, so a machine that only froze keeps its vote.
 pub const REPLACE_AFTER: Duration = Duration::from_secs(5);
 /// Time without a message after which a learner is removed.
-pub const FORGET_AFTER: Duration = Duration::from_secs(20);
+pub const REMOVE_LEARNER_AFTER: Duration = Duration::from_secs(20);
 
 /// A disk that was reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,10 +58,10 @@
 /// assert!(next(&MembershipView::default(), 3).is_none());
 /// ```
 pub fn next(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
-    forget_learner(view)
+    remove_learner(view)
         .or_else(|| add_learner(view))
-        .or_else(|| promote(view, wanted))
-        .or_else(|| replace(view, wanted))
+        .or_else(|| promote_learner(view, wanted))
+        .or_else(|| replace_voter(view, wanted))
 }
 
 impl MembershipView {
@@ -90,9 +90,10 @@
     }
 }
 
-fn forget_learner(view: &MembershipView) -> Option<(Members, Box<str>)> {
-    let gone =
-        |learner: &&Member| view.is_replaced(learner) || view.silent(learner.id) > FORGET_AFTER;
+fn remove_learner(view: &MembershipView) -> Option<(Members, Box<str>)> {
+    let gone = |learner: &&Member| {
+        view.is_replaced(learner) || view.silent(learner.id) > REMOVE_LEARNER_AFTER
+    };
     let id = view.members.learners.iter().find(gone)?.id;
     let mut members = view.members.clone();
     members.learners.retain(|learner| learner.id != id);
@@ -116,7 +117,7 @@
 
 /// Makes a learner a voter once it has caught up; before that, it would count towards the
 /// quorum without contributing to it.
-fn promote(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
+fn promote_learner(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     if view.members.voters.len() >= wanted {
         return None;
     }
@@ -146,7 +147,7 @@
 /// the old one is removed. In the other order there is one voter fewer for a moment. If a disk
 /// is lost in that moment, the remaining majority needs the lost disk for ever, while the
 /// removed voter, which was merely disconnected and has all entries, no longer counts.
-fn replace(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
+fn replace_voter(view: &MembershipView, wanted: usize) -> Option<(Members, Box<str>)> {
     let dead = |voter: &&Member| {
         voter.id != view.own && (view.is_replaced(voter) || !view.is_live(voter.id))
     };
