--- a/crates/coordination/src/peer_table.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -13,8 +13,8 @@
 
 /// Time without an answer after which the leader is dropped: three missed answers.
 pub const LEAD_FRESH: Duration = Duration::from_millis(1_300);
-/// Time without a message after which a disk that is not a member is removed.
-const DISK_FORGET: Duration = Duration::from_secs(30);
+/// Time without a report by or about a process after which it is removed from the table.
+const PEER_RETENTION: Duration = Duration::from_secs(30);
 
 /// What a process reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -131,7 +131,7 @@
         }
         match self.known.get_mut(&info.peer) {
             // A recent report of the process about itself takes precedence over what others report.
-            Some(known) if known.last_heard.is_some_and(|at| now.since(at) < DISK_FORGET) => {}
+            Some(known) if known.last_heard.is_some_and(|at| now.since(at) < PEER_RETENTION) => {}
             Some(known) => known.last_reported = now,
             None => {
                 let known = KnownPeer { info: info.clone(), last_heard: None, last_reported: now };
@@ -174,14 +174,14 @@
     }
 
     /// Drops a leader that has been silent for longer than [`LEAD_FRESH`], and processes that were
-    /// not reported for 30 s.
+    /// not reported for `PEER_RETENTION`.
     pub fn tick(&mut self, now: Moment) {
         if let Some((leader, at)) = self.leader
             && now.since(at) > LEAD_FRESH
         {
             self.clear_leader(leader.peer, "silent");
         }
-        self.known.retain(|_, known| now.since(known.last_reported) < DISK_FORGET);
+        self.known.retain(|_, known| now.since(known.last_reported) < PEER_RETENTION);
     }
 
     /// The leader, if one is known.
@@ -206,7 +206,7 @@
     /// Disks that recently reported to this process, for other processes.
     pub fn disks(&self, now: Moment) -> Vec<NodeInfo> {
         let fresh =
-            |known: &&KnownPeer| known.last_heard.is_some_and(|at| now.since(at) < DISK_FORGET);
+            |known: &&KnownPeer| known.last_heard.is_some_and(|at| now.since(at) < PEER_RETENTION);
         let disks = self.known.values().filter(fresh).map(|known| &known.info);
         disks.filter(|info| info.replica.is_some()).cloned().collect()
     }
