--- a/crates/coordination/src/directory.rs
+++ b/crates/coordination/src/directory.rs
@@ -1,7 +1,7 @@
-//! The directory of targets, kept by the leader from what entries hear: who
-//! is there, who is silent, and which entry owns which runner.
+//! The leader's directory of targets, built from what entries report: which targets are alive,
+//! which are silent, and which entry owns each runner.
 //!
-//! It is soft state: a new leader learns it again from the heartbeats.
+//! The directory is not replicated: a new leader rebuilds it from heartbeats.
 
 use crate::entries::{EntryRecord, EntryTable};
 use crate::moment::{Moment, lease_span_with_drift};
@@ -10,47 +10,48 @@
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 
-/// How often targets are asked to send a heartbeat.
+/// Interval at which targets are asked to send heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest silence after which a target is suspected.
+/// Minimum time without a heartbeat after which a target is suspected.
 pub const SUSPECT_MIN: Duration = Duration::from_millis(2_500);
-/// A target is suspected after this many of its usual intervals.
+/// A target is suspected after this many of its usual heartbeat intervals without a heartbeat.
 const SUSPECT_INTERVALS: u32 = 3;
-/// Silence after which a runner is dropped.
-pub const DEAD: Duration = Duration::from_secs(15);
+/// Time without a heartbeat after which a runner is marked as gone.
+pub const RUNNER_GONE_AFTER: Duration = Duration::from_secs(15);
 /// How long a worker runs its tasks after the last heartbeat that was answered.
 pub const WORKER_LEASE: Duration = Duration::from_secs(10);
-/// Between two ticks of a leader that works: after a longer gap it stood still itself, and
-/// what it has not read yet says nothing about those who sent it.
+/// Longest gap between two ticks of a leader that is running. After a longer gap the leader
+/// itself was paused, so heartbeats may be waiting unread and silence says nothing about the
+/// targets.
 const TICK_GAP_MAX: Duration = Duration::from_millis(500);
-/// Longest way of a request from its owner to a runner.
-const SETTLE: Duration = Duration::from_millis(500);
-/// How long a dropped runner is still told to entries as gone.
-const TOMBSTONE: Duration = Duration::from_secs(60);
+/// Upper bound on the time that a request takes from its owner to a runner.
+const TRANSIT_MAX: Duration = Duration::from_millis(500);
+/// How long a runner that is gone is still reported to entries as gone.
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Whether a target is to be used.
+/// Whether a target can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Health {
-    /// Heard lately.
+    /// A heartbeat arrived recently.
     #[display("live")]
     Live,
-    /// Silent for longer than usual: nothing new.
+    /// No heartbeat for longer than usual: it gets no new work.
     #[display("suspected")]
     Suspected,
-    /// It said that it leaves: nothing new.
+    /// It announced that it leaves: it gets no new work.
     #[display("leaving")]
     Leaving,
-    /// Dropped.
+    /// Dropped after it was silent for too long.
     #[display("gone")]
     Gone,
 }
 
-/// What a target last said of its load.
+/// The load that a target last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests or tasks it holds.
+    /// Requests or tasks that it is executing.
     pub busy: u32,
-    /// Processor in use, in thousandths.
+    /// CPU in use, in millicores.
     pub millicores: u64,
     /// Memory in use, in MiB.
     pub memory_mib: u64,
@@ -59,27 +60,27 @@
 /// A target's record.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: TargetSpec,
-    /// Whether it is to be used.
+    /// Whether it can be used.
     pub health: Health,
-    /// What it last said of its load.
+    /// The load that it last reported.
     pub usage: Usage,
-    /// When it was last heard.
+    /// When its last message arrived.
     pub last_heard: Moment,
-    /// The entry that routes to it, for runners.
+    /// The entry that routes requests to it; runners only.
     pub owner: Option<Name>,
-    /// Requests of a former owner that it may still hold.
+    /// Upper bound on the requests of a previous owner that it may still be executing.
     reserved: u32,
-    /// The owner that must let go, or lose its lease, before another is chosen.
-    released: Option<Release>,
+    /// The release by the previous owner that must complete before another owner is chosen.
+    pending_release: Option<Release>,
     changed: u64,
     interval: Duration,
 }
 
 impl Target {
-    /// A runner as entries are told of it.
-    fn as_change(&self) -> Option<RunnerUpdate> {
+    /// The update for entries if this target is a runner.
+    fn as_update(&self) -> Option<RunnerUpdate> {
         match &self.spec {
             TargetSpec::Worker(_) => None,
             TargetSpec::Runner(spec) => Some(RunnerUpdate {
@@ -92,23 +93,23 @@
     }
 }
 
-/// What must happen before a runner gets its next owner. A request that the
-/// last owner sent may still be on its way: were the slots given out again at
-/// once, the runner would hold more than it has.
+/// What must happen before a runner gets its next owner. A request from the previous owner may
+/// still be in transit: if the slots were assigned again at once, the runner could receive more
+/// requests than it has slots.
 #[derive(Clone, Debug)]
 enum Release {
-    /// The last owner is alive and says when nothing of its own is in flight.
-    Asked(Name),
-    /// The last owner can send nothing since this moment; the runner's own count
-    /// is to be had from a heartbeat that is safely later.
-    Ended(Moment),
+    /// The previous owner is alive and will confirm when none of its requests is in flight.
+    AwaitingOwner(Name),
+    /// The previous owner cannot send anything after this moment. The number of requests that are
+    /// still running is taken from a heartbeat that arrives at least [`TRANSIT_MAX`] later.
+    OwnerStopped(Moment),
 }
 
 impl Release {
-    fn waits(&self, heard: Moment) -> bool {
+    fn is_pending(&self, heard: Moment) -> bool {
         match self {
-            Self::Asked(_) => true,
-            Self::Ended(at) => heard < *at + SETTLE,
+            Self::AwaitingOwner(_) => true,
+            Self::OwnerStopped(at) => heard < *at + TRANSIT_MAX,
         }
     }
 }
@@ -119,31 +120,31 @@
     }
 }
 
-/// What the directory makes of an announcement or heartbeat.
+/// Result of an announcement, heartbeat or leave message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Known and noted.
+    /// The target is known and its record was updated.
     Noted,
-    /// Not known, or another run of it: it must announce itself.
+    /// The target is unknown or has another incarnation: it must announce itself.
     AnnounceAgain,
-    /// Another run of it may still be alive; try again after the given time.
+    /// Another incarnation may still be alive; the target should try again after the given time.
     PreviousIncarnationAlive(Duration),
 }
 
-/// A runner as an entry needs to know it.
+/// A runner as it is described to entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerUpdate {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: RunnerSpec,
-    /// Whether it is to be used.
+    /// Whether it can be used.
     pub usable: bool,
-    /// Requests it said it holds.
+    /// Requests in flight that it reported.
     pub busy: u32,
-    /// The entry that routes to it.
+    /// The entry that routes requests to it.
     pub owner: Option<Name>,
 }
 
-/// All targets.
+/// All known targets.
 ///
 /// ```
 /// use yuccalink_coordination::{Moment, directory::*, entries::{EntryTable, EntryReport}};
@@ -172,9 +173,9 @@
 pub struct Directory {
     targets: BTreeMap<Name, Target>,
     version: u64,
-    ticked: Moment,
-    /// Since when the leader has worked without standing still.
-    awake_since: Moment,
+    last_tick: Moment,
+    /// Since when the leader has ticked without a gap longer than [`TICK_GAP_MAX`].
+    ticking_since: Moment,
 }
 
 impl Directory {
@@ -183,18 +184,18 @@
         Self::default()
     }
 
-    /// Counts up with every change that entries must hear of.
+    /// Version of the directory; increases with every change that entries must receive.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in an announcement.
+    /// Handles an announcement.
     pub fn announce(&mut self, now: Moment, spec: TargetSpec, busy: u32) -> HeartbeatOutcome {
         if let Some(known) = self.targets.get(spec.name())
             && known.health != Health::Gone
             && known.spec.incarnation() != spec.incarnation()
         {
-            let wait = wait_for_old_run(now, known);
+            let wait = wait_for_previous_incarnation(now, known);
             if wait > Duration::ZERO {
                 return HeartbeatOutcome::PreviousIncarnationAlive(wait);
             }
@@ -203,7 +204,7 @@
         let name = spec.name().clone();
         let usage = Usage { busy, ..Usage::default() };
         match self.targets.get_mut(&name) {
-            Some(known) if known.health != Health::Gone && same_place(&known.spec, &spec) => {
+            Some(known) if known.health != Health::Gone && is_same_kind(&known.spec, &spec) => {
                 known.spec = spec;
                 known.last_heard = now;
                 known.health = Health::Live;
@@ -218,7 +219,7 @@
                     last_heard: now,
                     owner: None,
                     reserved: 0,
-                    released: None,
+                    pending_release: None,
                     changed: self.version,
                     interval: HEARTBEAT_INTERVAL,
                 };
@@ -228,45 +229,45 @@
         HeartbeatOutcome::Noted
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat.
     pub fn heartbeat(
         &mut self,
         now: Moment,
         name: &Name,
-        run: Incarnation,
+        incarnation: Incarnation,
         usage: Usage,
     ) -> HeartbeatOutcome {
         let Some(target) = self.targets.get_mut(name) else {
             return HeartbeatOutcome::AnnounceAgain;
         };
-        if target.spec.incarnation() != run || target.health == Health::Gone {
+        if target.spec.incarnation() != incarnation || target.health == Health::Gone {
             return HeartbeatOutcome::AnnounceAgain;
         }
-        let gap = now.since(target.last_heard).min(DEAD);
+        let gap = now.since(target.last_heard).min(RUNNER_GONE_AFTER);
         target.interval = (target.interval * 7 + gap) / 8;
         target.last_heard = now;
-        // The owner counts its own requests; only what a former owner left there
-        // must be told it.
-        let tells_owner = target.reserved > 0 && target.usage.busy != usage.busy;
+        // The owner counts its own requests. It needs an update only for requests that a previous
+        // owner left at the runner.
+        let owner_needs_update = target.reserved > 0 && target.usage.busy != usage.busy;
         target.reserved = target.reserved.min(usage.busy);
         target.usage = usage;
         let revived = target.health == Health::Suspected;
         if revived {
             target.health = Health::Live;
         }
-        if revived || tells_owner {
+        if revived || owner_needs_update {
             self.version += 1;
             target.changed = self.version;
         }
         HeartbeatOutcome::Noted
     }
 
-    /// A target says that it leaves.
-    pub fn leave(&mut self, name: &Name, run: Incarnation) -> HeartbeatOutcome {
+    /// Handles the message of a target that leaves.
+    pub fn leave(&mut self, name: &Name, incarnation: Incarnation) -> HeartbeatOutcome {
         let Some(target) = self.targets.get_mut(name) else {
             return HeartbeatOutcome::AnnounceAgain;
         };
-        if target.spec.incarnation() != run {
+        if target.spec.incarnation() != incarnation {
             return HeartbeatOutcome::AnnounceAgain;
         }
         if target.health != Health::Gone {
@@ -277,52 +278,58 @@
         HeartbeatOutcome::Noted
     }
 
-    /// Suspects and drops silent targets, and finds an owner for each runner.
-    /// Returns runners that were given a new owner.
+    /// Suspects and drops silent targets, and assigns an owner to each runner. Returns the runners
+    /// that got a new owner.
     pub fn tick(&mut self, now: Moment, entries: &EntryTable) -> Vec<Name> {
-        if now.since(self.ticked) > TICK_GAP_MAX {
-            self.awake_since = now;
+        if now.since(self.last_tick) > TICK_GAP_MAX {
+            self.ticking_since = now;
         }
-        self.ticked = now;
-        self.note_silence(now);
-        self.take_from_lost_owners(now, entries);
+        self.last_tick = now;
+        self.update_health(now);
+        self.release_from_lost_owners(now, entries);
         self.assign(now, entries)
     }
 
-    fn note_silence(&mut self, now: Moment) {
+    fn update_health(&mut self, now: Moment) {
         for (name, target) in &mut self.targets {
-            let silent = now.since(target.last_heard.max(self.awake_since));
+            let silent = now.since(target.last_heard.max(self.ticking_since));
             let health = match (&target.spec, target.health) {
                 (_, Health::Gone) => continue,
-                (TargetSpec::Runner(_), _) if silent >= DEAD => Health::Gone,
+                (TargetSpec::Runner(_), _) if silent >= RUNNER_GONE_AFTER => Health::Gone,
                 (_, Health::Live) if silent >= target.suspect_after() => Health::Suspected,
                 _ => continue,
             };
-            log::info!("target {name} is {health} after {silent:?} of silence");
+            log::info!("target {name} is {health} after {silent:?} without a heartbeat");
             self.version += 1;
             target.health = health;
             target.changed = self.version;
         }
         self.targets.retain(|_, target| {
-            target.health != Health::Gone || now.since(target.last_heard) < DEAD + TOMBSTONE
+            target.health != Health::Gone
+                || now.since(target.last_heard) < RUNNER_GONE_AFTER + GONE_RETENTION
         });
     }
 
-    fn take_from_lost_owners(&mut self, now: Moment, entries: &EntryTable) {
+    fn release_from_lost_owners(&mut self, now: Moment, entries: &EntryTable) {
         let usable = |e: &EntryRecord| !e.draining && e.may_hold_lease(now);
         let successor = entries.iter().any(|(_, entry)| usable(entry));
         for target in self.targets.values_mut() {
             let Some(owner) = &target.owner else { continue };
             let entry = entries.get(owner);
-            // The last entry keeps its runners while it drains: better it than nobody.
+            // The last usable entry keeps its runners while it drains, because nobody else could
+            // serve them.
             let lost = entry.is_none_or(|e| (e.draining && successor) || !e.may_hold_lease(now));
             if !lost {
                 continue;
             }
             let alive = entry.is_some_and(|entry| entry.may_hold_lease(now));
-            let release = if alive { Release::Asked(owner.clone()) } else { Release::Ended(now) };
+            let release = if alive {
+                Release::AwaitingOwner(owner.clone())
+            } else {
+                Release::OwnerStopped(now)
+            };
             self.version += 1;
-            target.released = Some(release);
+            target.pending_release = Some(release);
             target.owner = None;
             target.changed = self.version;
         }
@@ -333,31 +340,32 @@
             return Vec::new();
         }
         let mut load = self.load(now, entries);
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         for (name, target) in &mut self.targets {
             let TargetSpec::Runner(spec) = &target.spec else { continue };
-            if let Some(Release::Asked(from)) = &target.released
+            if let Some(Release::AwaitingOwner(from)) = &target.pending_release
                 && !entries.get(from).is_some_and(|entry| entry.may_hold_lease(now))
             {
-                target.released = Some(Release::Ended(now));
+                target.pending_release = Some(Release::OwnerStopped(now));
             }
-            let waits = target.released.as_ref().is_some_and(|r| r.waits(target.last_heard));
+            let waits =
+                target.pending_release.as_ref().is_some_and(|r| r.is_pending(target.last_heard));
             if target.owner.is_some() || target.health == Health::Gone || waits {
                 continue;
             }
-            let best = load
-                .iter_mut()
-                .min_by_key(|(at, held)| (held.of(&spec.service), held.zone != spec.zone, *at));
-            let Some((owner, held)) = best else { break };
-            held.add(&spec.service, spec.slots);
+            let best = load.iter_mut().min_by_key(|(at, entry_load)| {
+                (entry_load.slots_of(&spec.service), entry_load.zone != spec.zone, *at)
+            });
+            let Some((owner, entry_load)) = best else { break };
+            entry_load.add(&spec.service, spec.slots);
             self.version += 1;
             target.owner = Some(owner.clone());
             target.reserved = target.usage.busy;
-            target.released = None;
+            target.pending_release = None;
             target.changed = self.version;
-            given.push(name.clone());
+            assigned.push(name.clone());
         }
-        given
+        assigned
     }
 
     fn load(&self, now: Moment, entries: &EntryTable) -> BTreeMap<Name, Load> {
@@ -366,36 +374,36 @@
             usable.map(|(name, e)| (name.clone(), Load::new(e.zone.clone()))).collect();
         for target in self.targets.values() {
             let TargetSpec::Runner(spec) = &target.spec else { continue };
-            if let Some(held) = target.owner.as_ref().and_then(|owner| load.get_mut(owner)) {
-                held.add(&spec.service, spec.slots);
+            if let Some(entry_load) = target.owner.as_ref().and_then(|owner| load.get_mut(owner)) {
+                entry_load.add(&spec.service, spec.slots);
             }
         }
         load
     }
 
-    /// An entry's daemon was restarted: what its former run sent may still be
-    /// on the way, and the new run knows nothing of it.
+    /// Handles the restart of an entry's daemon: requests of the previous incarnation may still be
+    /// in transit, and the new one knows nothing of them.
     pub fn owner_restarted(&mut self, now: Moment, owner: &Name) {
         for target in self.targets.values_mut() {
             if target.owner.as_ref() == Some(owner) {
                 self.version += 1;
                 target.owner = None;
-                target.released = Some(Release::Ended(now));
+                target.pending_release = Some(Release::OwnerStopped(now));
                 target.changed = self.version;
             }
         }
     }
 
-    /// An owner says that nothing of its own is in flight at `name` any more.
+    /// Handles an owner's confirmation that none of its requests is in flight at `name`.
     pub fn confirm_release(&mut self, name: &Name, by: &Name) {
         if let Some(target) = self.targets.get_mut(name)
-            && matches!(&target.released, Some(Release::Asked(from)) if from == by)
+            && matches!(&target.pending_release, Some(Release::AwaitingOwner(from)) if from == by)
         {
-            target.released = None;
+            target.pending_release = None;
         }
     }
 
-    /// An entry says that it owns a runner since before this leader's time.
+    /// Records an owner that was assigned by an earlier leader and that the owner itself reports.
     pub fn restore_owner(&mut self, now: Moment, spec: RunnerSpec, owner: &Name) {
         let known = self.targets.get(&spec.name);
         if known.is_some_and(|t| t.owner.is_some() || t.spec.incarnation() != spec.incarnation) {
@@ -412,7 +420,7 @@
             last_heard: now,
             owner: None,
             reserved: 0,
-            released: None,
+            pending_release: None,
             changed,
             interval: HEARTBEAT_INTERVAL,
         });
@@ -420,23 +428,23 @@
         target.changed = changed;
     }
 
-    /// Runners that changed after `version`, for an entry that knows up to there: the
-    /// oldest changes first, about `most` of them, and the version up to which they go.
+    /// Returns the runners that changed after `version`, the version that an entry has: the oldest
+    /// changes first, about `most` of them, and the version that they lead to.
     pub fn changes(&self, version: u64, most: usize) -> (Vec<RunnerUpdate>, u64) {
         let is_new = |target: &&Target| target.changed > version;
         let mut changed: Vec<(u64, RunnerUpdate)> = self
             .targets
             .values()
             .filter(is_new)
-            .filter_map(|target| Some((target.changed, target.as_change()?)))
+            .filter_map(|target| Some((target.changed, target.as_update()?)))
             .collect();
         changed.sort_by_key(|(changed, _)| *changed);
         let upto = match changed.len() > most {
             true => changed[..most].last().map_or(version, |(last, _)| *last),
             false => self.version,
         };
-        let told = changed.into_iter().take_while(|(changed, _)| *changed <= upto);
-        (told.map(|(_, change)| change).collect(), upto)
+        let pending = changed.into_iter().take_while(|(changed, _)| *changed <= upto);
+        (pending.map(|(_, change)| change).collect(), upto)
     }
 
     /// Every target, by name.
@@ -449,15 +457,16 @@
         self.targets.get(name)
     }
 
-    /// Drops a worker whose lease has surely ended.
+    /// Removes a worker whose lease has certainly expired.
     pub fn drop_worker(&mut self, name: &Name) {
         self.targets.remove(name);
     }
 }
 
-/// Two runs of one target must not hold work at once. The old one has surely
-/// stopped when its lease has run out, or when it said goodbye and holds nothing.
-fn wait_for_old_run(now: Moment, known: &Target) -> Duration {
+/// Time until a new incarnation may replace the known one: two incarnations of a target must
+/// not have work at once. The old one has certainly stopped when its lease has expired, or when
+/// it announced that it leaves and executes nothing.
+fn wait_for_previous_incarnation(now: Moment, known: &Target) -> Duration {
     let lease = match &known.spec {
         TargetSpec::Worker(_) => lease_span_with_drift(WORKER_LEASE),
         TargetSpec::Runner(_) => return Duration::ZERO,
@@ -468,7 +477,7 @@
     lease.saturating_sub(now.since(known.last_heard))
 }
 
-fn same_place(old: &TargetSpec, new: &TargetSpec) -> bool {
+fn is_same_kind(old: &TargetSpec, new: &TargetSpec) -> bool {
     match (old, new) {
         (TargetSpec::Runner(a), TargetSpec::Runner(b)) => a.service == b.service,
         (TargetSpec::Worker(_), TargetSpec::Worker(_)) => true,
@@ -486,7 +495,7 @@
         Self { zone, slots: BTreeMap::new() }
     }
 
-    fn of(&self, service: &Name) -> u32 {
+    fn slots_of(&self, service: &Name) -> u32 {
         self.slots.get(service).copied().unwrap_or(0)
     }
 
--- a/crates/coordination/src/peer_table.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -1,5 +1,6 @@
-//! Whom a process of a job cell knows: seeds, disks, and who leads. Sans-IO: tell it what
-//! other processes say, with the current [`Moment`], and ask it.
+//! The processes of a job cell that one process knows: seeds, disks and the leader. Sans-IO:
+//! the caller passes in the messages of other processes with the current [`Moment`] and queries
+//! the result.
 
 use crate::moment::Moment;
 use crate::raft::{Member, ReplicaId};
@@ -10,48 +11,48 @@
 use std::time::Duration;
 use yuccalink_state::id::Name;
 
-/// Silence after which a leader is no longer believed in: three missed answers.
+/// Time without an answer after which the leader is dropped: three missed answers.
 pub const LEAD_FRESH: Duration = Duration::from_millis(1_300);
-/// Silence after which a disk that is no member is forgotten.
-const DISK_FORGET: Duration = Duration::from_secs(30);
+/// Time without a report by or about a process after which it is removed from the table.
+const PEER_RETENTION: Duration = Duration::from_secs(30);
 
-/// What a process says of itself.
+/// What a process reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     /// Its name.
     pub name: Box<str>,
     /// Its availability zone.
     pub zone: Box<str>,
-    /// Where other processes of the cell reach it.
+    /// Address for other processes of the cell.
     pub peer: SocketAddr,
-    /// Where runners and operators reach it.
+    /// Address for runners and operators.
     pub control: Option<SocketAddr>,
-    /// Its disk, where it has one.
+    /// The replica on its disk, if it has a disk.
     pub replica: Option<ReplicaId>,
-    /// It has a disk with nothing on it and may found a new cell.
+    /// It has an empty disk and may bootstrap a new cell.
     #[serde(rename = "may_found")]
     pub may_bootstrap: bool,
 }
 
-/// Who leads, as far as the sender knows.
+/// The leader as known to the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderInfo {
     /// Its term.
     pub term: u64,
-    /// Where other processes of the cell reach it.
+    /// Its address for other processes of the cell.
     pub peer: SocketAddr,
-    /// Where runners and operators reach it.
+    /// Its address for runners and operators.
     pub control: Option<SocketAddr>,
-    /// Said by the leader of itself: it holds its lease and a change set.
+    /// Reported by the leader about itself: it holds its lease and has a change set.
     pub serving: bool,
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownPeer {
     info: NodeInfo,
-    /// When it was heard itself; never for one that others told of.
-    heard: Option<Moment>,
-    told: Moment,
+    /// When its own last message arrived; none if only other processes reported it.
+    last_heard: Option<Moment>,
+    last_reported: Moment,
 }
 
 /// What one process knows of the others.
@@ -76,21 +77,23 @@
 pub struct PeerTable {
     /// This process.
     pub me: NodeInfo,
-    /// Processes to ask first, in an order that all share at the first start.
+    /// Addresses to contact first, in an order that all processes share at the first start.
     pub seeds: Vec<SocketAddr>,
     bootstrap: bool,
-    known: BTreeMap<SocketAddr, Known>,
-    lead: Option<(LeaderInfo, Moment)>,
-    /// Whom this process, being the first seed and without a disk, lets found.
+    known: BTreeMap<SocketAddr, KnownPeer>,
+    leader: Option<(LeaderInfo, Moment)>,
+    /// The replica that this process, as the first seed and without a disk, chose to bootstrap the
+    /// cell.
     designated: Option<ReplicaId>,
-    /// What the first seed said to that.
-    founder: Option<ReplicaId>,
-    /// Some process of the cell says that there is a leader or a state.
-    founded: bool,
+    /// The replica that the first seed chose to bootstrap the cell, as the first seed reported it.
+    bootstrapper: Option<ReplicaId>,
+    /// Another process has reported a leader, so the cell exists.
+    cell_exists: bool,
 }
 
 impl PeerTable {
-    /// One that knows its seeds only; `bootstrap` at the very first start of a cell.
+    /// Creates a table that contains only the seeds; `bootstrap` is set at the very first start of
+    /// a cell.
     pub fn new(me: NodeInfo, seeds: Vec<SocketAddr>, bootstrap: bool) -> Self {
         let known = BTreeMap::new();
         Self {
@@ -98,14 +101,14 @@
             seeds,
             bootstrap,
             known,
-            lead: None,
+            leader: None,
             designated: None,
-            founder: None,
-            founded: false,
+            bootstrapper: None,
+            cell_exists: false,
         }
     }
 
-    /// Another process says who it is.
+    /// Records a process that reports about itself.
     pub fn record_peer(&mut self, info: NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
@@ -118,140 +121,144 @@
         {
             self.designated = info.replica;
         }
-        self.known.insert(info.peer, Known { info, heard: Some(now), told: now });
+        self.known.insert(info.peer, KnownPeer { info, last_heard: Some(now), last_reported: now });
     }
 
-    /// Another process tells of a disk that it has heard.
+    /// Records a disk that another process reports.
     pub fn record_reported_peer(&mut self, info: &NodeInfo, now: Moment) {
         if info.peer == self.me.peer {
             return;
         }
         match self.known.get_mut(&info.peer) {
-            // What a process says of itself is newer than what others tell.
-            Some(known) if known.heard.is_some_and(|at| now.since(at) < DISK_FORGET) => {}
-            Some(known) => known.told = now,
+            // A recent report of the process about itself takes precedence over what others report.
+            Some(known) if known.last_heard.is_some_and(|at| now.since(at) < PEER_RETENTION) => {}
+            Some(known) => known.last_reported = now,
             None => {
-                let known = Known { info: info.clone(), heard: None, told: now };
+                let known = KnownPeer { info: info.clone(), last_heard: None, last_reported: now };
                 self.known.insert(info.peer, known);
             }
         }
     }
 
-    /// Another process tells who leads.
-    pub fn record_leader(&mut self, lead: LeaderInfo, from: SocketAddr, now: Moment) {
-        self.founded = true;
-        // Whether this process leads its own replica knows best.
-        if lead.peer == self.me.peer {
+    /// Records the leader that another process reports.
+    pub fn record_leader(&mut self, leader: LeaderInfo, from: SocketAddr, now: Moment) {
+        self.cell_exists = true;
+        // Whether this process leads is decided by its own replica.
+        if leader.peer == self.me.peer {
             return;
         }
-        let by_itself = lead.peer == from;
-        match &mut self.lead {
-            Some((known, _)) if known.term > lead.term => {}
-            Some((known, at)) if known.term == lead.term && known.peer == lead.peer => {
+        let by_itself = leader.peer == from;
+        match &mut self.leader {
+            Some((known, _)) if known.term > leader.term => {}
+            Some((known, at)) if known.term == leader.term && known.peer == leader.peer => {
                 if by_itself {
-                    (*known, *at) = (lead, now);
+                    (*known, *at) = (leader, now);
                 }
             }
             other => {
-                let lead = LeaderInfo { serving: lead.serving && by_itself, ..lead };
-                if other.as_ref().is_none_or(|(known, _)| known.peer != lead.peer) {
-                    log::info!("leader={} term={} told-by={from}", lead.peer, lead.term);
+                let leader = LeaderInfo { serving: leader.serving && by_itself, ..leader };
+                if other.as_ref().is_none_or(|(known, _)| known.peer != leader.peer) {
+                    log::info!("leader={} term={} told-by={from}", leader.peer, leader.term);
                 }
-                *other = Some((lead, now));
+                *other = Some((leader, now));
             }
         }
     }
 
-    /// The process believed to lead does not, or does not answer.
+    /// Removes the leader if it is `peer`, because it does not answer or no longer leads.
     pub fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
-        if self.lead.is_some_and(|(lead, _)| lead.peer == peer) {
+        if self.leader.is_some_and(|(leader, _)| leader.peer == peer) {
             log::warn!("leader={peer} lost why={why}");
-            self.lead = None;
+            self.leader = None;
         }
     }
 
-    /// Drops a leader that has not been heard for long.
+    /// Drops a leader that has been silent for longer than [`LEAD_FRESH`], and processes that were
+    /// not reported for `PEER_RETENTION`.
     pub fn tick(&mut self, now: Moment) {
-        if let Some((lead, at)) = self.lead
+        if let Some((leader, at)) = self.leader
             && now.since(at) > LEAD_FRESH
         {
-            self.clear_leader(lead.peer, "silent");
+            self.clear_leader(leader.peer, "silent");
         }
-        self.known.retain(|_, known| now.since(known.told) < DISK_FORGET);
+        self.known.retain(|_, known| now.since(known.last_reported) < PEER_RETENTION);
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, if one is known.
     pub fn lead(&self) -> Option<LeaderInfo> {
-        self.lead.map(|(lead, _)| lead)
+        self.leader.map(|(leader, _)| leader)
     }
 
-    /// Another process tells whom the first seed lets found; only that one's word counts.
-    pub fn record_bootstrapper(&mut self, founder: Option<ReplicaId>, from: SocketAddr) {
-        if self.seeds.first() == Some(&from) && founder.is_some() {
-            self.founder = founder;
+    /// Records the replica that the first seed chose to bootstrap the cell; only the first seed's
+    /// message counts.
+    pub fn record_bootstrapper(&mut self, bootstrapper: Option<ReplicaId>, from: SocketAddr) {
+        if self.seeds.first() == Some(&from) && bootstrapper.is_some() {
+            self.bootstrapper = bootstrapper;
         }
     }
 
-    /// Whom this process, as the first seed and without a disk, lets found.
+    /// The replica that this process, as the first seed and without a disk, chose to bootstrap the
+    /// cell.
     pub fn designated(&self) -> Option<ReplicaId> {
         self.designated
     }
 
-    /// Disks that this process has heard itself lately, for others to know.
+    /// Disks that recently reported to this process, for other processes.
     pub fn disks(&self, now: Moment) -> Vec<NodeInfo> {
-        let fresh = |known: &&Known| known.heard.is_some_and(|at| now.since(at) < DISK_FORGET);
+        let fresh =
+            |known: &&KnownPeer| known.last_heard.is_some_and(|at| now.since(at) < PEER_RETENTION);
         let disks = self.known.values().filter(fresh).map(|known| &known.info);
         disks.filter(|info| info.replica.is_some()).cloned().collect()
     }
 
-    /// The same, as candidates for a vote.
+    /// Disks that have reported to this process, as candidates for voters.
     pub fn candidates(&self, now: Moment) -> Vec<Disk> {
-        let candidate = |known: &Known| {
+        let candidate = |known: &KnownPeer| {
             let info = &known.info;
-            let silent = now.since(known.heard?);
+            let silent = now.since(known.last_heard?);
             let member = member_of(info)?;
             Some(Disk { member, zone: info.zone.clone(), silent })
         };
         self.known.values().filter_map(candidate).collect()
     }
 
-    /// Where a replica's daemon is, by its own word.
+    /// Address of the process whose disk holds this replica.
     pub fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let is = |known: &&Known| known.info.replica == Some(id);
+        let is = |known: &&KnownPeer| known.info.replica == Some(id);
         self.known.values().find(is).map(|known| known.info.peer)
     }
 
-    /// Where runners and operators reach a daemon.
+    /// Address at which runners and operators reach a process.
     pub fn control_of(&self, peer: SocketAddr) -> Option<SocketAddr> {
         self.known.get(&peer).and_then(|known| known.info.control)
     }
 
-    /// Whom this process keeps a connection to. Without a leader: whoever may know
-    /// one. With one: the leader, and from a disk every other disk.
+    /// The processes that this one keeps a connection to. Without a leader: every process that may
+    /// know one. With a leader: the leader and, if this process has a disk, every other disk.
     pub fn wanted_links(&self, members: &[SocketAddr]) -> BTreeSet<SocketAddr> {
         let mut wanted = BTreeSet::new();
         let has_disk = self.me.replica.is_some();
-        if let Some((lead, _)) = &self.lead {
-            wanted.insert(lead.peer);
+        if let Some((leader, _)) = &self.leader {
+            wanted.insert(leader.peer);
         }
-        if self.lead.is_none() || has_disk {
+        if self.leader.is_none() || has_disk {
             let disks = self.known.values().filter(|known| known.info.replica.is_some());
             wanted.extend(disks.map(|known| known.info.peer));
             wanted.extend(members);
         }
-        if self.lead.is_none() {
+        if self.leader.is_none() {
             wanted.extend(&self.seeds);
         }
         wanted.remove(&self.me.peer);
         wanted
     }
 
-    /// Whether this process is to found the cell: it has an empty disk, the cell is
-    /// new, and it is the first seed with a disk. Exactly one may: two founders
-    /// would make two cells that both believe to be the only one. A seed that does
-    /// not answer may have a disk, so nobody founds before it does.
+    /// Whether this process is to bootstrap the cell: the cell is new, this process has an empty
+    /// disk, and it is the first seed with a disk. At most one process may do so: two would make
+    /// two cells that each consider themselves the only one. A seed that does not answer may have a
+    /// disk, so no process after it bootstraps until it answers.
     pub fn should_bootstrap(&self, empty: bool) -> bool {
-        if !self.bootstrap || !empty || self.founded || self.lead.is_some() {
+        if !self.bootstrap || !empty || self.cell_exists || self.leader.is_some() {
             return false;
         }
         for seed in &self.seeds {
@@ -259,18 +266,18 @@
                 return true;
             }
             match self.known.get(seed) {
-                Some(known) if known.heard.is_some() && known.info.replica.is_none() => {}
+                Some(known) if known.last_heard.is_some() && known.info.replica.is_none() => {}
                 _ => return false,
             }
         }
         match self.seeds.is_empty() {
             true => true,
-            false => self.founder.is_some() && self.founder == self.me.replica,
+            false => self.bootstrapper.is_some() && self.bootstrapper == self.me.replica,
         }
     }
 }
 
-/// A process with a disk as a member of the consensus.
+/// The process as a Raft member, if it has a disk and a valid name.
 pub fn member_of(info: &NodeInfo) -> Option<Member> {
     let name = Name::new(&info.name).ok()?;
     Some(Member { id: info.replica?, name, address: info.peer.to_string().into() })
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: which worker gets which waiting task. Plans from the replicated
-//! state; what it plans is committed, and checked again, by the state machine.
+//! Placement: decides which worker gets which waiting task. It plans from the replicated state;
+//! the state machine checks each placement again when it is committed.
 
 use std::collections::{HashMap, HashSet};
 use yuccalink_state::command::Placement;
@@ -9,31 +9,31 @@
 use yuccalink_state::worker::WorkerPhase;
 use yuccalink_state::{Resources, StateMachine};
 
-/// Most placements in one plan, so that one commit stays small.
+/// Maximum number of placements in one plan; bounds the size of one commit.
 pub const PLAN_MAX: usize = 4096;
 
-/// Why a task was not placed, or where and past how many others.
+/// One planned placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The task.
     pub task: TaskId,
-    /// Where it goes.
+    /// The worker that it is placed on.
     pub worker: WorkerKey,
-    /// Live workers that could not hold it.
+    /// Live workers without enough free capacity for the task.
     pub passed_over: usize,
 }
 
-/// What to commit now.
+/// The placements to commit now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// In the order of the tasks' ranks.
+    /// Placements in the order of the tasks' ranks.
     pub decisions: Vec<Decision>,
-    /// Waiting tasks that no worker has room for now.
+    /// Waiting tasks for which no worker has enough free capacity now.
     pub no_room: usize,
 }
 
 impl Plan {
-    /// The plan as the state machine's command wants it.
+    /// The placements in the form that the state machine's command takes.
     ///
     /// ```
     /// # use yuccalink_coordination::placement::Plan;
@@ -44,26 +44,26 @@
     }
 }
 
-/// Why no worker could ever hold a need.
+/// Why no worker could run a task with this need.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Impossible {
     /// no worker has announced itself yet
     NoWorker,
     /// no worker is large enough: the largest have {millicores} millicores, {memory_mib} MiB and {accelerators} accelerators; lower `needs` in the document
     TooLarge {
-        /// Most of any worker.
+        /// Largest CPU capacity of any worker.
         millicores: u64,
-        /// Most of any worker.
+        /// Largest memory of any worker.
         memory_mib: u64,
-        /// Most of any worker.
+        /// Largest number of accelerators of any worker.
         accelerators: u32,
     },
 }
 
-/// Whether some worker, empty, could hold `need`.
+/// Checks that some worker could run `need` if it were empty.
 ///
 /// # Errors
-/// [`Impossible`] with what the workers have.
+/// Returns [`Impossible`] with the largest capacities of the workers.
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{possible, Impossible};
@@ -88,7 +88,7 @@
     })
 }
 
-struct Room {
+struct WorkerCapacity {
     key: WorkerKey,
     free: Resources,
     capacity: Resources,
@@ -96,10 +96,11 @@
     zone: Name,
 }
 
-/// Tasks of one kind per rack or per zone, whichever the kind is spread over.
-type Neighbours = HashMap<(ServiceKey, Name), HashMap<Name, u32>>;
+/// Number of tasks of one service and kind in each rack or zone, depending on the kind's
+/// spread.
+type SpreadCounts = HashMap<(ServiceKey, Name), HashMap<Name, u32>>;
 
-/// Plans placements for waiting tasks, the most urgent first.
+/// Plans placements for the waiting tasks, the most urgent first.
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{plan, Plan};
@@ -122,103 +123,103 @@
 
 struct Planner<'a> {
     state: &'a StateMachine,
-    rooms: Vec<Room>,
-    full_for: HashSet<Resources>,
-    neighbours: Option<Neighbours>,
+    workers: Vec<WorkerCapacity>,
+    unplaceable: HashSet<Resources>,
+    spread_counts: Option<SpreadCounts>,
 }
 
 impl<'a> Planner<'a> {
     fn new(state: &'a StateMachine) -> Self {
         let live = state.workers().filter(|(_, w)| w.phase == WorkerPhase::Live);
-        let rooms = live.map(|(key, worker)| Room {
+        let workers = live.map(|(key, worker)| WorkerCapacity {
             key,
             free: worker.free(),
             capacity: worker.spec.capacity,
             rack: worker.spec.rack.clone(),
             zone: worker.spec.zone.clone(),
         });
-        let rooms = rooms.collect();
-        Self { state, rooms, full_for: HashSet::new(), neighbours: None }
+        let workers = workers.collect();
+        Self { state, workers, unplaceable: HashSet::new(), spread_counts: None }
     }
 
     fn place(&mut self, task: &Task) -> Option<Decision> {
-        // A need that fitted nowhere fits nowhere until the next plan: skipping it
-        // keeps a long queue of equal tasks from costing a scan each.
-        if self.full_for.contains(&task.need) {
+        // A need that fits no worker now fits none later in this plan. Skipping it avoids one scan
+        // of all workers per task in a long queue of equal tasks.
+        if self.unplaceable.contains(&task.need) {
             return None;
         }
         let kind = self.state.kind_of(task);
         let spread = kind.map_or(Spread::None, |kind| kind.spread);
         let class = kind.map_or(TaskClass::Batch, |kind| kind.class);
-        let near = self.neighbours_of(task, spread);
+        let counts = self.counts_for(task, spread);
         let mut best = None;
         let mut passed_over = 0;
-        for (at, room) in self.rooms.iter().enumerate() {
-            let Some(left) = room.free.minus(task.need) else {
+        for (at, worker) in self.workers.iter().enumerate() {
+            let Some(left) = worker.free.minus(task.need) else {
                 passed_over += 1;
                 continue;
             };
-            let crowd = spread_place(spread, room).and_then(|place| near.get(place));
-            let rank = (crowd.copied().unwrap_or(0), packing(class, left, room.capacity));
+            let in_domain = spread_domain(spread, worker).and_then(|domain| counts.get(domain));
+            let rank = (in_domain.copied().unwrap_or(0), packing(class, left, worker.capacity));
             if best.is_none_or(|(least, _)| rank < least) {
                 best = Some((rank, at));
             }
         }
         let Some((_, at)) = best else {
-            self.full_for.insert(task.need);
+            self.unplaceable.insert(task.need);
             return None;
         };
-        let room = &mut self.rooms[at];
-        room.free = room.free.minus(task.need)?;
-        let decision = Decision { task: task.id, worker: room.key, passed_over };
-        self.note_neighbour(task, spread, at);
+        let worker = &mut self.workers[at];
+        worker.free = worker.free.minus(task.need)?;
+        let decision = Decision { task: task.id, worker: worker.key, passed_over };
+        self.count_placement(task, spread, at);
         Some(decision)
     }
 
-    fn neighbours_of(&mut self, task: &Task, spread: Spread) -> HashMap<Name, u32> {
+    fn counts_for(&mut self, task: &Task, spread: Spread) -> HashMap<Name, u32> {
         if spread == Spread::None {
             return HashMap::new();
         }
         let state = self.state;
-        let all = self.neighbours.get_or_insert_with(|| count_neighbours(state));
-        all.get(&(task.service, task.kind.clone())).cloned().unwrap_or_default()
+        let by_kind = self.spread_counts.get_or_insert_with(|| count_tasks(state));
+        by_kind.get(&(task.service, task.kind.clone())).cloned().unwrap_or_default()
     }
 
-    fn note_neighbour(&mut self, task: &Task, spread: Spread, at: usize) {
-        let Some(place) = spread_place(spread, &self.rooms[at]).cloned() else { return };
-        let Some(all) = &mut self.neighbours else { return };
-        let counts = all.entry((task.service, task.kind.clone())).or_default();
-        *counts.entry(place).or_default() += 1;
+    fn count_placement(&mut self, task: &Task, spread: Spread, at: usize) {
+        let Some(domain) = spread_domain(spread, &self.workers[at]).cloned() else { return };
+        let Some(by_kind) = &mut self.spread_counts else { return };
+        let counts = by_kind.entry((task.service, task.kind.clone())).or_default();
+        *counts.entry(domain).or_default() += 1;
     }
 }
 
-fn count_neighbours(state: &StateMachine) -> Neighbours {
-    let mut all = Neighbours::new();
+fn count_tasks(state: &StateMachine) -> SpreadCounts {
+    let mut by_kind = SpreadCounts::new();
     for (key, worker) in state.workers() {
         for task in state.tasks_on_worker(key) {
-            let place = match state.kind_of(task).map(|kind| kind.spread) {
+            let domain = match state.kind_of(task).map(|kind| kind.spread) {
                 Some(Spread::Racks) => &worker.spec.rack,
                 Some(Spread::Zones) => &worker.spec.zone,
                 Some(Spread::None) | None => continue,
             };
-            let counts = all.entry((task.service, task.kind.clone())).or_default();
-            *counts.entry(place.clone()).or_default() += 1;
+            let counts = by_kind.entry((task.service, task.kind.clone())).or_default();
+            *counts.entry(domain.clone()).or_default() += 1;
         }
     }
-    all
+    by_kind
 }
 
-fn spread_place(spread: Spread, room: &Room) -> Option<&Name> {
+fn spread_domain(spread: Spread, worker: &WorkerCapacity) -> Option<&Name> {
     match spread {
         Spread::None => None,
-        Spread::Racks => Some(&room.rack),
-        Spread::Zones => Some(&room.zone),
+        Spread::Racks => Some(&worker.rack),
+        Spread::Zones => Some(&worker.zone),
     }
 }
 
-/// Smaller is better. Batch fills the fullest worker that has room and so keeps
-/// whole workers free for large tasks; latency-critical work takes the emptiest,
-/// where least disturbs it.
+/// Packing score; smaller is better. A batch task takes the fullest worker with enough free
+/// capacity, which keeps whole workers free for large tasks. A latency-critical task takes the
+/// emptiest worker, where it meets the least interference.
 fn packing(class: TaskClass, left: Resources, capacity: Resources) -> u64 {
     let share = |left: u64, all: u64| left.saturating_mul(1024) / all.max(1);
     let cores = share(left.millicores, capacity.millicores);
