--- a/crates/coordination/src/jobs.rs
+++ b/crates/coordination/src/jobs.rs
@@ -1,6 +1,6 @@
-//! What the leader of a job cell decides, sans-IO: feed [`Leader`] asks, commits
-//! and ticks with the current [`Now`]; take its commands for the log and its
-//! answers. It never reads a clock and draws no random numbers.
+//! Decisions of a job cell's leader, without I/O: pass requests, committed commands and
+//! ticks to [`Leader`] with the current [`Now`], and take its commands for the log and its
+//! responses. It never reads a clock and draws no random numbers.
 
 pub mod account;
 mod admission;
--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -1,7 +1,7 @@
-//! What holds jobs up: for each job that is to end, for how long and by what.
+//! Accounts of delay: for each job that must end, how long each cause held it up.
 //!
-//! Kept beside the decisions and told in the line that ends a job, so that lost time can
-//! be added up by cause from logs alone.
+//! The accounts do not influence decisions. They are part of the log line that ends a job,
+//! so that lost time can be summed by cause from logs alone.
 
 use super::leader::{Leader, Now};
 use super::ready::StepKey;
@@ -13,38 +13,39 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{Job, JobId, JobPhase, StepSpec, TaskKey};
 
-/// How often jobs are looked at; a look counts for as long.
+/// Interval at which jobs are checked; each check adds this time to the cause it finds.
 pub(super) const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// A run that takes this many times as long as guessed lags.
+/// A run that takes this many times its estimate is a straggler.
 const LAGS_BY: u32 = 2;
-/// Runners with room that are looked at for one job: more would hardly tell another cause.
+/// Runners with free capacity that are checked for one job. More of them would rarely
+/// change the cause that is found.
 const LOOKED_AT_MAX: usize = 32;
 
-/// What holds a job up.
+/// Cause that holds a job up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
 pub enum HeldUp {
-    /// No runner has room for its next task.
+    /// No runner has free capacity for the next task.
     #[display("room")]
     Room,
-    /// There is room, but tasks that serve there would not keep their bounds.
+    /// Runners have free capacity, but their serving tasks would exceed their bounds.
     #[display("margin")]
     Margin,
-    /// There is room only on runners that are not trusted.
+    /// Only runners that are not trusted have free capacity.
     #[display("trust")]
     Trust,
-    /// There is room, and runners were lost under its next task.
+    /// Runners have free capacity, but runners were lost during runs of the next task.
     #[display("suspect")]
     Suspect,
-    /// There is room, and the order is under way.
+    /// A runner has free capacity, and the order to start is on its way.
     #[display("order")]
     Order,
-    /// It is slowed for a task that serves beside it.
+    /// A task runs at a reduced pace for a colocated serving task.
     #[display("pace")]
     Pace,
-    /// A task runs once more: it failed, was moved, or lost its runner.
+    /// A task runs again because it failed, was moved, or lost its runner.
     #[display("again")]
     Again,
-    /// A task takes much longer than guessed.
+    /// A task takes much longer than estimated.
     #[display("lag")]
     Lag,
 }
@@ -60,13 +61,13 @@
     HeldUp::Lag,
 ];
 
-/// What held one job up so far.
+/// Time that each cause has held one job up so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Account {
     spans: [Duration; CAUSES.len()],
     /// Age of the job when this leader first saw it.
     former: Duration,
-    /// It was told that the job is overdue.
+    /// Whether the log says already that the job is overdue.
     told: bool,
 }
 
@@ -82,17 +83,17 @@
     }
 }
 
-/// The accounts of all jobs that are to end.
+/// Accounts of all jobs that must end.
 #[derive(Debug, Default)]
 pub(super) struct Accounts(HashMap<JobId, Account>);
 
 impl Accounts {
-    /// Opens that of a job of some age.
+    /// Opens the account of a job whose age is already `age`.
     pub(super) fn open(&mut self, id: JobId, age: Duration) {
         self.0.entry(id).or_insert(Account { former: age, ..Account::default() });
     }
 
-    /// What held a job up.
+    /// Account of a job.
     pub(super) fn get(&self, id: JobId) -> Account {
         self.0.get(&id).copied().unwrap_or_default()
     }
@@ -108,22 +109,22 @@
         }
     }
 
-    /// Whether it is first asked now for a job that is overdue.
+    /// Marks a job as overdue; true only the first time.
     fn is_news(&mut self, id: JobId) -> bool {
         let account = self.0.entry(id).or_default();
         !std::mem::replace(&mut account.told, true)
     }
 }
 
-/// Runners that take tasks, by pool, those with most processors free first.
+/// Runners that take tasks, by pool, sorted by free CPU from most to least.
 struct Vacancies<'a> {
     by_pool: HashMap<&'a str, Vec<&'a Runner>>,
-    /// Runners looked at so far.
+    /// Number of runners checked so far.
     runners_scanned: u64,
 }
 
 impl<'a> Vacancies<'a> {
-    /// Some runners of a pool with room for a task.
+    /// Some runners of a pool with enough free capacity for a task.
     fn with_room(&mut self, pool: &str, need: Resources) -> Vec<&'a Runner> {
         let runners = self.by_pool.get(pool).into_iter().flatten().copied();
         let enough = runners.take_while(|runner| runner.free.millicores >= need.millicores);
@@ -134,7 +135,7 @@
 }
 
 impl Leader {
-    /// Looks at every job that is to end.
+    /// Adds the time since the last check to the account of each job that must end.
     pub(super) fn keep_accounts(&mut self, now: Now) {
         let mut held_up = Vec::new();
         let mut overdue = Vec::new();
@@ -179,7 +180,7 @@
         worst
     }
 
-    /// The runners that take tasks, for one look at the jobs that wait.
+    /// Collects the runners that take tasks, for one check of all waiting jobs.
     fn vacancies(&self, now: Now) -> Vacancies<'_> {
         let mut by_pool: HashMap<&str, Vec<&Runner>> = HashMap::new();
         for runner in self.runners.values() {
@@ -193,7 +194,7 @@
         Vacancies { by_pool, runners_scanned: self.runners.len() as u64 }
     }
 
-    /// Why a step's next task has not started.
+    /// Cause that keeps a step's next task from starting.
     fn why_waits(&self, now: Now, group: StepKey, vacancies: &mut Vacancies<'_>) -> HeldUp {
         let Some(step) = self.ready.step(group.job, group.step) else { return HeldUp::Order };
         let Some(job) = self.state.job(group.job) else { return HeldUp::Order };
@@ -214,7 +215,7 @@
         cause
     }
 
-    /// Whether some waiting task of a step may run on a runner, by where it failed before.
+    /// Whether a waiting task of a step may run on a runner, given where it failed before.
     fn has_task_for(
         &self,
         now: Now,
@@ -232,7 +233,7 @@
         })
     }
 
-    /// The runs of a job that their runners have listed.
+    /// Runs of a job that their runners have reported.
     fn running_of<'a>(
         &'a self,
         id: JobId,
--- a/crates/coordination/src/jobs/admission.rs
+++ b/crates/coordination/src/jobs/admission.rs
@@ -1,15 +1,15 @@
-//! Which jobs are refused at the door.
+//! Admission of jobs.
 //!
-//! Only those that the log cannot take: a job that will be late is still wanted by its
-//! caller, and runs once there is room.
+//! A job is refused only if too many commands wait for the log. A job that will be late is
+//! accepted: its caller still wants it, and it runs once there is free capacity.
 
 use super::leader::Leader;
 
-/// When callers may come back once the log has caught up, in milliseconds.
+/// Retry delay for callers while the log catches up, in milliseconds.
 const LOG_FULL_MS: u64 = 1_000;
 
 impl Leader {
-    /// When to come back, for a job that cannot be taken now.
+    /// Retry delay in milliseconds if a new job must be refused now.
     pub(super) fn refuse(&self) -> Option<u64> {
         self.is_full().then_some(LOG_FULL_MS)
     }
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -1,5 +1,6 @@
-//! Tickets of an outside policy: one question at a time, about the runners with the
-//! most room, asked before a step is to start and kept for as long as they are valid.
+//! Tickets of an external placement policy. The leader sends one query at a time, about the
+//! runners with the most free capacity, before a step starts, and keeps the tickets for as
+//! long as they are valid.
 
 use super::external::{ExternalCall, ExternalCallId, ExternalReply};
 use super::leader::{Leader, Now};
@@ -9,14 +10,14 @@
 use std::time::Duration;
 use yuccalink_state::jobs::IncarnationKey;
 
-/// Runners asked about at once: as many as a job's objective allows for.
+/// Runners in one query. A job's objective leaves no time for more.
 const ASKED_MAX: usize = 30;
-/// A ticket that ends sooner than this may not reach its runner in time.
+/// A ticket that expires sooner than this may not reach its runner in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(1_200);
-/// Longest wait for an answer before the question is asked anew.
+/// Longest wait for a reply before another query is sent.
 const ANSWER_MAX: Duration = Duration::from_millis(3_000);
 
-/// What is known for one step.
+/// Tickets of one step, and the runners that were already queried.
 #[derive(Debug, Default)]
 struct Known {
     tickets: BTreeMap<IncarnationKey, Box<str>>,
@@ -24,17 +25,17 @@
     asked: BTreeSet<IncarnationKey>,
 }
 
-/// The question under way.
+/// The query that waits for its reply.
 #[derive(Debug)]
 struct Asked {
     call: ExternalCallId,
     group: StepKey,
-    /// The runners asked about, by name.
+    /// The runners in the query, by name.
     incarnations: BTreeMap<Box<str>, IncarnationKey>,
     since: Moment,
 }
 
-/// All of it.
+/// Tickets of all steps, and the pending query.
 #[derive(Debug, Default)]
 pub(super) struct Advice {
     known: BTreeMap<StepKey, Known>,
@@ -53,12 +54,12 @@
         known.tickets.get(&incarnation).map(|ticket| &**ticket)
     }
 
-    /// Takes an answer in; false when it is not to a question of ours.
+    /// Handles a reply; false if it does not belong to the pending query.
     pub(super) fn told(&mut self, call: ExternalCallId, told: &ExternalReply) -> bool {
         let Some(asked) = self.asked.take_if(|asked| asked.call == call) else { return false };
         let ExternalReply::Advice { allowed, validity_ms } = told else { return true };
         let known = self.known.entry(asked.group).or_default();
-        // Valid from some moment between question and answer; the earliest counts.
+        // The validity begins between the query and its reply; count from the earliest time.
         known.until = asked.since + Duration::from_millis(*validity_ms);
         known.asked.extend(asked.incarnations.values());
         for (name, ticket) in allowed {
@@ -78,13 +79,13 @@
         queue.is_some_and(|queue| queue.advisor.is_some())
     }
 
-    /// Asks for the first step in order that needs tickets and has none left.
+    /// Sends a query for the first step in order that needs tickets and has no usable one.
     pub(super) fn ask_advice(&mut self, now: Now) {
         if self.advice.asked.as_ref().is_some_and(|a| now.at.since(a.since) < ANSWER_MAX) {
             return;
         }
         self.advice.asked = None;
-        // Tickets too old to be used count as none, or nobody would ask for new ones.
+        // Tickets that expire too soon to be used are dropped, so that new ones are requested.
         self.advice.known.retain(|_, known| known.until > now.at + TICKET_MARGIN);
         let wants = |group: &StepKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
         let Some(group) = self.ready.order().find(wants) else { return };
@@ -107,7 +108,7 @@
         self.advice.asked = Some(Asked { call, group, incarnations, since: now.at });
     }
 
-    /// Whether a runner with a ticket has room for a task of the step.
+    /// Whether a runner with a ticket has free capacity for a task of the step.
     fn has_room_by_ticket(&self, group: StepKey) -> bool {
         let Some(known) = self.advice.known.get(&group) else { return false };
         let Some(step) = self.ready.step(group.job, group.step) else { return false };
@@ -118,8 +119,8 @@
         })
     }
 
-    /// The runners with the most room that were not asked about yet; all of them once
-    /// none is left.
+    /// The runners with the most free capacity that were not yet in a query for this step.
+    /// All runners count again once the tickets of the step have expired.
     fn incarnations_to_ask(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
         let Some(step) = self.ready.step(group.job, group.step) else { return BTreeMap::new() };
         let known = self.advice.known.get(&group);
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -1,4 +1,4 @@
-//! What the log is given, and what follows once it has it.
+//! Commands proposed to the log, and their effects once they are committed.
 
 use super::leader::{Leader, Now, OnCommit};
 use super::messages::CellResponse;
@@ -6,11 +6,11 @@
 use std::collections::BTreeSet;
 use yuccalink_state::jobs::{CellState, JobCommand, JobId, JobOutcome, RunEnd, RunOutcome};
 
-/// Commands waiting for the log; more are refused as "not run".
+/// Commands that may wait for the log. Further requests are refused with "not run".
 const QUEUE_MAX: usize = 8 * 1024;
 
 impl Leader {
-    /// Whether the log has so much to write that more must be refused.
+    /// Whether so many commands wait for the log that new requests must be refused.
     pub(super) fn is_full(&self) -> bool {
         self.proposal_queue.len() >= QUEUE_MAX
     }
@@ -19,8 +19,8 @@
         self.proposal_queue.push_back((command, then));
     }
 
-    /// The next batch for the log, if none is under way: what comes meanwhile
-    /// shares the next sync.
+    /// Takes at most `most` commands as the next batch for the log. Empty while another
+    /// batch is being committed, so that the commands in between share one disk sync.
     pub fn next_batch(&mut self, most: usize) -> Vec<JobCommand> {
         if !self.committing.is_empty() || !self.batch.is_empty() {
             return Vec::new();
@@ -34,12 +34,12 @@
         commands
     }
 
-    /// The batch stands in the log from index `first` on.
+    /// Records that the batch was appended to the log, its first command at index `first`.
     pub fn batch_appended(&mut self, first: u64) {
         self.committing.extend((first..).zip(self.batch.drain(..)));
     }
 
-    /// A command is agreed on: applies it and answers.
+    /// Applies a committed command and sends the response that waits for it.
     pub fn apply_committed(&mut self, now: Now, index: u64, command: JobCommand) {
         let touched = touched(&command, &self.state);
         let detail = command.clone();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What follows from a command, whoever proposed it.
+    /// Updates the state of the leader after a command, whichever leader proposed it.
     fn after(&mut self, now: Now, command: &JobCommand, outcome: &JobOutcome) {
         match command {
             JobCommand::Submit(submit) => {
@@ -167,14 +167,14 @@
     }
 }
 
-/// Jobs that a command may change.
+/// Jobs whose state a command may change.
 fn touched(command: &JobCommand, jobs: &CellState) -> BTreeSet<JobId> {
     match command {
         JobCommand::Submit(submit) => BTreeSet::from([submit.id]),
         JobCommand::Cancel { id, .. } => BTreeSet::from([*id]),
         JobCommand::Start(starts) => starts.iter().map(|start| start.task.job).collect(),
         JobCommand::End { ends, .. } => ends.iter().map(|end| end.task.job).collect(),
-        // It tells the fate of lost runners, and so may end jobs.
+        // A new incarnation shows that the lost one crashed, which may end jobs.
         JobCommand::Meet(_) => jobs.losses().open_jobs(),
         JobCommand::Change(_)
         | JobCommand::Forget(_)
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -1,4 +1,4 @@
-//! What is due as time passes: ranking, leases that have ended, occurrences, forgetting.
+//! Periodic work: ranking, expired leases, due occurrences, and removal of ended jobs.
 
 use super::account::LOOK_EVERY;
 use super::leader::{Leader, Now, OnCommit, startable};
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use yuccalink_state::jobs::{JobCommand, JobId, JobPhase, RunEnd};
 
-/// Longest wait of a heartbeat for the log: a runner drops what comes later than
-/// a second, and the way back takes time as well.
+/// Longest time that a heartbeat waits for its commands to be committed. A runner drops a
+/// response that arrives after one second, and the way back takes part of it.
 const HEARTBEAT_WAIT: Duration = Duration::from_millis(600);
-/// How often waiting steps are ranked anew: well under the shortest objective.
+/// Interval at which waiting steps are ranked, well below the shortest objective.
 const RANK_EVERY: Duration = Duration::from_millis(100);
-/// Jobs forgotten at once, so that no batch for the log grows large.
+/// Jobs removed by one command, so that no batch for the log becomes large.
 const FORGET_MAX: usize = 256;
-/// How often ended jobs are looked through.
+/// Interval at which ended jobs are checked for removal.
 const FORGET_EVERY: Duration = Duration::from_secs(2);
 
 impl Leader {
-    /// Does what is due.
+    /// Does all periodic work that is due at `now`.
     pub fn tick(&mut self, now: Now) {
         if now.at.since(self.ranked) >= RANK_EVERY {
             self.ranked = now.at;
@@ -59,14 +59,14 @@
             }
         }
         for (token, incarnation) in late {
-            // The log is slow: the lease is renewed all the same, since this process
-            // still leads; what was decided comes with the next heartbeat.
+            // The log is slow, but this process still leads: it renews the lease now. The
+            // orders follow with the next heartbeat, once they are committed.
             self.send_orders(now, token, incarnation);
         }
     }
 
-    /// Gives up runs whose lease has surely ended. Starting them elsewhere any
-    /// earlier could run a task twice.
+    /// Ends the runs whose lease has certainly expired. To start them elsewhere any earlier
+    /// could run a task twice.
     fn end_lapsed(&mut self, now: Now) {
         let inherited = self.started + lease_expiry_bound(self.cfg.lease);
         let mut ends = Vec::new();
@@ -89,7 +89,7 @@
         self.propose(JobCommand::End { ends, at_ms: now.unix_ms }, then);
     }
 
-    /// Occurrences of scheduled jobs whose time has come.
+    /// Adds due occurrences of scheduled jobs to the ready queue.
     fn open_due(&mut self, now: Now) {
         let due: Vec<JobId> = self.ready.scheduled();
         for id in due {
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Leaves what was learnt to a later leader: relearning costs serving tasks their
-    /// bounds for some ten seconds, with each change of leader.
+    /// Commits the learned interference weights for later leaders. To learn them again after
+    /// each change of leader, serving tasks would exceed their bounds for some ten seconds.
     fn remember(&mut self) {
         let learnt = self.interference.learned_weights();
         if !learnt.is_empty() && learnt != self.state.learnt() {
@@ -132,7 +132,7 @@
     }
 }
 
-/// First steps of occurrences that are due and have not begun.
+/// Steps without dependencies of occurrences that are due and have not begun.
 fn due_occurrences(id: JobId, job: &yuccalink_state::jobs::Job, unix_ms: u64) -> Vec<StepKey> {
     let Some(schedule) = job.spec.schedule else { return Vec::new() };
     let begun = u32::try_from(job.occurrences.len()).unwrap_or(u32::MAX);
--- a/crates/coordination/src/jobs/external.rs
+++ b/crates/coordination/src/jobs/external.rs
@@ -1,41 +1,42 @@
-//! What the leader asks of services outside the cell, and their answers: the policy
-//! that says which runners may run a step, and the platform's list of machines.
+//! Calls of the leader to services outside the cell, and their replies: the placement
+//! policy, which says which runners may run a step, and the platform, which lists machines
+//! and takes them down for upkeep.
 
 use serde::{Deserialize, Serialize};
 use yuccalink_state::jobs::JobId;
 
-/// Names one call until it is answered.
+/// Correlates a call with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExternalCallId(pub u64);
 
-/// A call to a service outside.
+/// A call to an external service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExternalCall {
-    /// Which of these runners may run a step?
+    /// Ask the placement policy which of these runners may run a step.
     Advise {
-        /// The step's job.
+        /// Job of the step.
         job: JobId,
-        /// Which time the job runs.
+        /// Index of the job's occurrence.
         occurrence: u32,
-        /// Which step.
+        /// Index of the step in the job.
         step: u16,
-        /// Runners' names.
+        /// Names of the runners.
         runners: Vec<Box<str>>,
     },
-    /// A page of the list of machines.
+    /// Read a page of the list of machines.
     Machines {
-        /// From the page before.
+        /// Page token from the previous reply, `None` for the first page.
         page: Option<Box<str>>,
     },
-    /// Take a machine down for upkeep: all that runs there ends at once.
+    /// Take a machine down for upkeep. All runs on the machine end at once.
     Upkeep {
-        /// Which.
+        /// Name of the machine.
         machine: Box<str>,
-        /// For which wave.
+        /// Number of the upkeep wave.
         wave: u64,
-        /// Who orders.
+        /// Name of the process that orders the upkeep.
         holder: Box<str>,
-        /// Rises with each leader.
+        /// Fencing token, which rises with each leader.
         token: u64,
     },
 }
@@ -43,46 +44,46 @@
 /// Whether a machine can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It is up.
+    /// The machine is up.
     Up,
-    /// It is on its way to another pool, or down for upkeep.
+    /// The machine moves to another pool, or is down for upkeep.
     Away,
-    /// It is off.
+    /// The machine is off.
     Down,
 }
 
 /// A machine of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// Its name, the same for ever.
+    /// Name of the machine, which never changes.
     pub name: Box<str>,
-    /// Whether it can be used.
+    /// Whether the machine can be used.
     pub state: MachineState,
-    /// The runner on it, where there is one.
+    /// Runner on the machine, if there is one.
     pub runner: Option<Box<str>>,
 }
 
-/// What a service outside answered.
+/// Reply of an external service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExternalReply {
     /// Runners that may run the step, each with its ticket.
     Advice {
-        /// Name and ticket.
+        /// Runner's name and ticket.
         allowed: Vec<(Box<str>, Box<str>)>,
         /// How long the tickets are valid, in milliseconds.
         validity_ms: u64,
     },
-    /// A page of the list.
+    /// A page of the list of machines.
     Machines {
-        /// In the platform's order.
+        /// Machines in the platform's order.
         machines: Vec<Machine>,
-        /// Where the next page begins.
+        /// Token of the next page, `None` on the last page.
         next: Option<Box<str>>,
     },
-    /// It is done.
+    /// The call was executed.
     Done,
-    /// It was not done, and will not be as things are.
+    /// The call was refused, and will be refused again unless conditions change.
     Refused,
-    /// It was not done now, or nobody knows; ask again.
+    /// The call failed for now or its outcome is unknown; retry it.
     Later,
 }
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of runners: what they tell is taken in, what is to be started or
-//! stopped goes back with the answer.
+//! Heartbeats of runners: the leader processes the report and responds with orders to start
+//! or stop runs.
 
 use super::leader::{Leader, Now, OnCommit, PendingHeartbeat, RequestToken};
 use super::lost::Why;
@@ -17,27 +17,28 @@
     RunnerIncarnation, TaskKey,
 };
 
-/// Longest and shortest time between reports of a runner with room: each report
-/// is a chance to start something there, and costs the leader about 60 us.
+/// Shortest and longest interval between reports of a runner with free capacity. Each report
+/// is a chance to start a task there, and costs the leader about 60 us.
 const REPORT_MIN: Duration = Duration::from_millis(150);
 const REPORT_MAX: Duration = Duration::from_millis(1_000);
-/// Added for each runner, so that all together report at most 250 times a second.
+/// Interval per runner, so that all runners together report at most 250 times a second.
 const REPORT_PER_RUNNER: Duration = Duration::from_millis(4);
-/// A runner without room reports by itself after each end.
+/// Interval for a runner without free capacity, which also reports after each run end.
 const REPORT_FULL: Duration = Duration::from_millis(500);
-/// A runner that tries a suspect tells soon whether it has survived its start.
+/// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
 const REPORT_TRIAL: Duration = Duration::from_millis(150);
-/// A runner leaves a little after it said, and what ends then is lost work.
+/// Time before the announced end of a runner by which its runs should have ended. The work
+/// of runs that end with the runner is lost.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Tasks that last leave a runner that leaves.
+/// How long-running tasks leave a draining runner.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LeavingPolicy {
-    /// Whether they stay while there is no room elsewhere; otherwise they are stopped at
-    /// once, and serve nobody until there is.
+    /// Whether the tasks stay while no other runner has capacity for them. Otherwise they are
+    /// stopped at once and serve nobody until another runner has capacity.
     pub mode: Switch,
-    /// How long before the runner's end they are stopped all the same.
+    /// Time before the runner's end at which the tasks are stopped in any case.
     #[serde(rename = "margin-ms")]
     pub margin: Millis,
 }
@@ -48,7 +49,7 @@
     }
 }
 
-/// What a report's answer may start.
+/// Whether the response to a report may start runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Offer {
     Work,
@@ -60,7 +61,7 @@
         self.counts.heartbeats += 1;
         let change = self.state.change_set();
         if change.is_some_and(|change| change.pool(&report.pool).is_none()) {
-            log::info!("runner={} left aside: no pool {}", report.runner, report.pool);
+            log::info!("runner={} ignored: no pool {}", report.runner, report.pool);
             let what = format!("there is no pool {}; correct the name", report.pool);
             return self.answer(token, CellResponse::Invalid(what.into()));
         }
@@ -74,7 +75,7 @@
             }
             (_, Some(born)) if report.started_ms < born => {
                 log::info!(
-                    "runner={} report of an earlier life left aside: born={} newest={born}",
+                    "runner={} report of an earlier incarnation ignored: born={} newest={born}",
                     report.runner,
                     report.started_ms
                 );
@@ -94,7 +95,7 @@
         self.propose(JobCommand::Meet(incarnation), OnCommit::Met { token, report });
     }
 
-    /// A new life is in the log; what earlier ones ran is over.
+    /// A new runner incarnation is committed: ends the runs of the incarnations that it replaces.
     pub(super) fn met(
         &mut self,
         now: Now,
@@ -104,14 +105,14 @@
     ) {
         let JobOutcome::Met(key) = *outcome else { return };
         self.incarnations.meet(key, &self.state);
-        log::info!("runner={} {key} met: born={}", report.runner, report.started_ms);
+        log::info!("runner={} {key} registered: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
         for over in self.incarnations.over() {
             self.collect_lost(now, over, Why::NextLife, &mut ends);
             self.runners.remove(&over);
         }
-        // What it ran before is not waiting yet, and comes before what never ran: it must
-        // not find its room taken by the time it is.
+        // Interrupted tasks come before tasks that never ran, but they wait only once the ends
+        // proposed here are committed. Until then no other task may take their capacity.
         let offer = if ends.is_empty() { Offer::Work } else { Offer::Nothing };
         self.propose_ends(now, ends, OnCommit::Nothing);
         self.take_report(now, token, key, report, offer);
@@ -128,7 +129,7 @@
         let runner = self.runners.entry(key).or_insert_with(|| Runner::new(key, report, now.at));
         let late = report.sequence <= runner.sequence && runner.sequence > 0;
         if late || self.incarnations.is_over(key) {
-            log::info!("runner={} late report {} left aside", report.runner, report.sequence);
+            log::info!("runner={} late report {} ignored", report.runner, report.sequence);
             let answer = self.empty_orders();
             return self.answer(token, answer);
         }
@@ -152,8 +153,8 @@
         self.commit_report(now, token, key, report, all_ends, starts);
     }
 
-    /// Ends that are not yet in the log. Those of runs that are not held are known
-    /// already, or were given up when their lease ended.
+    /// Reported run ends that are not yet proposed or committed. A run that is not assigned
+    /// has an end in the log already, or was given up when its lease expired.
     fn new_ends(&self, key: IncarnationKey, finished: &[FinishedRun]) -> Vec<RunEnd> {
         let mut ends = Vec::new();
         for end in finished {
@@ -173,8 +174,8 @@
         ends
     }
 
-    /// Runs that were never started and must not be any more: their job has ended, or their
-    /// runner has no room for them any more.
+    /// Collects ends for runs that were assigned but never started and must not start any more:
+    /// the job has ended, or the runner has no capacity for the run any more.
     fn collect_never_started(
         &self,
         now: Now,
@@ -190,8 +191,8 @@
             let wanted = self.is_wanted(task)
                 && self.may_be_ordered(now, key, task)
                 && !runner.is_withheld(task, run, order_over, now.at);
-            // Its order may be late, and start it in room that was given away meanwhile: the
-            // runner would hold more than it has.
+            // A delayed order may still start the run. If its capacity were given to another run
+            // meanwhile, the runner would be overcommitted.
             let late = runner.may_yet_start(task, run, now.at);
             if listed || under_way || ended.contains(&(task, run)) || wanted || late {
                 continue;
@@ -206,21 +207,21 @@
         }
     }
 
-    /// Whether an order to start a task would be taken: one whose ticket has run out
-    /// would not.
+    /// Whether the runner would accept an order to start a task. It rejects an order whose
+    /// ticket has expired.
     fn may_be_ordered(&self, now: Now, incarnation: IncarnationKey, task: TaskKey) -> bool {
         let group = StepKey::of(task);
         !self.needs_ticket(group) || self.advice.ticket(group, incarnation, now.at).is_some()
     }
 
-    /// Whether a task is still to be done.
+    /// Whether a task still has to run.
     fn is_wanted(&self, task: TaskKey) -> bool {
         let active = self.state.job(task.job).is_some_and(|job| job.phase == JobPhase::Active);
         active && self.state.task(task).is_some_and(|task| !task.done)
     }
 
-    /// Finds runs that stand still, and those that will not end before their
-    /// runner leaves.
+    /// Marks runs to be stopped: stalled runs, and runs that will not end before their runner
+    /// leaves.
     fn judge_runs(&mut self, now: Now, key: IncarnationKey) {
         let standing_after = self.cfg.policy.distrust.standing;
         let staying = self.staying(now, key);
@@ -233,7 +234,7 @@
                 continue;
             }
             if step.long_running {
-                // It is to serve elsewhere as soon as there is room.
+                // The task moves to another runner as soon as one has capacity.
                 view.stopping = leaving && !staying.contains(task);
                 continue;
             }
@@ -268,8 +269,9 @@
         self.counts.stalled_runs += standing;
     }
 
-    /// Tasks that last on a leaving runner and that would find no room elsewhere: each
-    /// one that leaves takes room that is free now, so not all leave for the same.
+    /// Long-running tasks on a draining runner that no other runner has capacity for. Tasks
+    /// that are moving already are counted against the free capacity, so that no two tasks
+    /// move for the same capacity.
     fn staying(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
         let policy = self.cfg.policy.leaving;
         let mut staying = BTreeSet::new();
@@ -294,7 +296,7 @@
         staying
     }
 
-    /// How many tasks of a step find room on other runners.
+    /// Number of tasks of a step that other runners have capacity for.
     fn seats_elsewhere(&self, now: Now, leaving: &Runner, task: TaskKey, step: &StepInfo) -> u32 {
         let group = StepKey::of(task);
         let mut seats = 0;
@@ -326,7 +328,7 @@
         let commands = u32::from(!ends.is_empty()) + u32::from(!starts.is_empty());
         let Some(runner) = self.runners.get_mut(&key) else { return };
         if commands == 0 {
-            // Nothing that it lists is on its way to the log any more.
+            // No run end that the report lists still waits for its commit.
             if runner.proposed == runner.acked_through {
                 runner.acked_through = runner.acked_through.max(newest);
                 runner.proposed = runner.acked_through;
@@ -355,7 +357,7 @@
         }
     }
 
-    /// One of a heartbeat's commands is in the log.
+    /// One of a heartbeat's commands is committed.
     pub(super) fn heartbeat_committed(&mut self, now: Now, at: u64) {
         let Some(waiting) = self.heartbeats.get_mut(&at) else { return };
         waiting.commands -= 1;
@@ -371,7 +373,7 @@
         }
     }
 
-    /// Answers a heartbeat by what is agreed on now.
+    /// Answers a heartbeat with orders from the committed state.
     pub(super) fn send_orders(&mut self, now: Now, token: RequestToken, key: IncarnationKey) {
         let pause = self.pause();
         let Some(runner) = self.runners.get(&key) else {
@@ -423,9 +425,9 @@
         (REPORT_PER_RUNNER * count).clamp(REPORT_MIN, REPORT_MAX)
     }
 
-    /// Runs that are to run there and that the runner does not list. An order whose
-    /// answer was lost is given again under the same number: a runner that has ended
-    /// that run refuses it.
+    /// Orders for runs that are assigned to the runner and that it does not list. If a
+    /// response was lost, the order is sent again with the same run number; a runner that has
+    /// ended that run refuses it.
     fn start_orders(
         &self,
         now: Now,
@@ -465,7 +467,7 @@
         stop.map(|(task, view)| (*task, view.run)).collect()
     }
 
-    /// A runner has left: everything on it is over, and it can say nothing more.
+    /// A runner has left: all of its runs have ended, and it sends no more reports.
     pub(super) fn leave(
         &mut self,
         now: Now,
@@ -489,8 +491,8 @@
                     self.incarnations.end(key);
                     self.runners.remove(&key);
                 }
-                // It may be a delayed word of an earlier life: nothing is started
-                // there, but what runs there is given up only with its lease.
+                // The message may be a delayed one of an earlier incarnation: no run is started
+                // there, but its runs are given up only when their lease has expired.
                 (None, Some(runner)) => runner.state = RunnerState::Draining,
                 (None, None) => {}
             }
@@ -499,7 +501,7 @@
     }
 }
 
-/// Whole milliseconds of a span.
+/// Converts a duration to whole milliseconds.
 pub(super) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/coordination/src/jobs/incarnations.rs
+++ b/crates/coordination/src/jobs/incarnations.rs
@@ -1,12 +1,13 @@
-//! Which life of each runner is the newest, and which are over.
+//! Which incarnation of each runner is the newest, and which have ended.
 //!
-//! A new life under the same name, or at the same address, means that the former is over,
-//! whatever a delayed report of it still says.
+//! A new incarnation under the same name or at the same address means that the former one has
+//! ended, whatever a delayed report of it still says.
 
 use std::collections::{BTreeSet, HashMap};
 use yuccalink_state::jobs::{CellState, IncarnationKey, RunnerIncarnation};
 
-/// The newest life by name and by address: one look each, however many lives are known.
+/// The newest incarnation by name and by address, each found by one lookup however many
+/// incarnations are known.
 #[derive(Debug, Default)]
 pub(super) struct Incarnations {
     by_id: HashMap<Box<str>, IncarnationKey>,
@@ -15,7 +16,7 @@
 }
 
 impl Incarnations {
-    /// Those in the log, in the order in which they were met.
+    /// Builds the index from the committed incarnations, in the order of their registration.
     pub(super) fn of(jobs: &CellState) -> Self {
         let mut incarnations = Self::default();
         for (key, _) in jobs.incarnations() {
@@ -24,7 +25,8 @@
         incarnations
     }
 
-    /// A life is in the log: marks those that it ends, or itself where a newer one is known.
+    /// Adds a committed incarnation. Marks the incarnations that it replaces as ended, or the
+    /// added one if a newer one is known.
     pub(super) fn meet(&mut self, key: IncarnationKey, jobs: &CellState) {
         let Some(incarnation) = jobs.incarnation(key) else { return };
         let mut newest = (key, incarnation);
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Lives that are not over, of the same name or at the same address.
+    /// Incarnations with the same name or address that have not ended.
     fn rivals(
         &self,
         key: IncarnationKey,
@@ -56,22 +58,22 @@
         rivals.filter(|rival| *rival != key && !self.over.contains(rival)).collect()
     }
 
-    /// The newest life of a runner.
+    /// The newest incarnation of a runner.
     pub(super) fn newest(&self, id: &str) -> Option<IncarnationKey> {
         self.by_id.get(id).copied()
     }
 
-    /// A runner has left.
+    /// Marks an incarnation as ended because its runner has left.
     pub(super) fn end(&mut self, key: IncarnationKey) {
         self.over.insert(key);
     }
 
-    /// Whether a life is over, though a late report of it may still come.
+    /// Whether an incarnation has ended; a delayed report of it may still arrive.
     pub(super) fn is_over(&self, key: IncarnationKey) -> bool {
         self.over.contains(&key)
     }
 
-    /// All that are.
+    /// All incarnations that have ended.
     pub(super) fn over(&self) -> impl Iterator<Item = IncarnationKey> {
         self.over.iter().copied()
     }
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's part: what is under way to the log, what waits for it, and time.
+//! State of the leader: commands that wait for the log, pending responses and timers.
 
 use super::account::Accounts;
 use super::advice::Advice;
@@ -22,31 +22,31 @@
     CellState, IncarnationKey, JobCommand, JobId, JobPhase, RunStart, TaskKey,
 };
 
-/// The present, on the clock of leases and on the wall.
+/// Current time on the clock of the leases and on the wall clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// On the clock that counts suspension.
+    /// Time on the clock that also runs while the VM is suspended.
     pub at: Moment,
-    /// Unix milliseconds; may jump.
+    /// Wall clock time in Unix milliseconds; may jump.
     pub unix_ms: u64,
 }
 
-/// Names one ask until it is answered.
+/// Correlates a request with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken(pub u64);
 
-/// What the leader is told at its start.
+/// Configuration of the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderConfig {
-    /// Lease on runs, the same in all processes.
+    /// Duration of a lease on runs; must be equal in all processes.
     pub lease: Duration,
-    /// How long the state of an ended job is remembered.
+    /// How long the state of an ended job is kept.
     pub job_retention: Duration,
-    /// How long a runner may wait between reports at most.
+    /// Longest interval between two reports of a runner.
     pub heartbeat: Duration,
-    /// Whether a start may come before its due time, and by how much.
+    /// How long before its due time a task may be started.
     pub early: Duration,
-    /// What it decides by.
+    /// Scheduling policy.
     pub policy: Policy,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// What to do with the outcome of a command.
+/// Action to take when a proposed command is committed.
 pub(super) enum OnCommit {
     Submitted { id: JobId, token: RequestToken },
     Cancelled { id: JobId, token: RequestToken },
@@ -73,19 +73,19 @@
     Nothing,
 }
 
-/// A heartbeat whose answer waits for the log.
+/// A heartbeat whose response waits for its commands to be committed.
 pub(super) struct PendingHeartbeat {
     pub(super) token: RequestToken,
     pub(super) incarnation: IncarnationKey,
     pub(super) commands: u32,
-    /// Ends up to this number are noted once the log has them.
+    /// Run ends up to this number are acknowledged once the commands are committed.
     pub(super) acked_through: u64,
     pub(super) since: Moment,
-    /// It was answered before the log had them all.
+    /// The heartbeat was answered before all of its commands were committed.
     pub(super) answered: bool,
 }
 
-/// Leads one job cell while its replica leads the log.
+/// Leader of one job cell, for as long as its replica leads the Raft log.
 pub struct Leader {
     pub(super) cfg: LeaderConfig,
     pub(super) term: u64,
@@ -97,9 +97,9 @@
     pub(super) ready: ReadyQueue,
     pub(super) interference: Interference,
     pub(super) loads: MarginForecasts<StepKey>,
-    /// Tasks whose start is under way to the log.
+    /// Tasks whose start is proposed but not committed.
     pub(super) starting: BTreeMap<TaskKey, RunStart>,
-    /// Runs whose end is under way to the log.
+    /// Runs whose end is proposed but not committed.
     pub(super) ending: BTreeSet<(TaskKey, u32)>,
     pub(super) heartbeats: BTreeMap<u64, PendingHeartbeat>,
     pub(super) next_heartbeat: u64,
@@ -111,19 +111,19 @@
     next_call: u64,
     pub(super) advice: Advice,
     pub(super) waves: Waves,
-    /// Runners on which no short work starts until then.
+    /// Runners on which no short tasks start, and until when.
     pub(super) kept_free: BTreeMap<IncarnationKey, KeptFree>,
-    /// Tasks that lag and may have a copy, as of the last ranking, the worst first.
+    /// Stragglers that may have a second copy, as of the last ranking, the slowest first.
     pub(super) laggards: Vec<TaskKey>,
     pub(super) suspects: Suspects,
-    /// Tasks that last and are to leave their runner or wait for another, as of the last
-    /// ranking and since.
+    /// Number of long-running tasks that must leave their runner or wait for another one.
+    /// Counted at each ranking and increased as runners report.
     pub(super) moving_out: u32,
-    /// Pools of which half is idle, as of the last ranking.
+    /// Pools with at least half of their CPU unreserved, as of the last ranking.
     pub(super) idle_pools: BTreeSet<Box<str>>,
-    /// Returns of machines that are under way to the log.
+    /// Ends of upkeep, by wave and machine, that are proposed but not committed.
     pub(super) noting: BTreeSet<(u64, Box<str>)>,
-    /// How this process names itself to the platform.
+    /// Name under which this process calls the platform.
     pub(super) cfg_name: Box<str>,
     pub(super) accounts: Accounts,
     pub(super) ranked: Moment,
@@ -133,7 +133,7 @@
 }
 
 impl Leader {
-    /// Takes over `jobs` in `term`, all earlier commands applied.
+    /// Starts to lead in `term` with the state `jobs`, to which all earlier commands are applied.
     ///
     /// ```
     /// use yuccalink_coordination::jobs::*;
@@ -191,48 +191,48 @@
         leader
     }
 
-    /// The state, for a replica that no longer leads. Whoever waits for an answer
-    /// is told nothing: what it asked may yet be decided.
+    /// Returns the replicated state when the replica no longer leads. Pending requests get
+    /// no response, because their commands may still be committed.
     pub fn into_state(self) -> CellState {
         self.state
     }
 
-    /// The state.
+    /// Replicated state of the cell.
     pub fn state(&self) -> &CellState {
         &self.state
     }
 
-    /// Counts since this leader began.
+    /// Counters since this leader took over.
     pub fn counts(&self) -> LeaderCounters {
         self.counts
     }
 
-    /// Runners that reported to this leader.
+    /// Number of runners that have reported to this leader.
     pub fn runners_len(&self) -> usize {
         self.runners.len()
     }
 
-    /// Steps with tasks that wait.
+    /// Number of steps with waiting tasks.
     pub fn waiting_len(&self) -> usize {
         self.ready.len()
     }
 
-    /// Answers since the last call.
+    /// Takes the responses since the last call of this function.
     pub fn take_answers(&mut self) -> Vec<(RequestToken, CellResponse)> {
         std::mem::take(&mut self.answers)
     }
 
-    /// How this process names itself where it orders something outside.
+    /// Sets the name under which this process calls external services.
     pub fn set_node_name(&mut self, name: &str) {
         self.cfg_name = name.into();
     }
 
-    /// Calls to services outside since the last call.
+    /// Takes the calls to external services since the last call of this function.
     pub fn take_calls(&mut self) -> Vec<(ExternalCallId, ExternalCall)> {
         std::mem::take(&mut self.calls)
     }
 
-    /// A service outside has answered.
+    /// Handles the reply of an external service.
     pub fn handle_external_reply(&mut self, now: Now, call: ExternalCallId, told: ExternalReply) {
         if !self.advice.told(call, &told) {
             self.machines_told(now, call, told);
@@ -246,7 +246,7 @@
         id
     }
 
-    /// Takes in one ask; its answer comes at once or after a commit.
+    /// Handles one request; its response is available at once or after a commit.
     pub fn handle_request(&mut self, now: Now, token: RequestToken, ask: CellRequest) {
         match ask {
             CellRequest::Heartbeat(report) => self.heartbeat(now, token, report),
@@ -260,8 +260,8 @@
 
     pub(super) fn meet_job(&mut self, id: JobId, now: Now) {
         let Some(job) = self.state.job(id) else { return };
-        // The wall clock may have jumped since; a job is never taken to be from
-        // the future, or older than any objective.
+        // The wall clock may have jumped since the submission. The age is limited to the
+        // range from 0 to the longest objective.
         const AGE_MAX_MS: u64 = 60_000;
         let age = now.unix_ms.saturating_sub(job.at_ms).min(AGE_MAX_MS);
         let came = now.at - Duration::from_millis(age);
@@ -269,7 +269,7 @@
         self.accounts.open(id, Duration::from_millis(age));
     }
 
-    /// Finds the steps of a job that have tasks to start.
+    /// Updates the steps of a job that have tasks to start in the ready queue.
     pub(super) fn refresh(&mut self, id: JobId, now: Moment) {
         let keys = match self.state.job(id) {
             Some(job) if job.phase == JobPhase::Active => startable(id, job),
@@ -279,7 +279,7 @@
     }
 }
 
-/// Steps of begun occurrences with tasks that neither run nor are done.
+/// Steps of begun occurrences with tasks that are neither assigned nor done.
 pub(super) fn startable(id: JobId, job: &yuccalink_state::jobs::Job) -> Vec<StepKey> {
     let mut keys = Vec::new();
     for (k, occurrence) in job.occurrences.iter().enumerate() {
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -1,30 +1,30 @@
-//! Runs that end with their runners: on what evidence they are given up, and what was seen
-//! of them before.
+//! Runs that end because their runner is lost: why they are given up, and the last evidence
+//! of them.
 
 use super::leader::{Leader, Now};
 use super::runner::Runner;
 use std::time::Duration;
 use yuccalink_state::jobs::{IncarnationKey, LossEvidence, RunEnd, RunOutcome, TaskKey};
 
-/// A run that its runner listed for this long is no cause of the runner's loss.
+/// A run that its runner listed for this long is not taken to be the cause of the loss.
 pub(super) const PROVEN_AFTER: Duration = Duration::from_secs(10);
 
-/// Why what a runner ran is taken to be over.
+/// Why the runs of a runner incarnation count as ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub(super) enum Why {
-    /// A later life of it, or another runner at its address, has reported.
+    /// A later incarnation of the runner, or another runner at its address, has reported.
     #[display("next-life")]
     NextLife,
-    /// Its lease has surely ended.
+    /// The lease of the runner has certainly expired.
     #[display("lease")]
     Lease,
-    /// It said that it leaves.
+    /// The runner reported that it leaves.
     #[display("left")]
     Left,
 }
 
 impl Leader {
-    /// Ends of all runs that may be running in a life that is over.
+    /// Collects the ends of all runs that may be running on an ended incarnation.
     pub(super) fn collect_lost(
         &self,
         now: Now,
@@ -33,7 +33,7 @@
         ends: &mut Vec<RunEnd>,
     ) {
         let runner = self.runners.get(&incarnation);
-        // What ends with a runner that leaves, or goes down for upkeep, ends by plan.
+        // Runs that end because their runner drains or goes down for upkeep are no crash.
         let leaves = runner.is_some_and(|runner| !runner.takes_tasks());
         for (task, run) in self.state.assigned_runs(incarnation) {
             if self.ending.contains(&(task, run)) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// What was seen of a run; nothing where it was surely never ordered.
+/// Last evidence of a run; `None` if the run was certainly never ordered.
 fn seen(runner: Option<&Runner>, task: TaskKey, run: u32) -> Option<LossEvidence> {
     let Some(runner) = runner else { return Some(LossEvidence::Nothing) };
     match runner.view(task, run) {
--- a/crates/coordination/src/jobs/messages.rs
+++ b/crates/coordination/src/jobs/messages.rs
@@ -1,4 +1,4 @@
-//! What callers, runners and operators ask of the leader, and its answers.
+//! Requests of callers, runners and operators to the leader, and its responses.
 
 use crate::raft::ReplicaId;
 use derive_more::Display;
@@ -8,29 +8,29 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, RunOutcome, TaskKey, Wave};
 
-/// Where a caller's request goes: the host that it names, and the path up to the
+/// The queue that a caller's request is for, as the host and the path in front of the
 /// job's number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueAddress {
-    /// As the caller wrote it, without a port.
+    /// Host as the caller wrote it, without a port.
     pub host: Box<str>,
-    /// With the slash at its end.
+    /// Path including the final slash.
     pub path: Box<str>,
 }
 
-/// What is asked of the leader. Each may be sent again, with the same effect.
+/// A request to the leader. Each is idempotent, so it may be sent again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CellRequest {
     /// Add a job.
     Submit {
         /// Its queue.
         at: QueueAddress,
-        /// Its number.
+        /// Job number.
         id: JobId,
-        /// What to do.
+        /// Description of the job.
         spec: Arc<JobSpec>,
     },
-    /// How far is a job?
+    /// Read the state of a job.
     State {
         /// Its queue.
         at: QueueAddress,
@@ -44,33 +44,33 @@
         /// Its number.
         id: JobId,
     },
-    /// How many jobs of a queue have not begun?
+    /// Count the jobs of a queue that have not begun.
     Pending {
         /// The queue.
         at: QueueAddress,
     },
-    /// A request that no interface knows: is there a queue at all?
+    /// A request that no interface knows. The response says whether its queue exists.
     Other {
-        /// Where it goes.
+        /// Address that the request names.
         at: QueueAddress,
     },
-    /// A runner reports.
+    /// Heartbeat of a runner.
     Heartbeat(Box<RunnerReport>),
-    /// A runner has left.
+    /// A runner leaves the cell.
     Leave {
-        /// Its name.
+        /// Runner's name.
         runner: Box<str>,
-        /// When its life began, where it says so.
+        /// Start of the runner incarnation, if the runner sent it.
         #[serde(rename = "born_ms")]
         started_ms: Option<u64>,
     },
-    /// Put a change set in force.
+    /// Apply a change set.
     Change(Arc<ChangeSet>),
-    /// The text of the change set in force.
+    /// Read the text of the change set in force.
     Document,
-    /// Take machines down for upkeep.
+    /// Start an upkeep wave, which takes machines down for maintenance.
     WaveStart(Wave),
-    /// How far is a wave?
+    /// Read the progress of an upkeep wave.
     WaveState(u64),
 }
 
@@ -78,77 +78,77 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunnerState {
-    /// It does.
+    /// The runner takes new tasks.
     #[default]
     #[display("ready")]
     Ready,
-    /// It finishes what it has and leaves.
+    /// The runner finishes its runs and then leaves.
     #[display("draining")]
     Draining,
 }
 
-/// What a runner says of itself.
+/// Report of a runner in a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RunnerReport {
-    /// Its name.
+    /// Runner's name.
     pub runner: Box<str>,
-    /// When its life began, in Unix milliseconds by its own clock.
+    /// Start of this runner incarnation, in Unix milliseconds by the runner's clock.
     #[serde(rename = "born-ms")]
     pub started_ms: u64,
-    /// Higher with each report of this life.
+    /// Sequence number, which rises with each report of this runner incarnation.
     pub sequence: u64,
-    /// Its pool.
+    /// Name of the runner's pool.
     pub pool: Box<str>,
-    /// Where it listens.
+    /// Address at which the runner listens.
     pub address: Box<str>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Box<str>,
-    /// Whether it takes new tasks.
+    /// Whether the runner takes new tasks.
     pub state: RunnerState,
-    /// How much longer it stays at least, while it drains, in milliseconds.
+    /// Minimum time until a draining runner leaves, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// All that it has.
+    /// Total capacity.
     pub capacity: Resources,
-    /// Its kind, its rack, and whatever else.
+    /// Labels, such as the runner's kind and its rack.
     pub labels: Vec<Box<str>>,
-    /// Its rack.
+    /// Name of the rack.
     pub rack: Box<str>,
-    /// What runs.
+    /// Runs that are active.
     pub running: Vec<ReportedRun>,
-    /// What ended and was not yet noted.
+    /// Runs that ended and that the leader has not acknowledged yet.
     pub finished: Vec<FinishedRun>,
 }
 
-/// A run under way.
+/// A run that a runner reports as active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ReportedRun {
-    /// Whose.
+    /// Task of the run.
     pub task: TaskKey,
-    /// Which.
+    /// Number of the run among the task's runs.
     pub run: u32,
     /// The newest checkpoint, empty for none.
     #[serde(rename = "saved")]
     pub checkpoint: Box<str>,
-    /// How far it is; 100 for a long-running task at work.
+    /// Progress in percent; 100 for a long-running task that works.
     pub percent: u8,
-    /// A tail in milliseconds for a task with a target, else processors in use.
+    /// Tail latency in milliseconds for a task with a tail bound, otherwise the CPU in use.
     #[serde(rename = "gauge")]
     pub usage_or_tail: Option<u64>,
 }
 
-/// The end of a run, as its runner lists it.
+/// A run that a runner reports as ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct FinishedRun {
-    /// From 1 on in each life.
+    /// Number of this end, counted from 1 in each runner incarnation.
     pub number: u64,
-    /// Whose, where the name is one of ours.
+    /// Task of the run, or `None` if the reported name is no task of this cell.
     pub task: Option<TaskKey>,
-    /// Which run.
+    /// Number of the run among the task's runs.
     pub run: u32,
-    /// How.
+    /// How the run ended.
     #[serde(rename = "how")]
     pub outcome: RunOutcome,
     /// The newest checkpoint, empty for none.
@@ -156,7 +156,7 @@
     pub checkpoint: Box<str>,
 }
 
-/// How far a job is, as its caller is told.
+/// State of a job as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
@@ -166,108 +166,107 @@
     /// A task has started.
     #[display("running")]
     Running,
-    /// All tasks are done.
+    /// All tasks have finished.
     #[display("completed")]
     Completed,
     /// A task failed too often.
     #[display("failed")]
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     #[display("cancelled")]
     Cancelled,
 }
 
-/// A run to start.
+/// Order to a runner to start a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StartOrder {
-    /// Whose.
+    /// Task of the run.
     pub task: TaskKey,
-    /// Which.
+    /// Number of the run among the task's runs.
     pub run: u32,
     /// The job's payload.
     pub payload: Arc<str>,
     /// The checkpoint to resume from, empty for none.
     #[serde(rename = "saved")]
     pub checkpoint: Box<str>,
-    /// Of the outside policy, where the queue has one.
+    /// Ticket of the external placement policy, if the queue has one.
     pub ticket: Option<Box<str>>,
 }
 
-/// What a runner is to do; without a lease it keeps what it has and starts nothing.
+/// Orders for a runner. Without a lease the runner keeps its runs and starts none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RunnerOrders {
-    /// Lease on all that runs, counted from when the report was sent; 0 for none.
+    /// Lease on all of its runs, in milliseconds from the sending of the report; 0 for none.
     pub lease_ms: u64,
-    /// Orders with a lower one are of an earlier leader.
+    /// Fencing token. Orders with a lower one come from an earlier leader.
     pub token: u64,
-    /// Ends up to this number are noted for good.
+    /// Run ends up to this number are committed and need not be reported again.
     #[serde(rename = "noted")]
     pub acked_through: u64,
     /// Runs to start.
     pub start: Vec<StartOrder>,
     /// Runs to stop.
     pub stop: Vec<(TaskKey, u32)>,
-    /// Shares in percent at which runs are to work.
+    /// Pace of each listed run, as a percentage of full speed.
     pub rates: Vec<(TaskKey, u32, u8)>,
-    /// When to report again.
+    /// Delay in milliseconds until the next report.
     pub retry_after_ms: u64,
-    /// Where to report from now on; set by the process that answers the runner.
+    /// Address for the reports from now on; set by the process that answers the runner.
     pub report_to: Option<SocketAddr>,
 }
 
-/// What the leader answers.
+/// Response of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CellResponse {
     /// The job is stored.
     Accepted,
-    /// How far the job is.
+    /// State of the job.
     State(JobState),
-    /// No such job.
+    /// There is no such job.
     Gone,
-    /// No such queue.
+    /// There is no such queue.
     NoQueue,
-    /// The queue is there, the request is not one that it takes.
+    /// The queue exists but does not accept this kind of request.
     NotTaken,
-    /// Jobs of the queue that have not begun.
+    /// Number of jobs in the queue that have not begun.
     Pending(u64),
-    /// Too much to do: not run. Come back after this many milliseconds.
+    /// The leader is overloaded and did not execute the request.
     Refused {
-        /// When.
+        /// Delay until the caller may retry, in milliseconds.
         after_ms: u64,
     },
-    /// No answer can be given now, and nothing was done. Come back after this
-    /// many milliseconds.
+    /// The leader cannot serve the request yet and did not execute it.
     NotServing {
-        /// When.
+        /// Delay until the caller may retry, in milliseconds.
         after_ms: u64,
     },
-    /// It may or may not have been done; ask again with the same number.
+    /// The request may or may not have been executed; retry with the same job number.
     Unknown,
-    /// What a runner is to do.
+    /// Orders for a runner.
     Orders(Box<RunnerOrders>),
-    /// Whether a wave is done.
+    /// Progress of an upkeep wave.
     Wave {
-        /// All its machines are up again.
+        /// Whether all machines of the wave are up again.
         done: bool,
     },
-    /// Done.
+    /// The request was executed.
     Ok,
     /// The text of the change set in force.
     Document(Arc<[u8]>),
-    /// What is wrong with the request, and the remedy.
+    /// The request is invalid; says what is wrong and how to correct it.
     Invalid(Box<str>),
-    /// The process that was asked does not lead.
+    /// The process that received the request is not the leader.
     NotLeader {
-        /// Who does, as far as it knows.
+        /// Current leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Too large to be passed on between processes: ask the leader itself.
+    /// The request is too large to be forwarded; send it to the leader directly.
     AskLeader {
-        /// Where runners and operators reach it.
+        /// Leader's address for runners and operators.
         control: SocketAddr,
     },
-    /// The job has failed; why, in words.
+    /// The job has failed, with the reason as text.
     Failed(Box<str>),
 }
--- a/crates/coordination/src/jobs/requests.rs
+++ b/crates/coordination/src/jobs/requests.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask.
+//! Handling of requests from callers and operators.
 
 use super::leader::{Leader, Now, OnCommit, RequestToken};
 use super::messages::{CellRequest, CellResponse, JobState, QueueAddress};
@@ -7,8 +7,8 @@
     ChangeSet, Job, JobCommand, JobId, JobPhase, JobSpec, JobSubmission, Queue,
 };
 
-/// When to come back to a leader that has no change set yet, in milliseconds: it
-/// comes before traffic begins.
+/// Retry delay, in milliseconds, while the cell has no change set. Operators apply one
+/// before traffic begins.
 const NO_CHANGE_YET_MS: u64 = 1_000;
 
 impl Leader {
@@ -36,7 +36,7 @@
                 Some(wave) => CellResponse::Wave { done: wave.is_done() },
                 None => CellResponse::Gone,
             }),
-            // Taken in by the caller of this function.
+            // Handled in `Leader::handle_request`, which calls this function.
             CellRequest::Heartbeat(_) => None,
         };
         if let Some(answer) = answer {
@@ -98,7 +98,7 @@
             return Some(CellResponse::NoQueue);
         };
         if self.state.job(id).is_some() {
-            // A resend; the first answer may have been lost.
+            // The caller sent the job again; the first response may have been lost.
             return Some(CellResponse::Accepted);
         }
         if let Err(bad) = spec.check() {
@@ -164,8 +164,8 @@
             return Some(CellResponse::Invalid(bad.to_string().into()));
         }
         let version = change.version;
-        // An equal or lower one is acknowledged and changes nothing; the highest
-        // is already agreed on.
+        // An equal or lower version is acknowledged and changes nothing, because the highest
+        // version is already committed.
         if let Some(current) = self.state.change_set()
             && current.version >= version
         {
--- a/crates/coordination/src/jobs/routes.rs
+++ b/crates/coordination/src/jobs/routes.rs
@@ -1,14 +1,14 @@
-//! Queues of the change set in force, found without a scan: there may be thousands,
-//! and every request and every waiting step asks for one.
+//! Index of the queues of the change set in force. There may be thousands of queues, and
+//! every request and every waiting step looks one up, so that a scan would be too slow.
 
 use std::collections::HashMap;
 use yuccalink_state::jobs::{ChangeSet, Queue};
 
-/// An index of one change set.
+/// Index of the queues of one change set.
 #[derive(Debug, Default)]
 pub(super) struct Routes {
     by_name: HashMap<Box<str>, Queue>,
-    /// Names of a host's queues, the longest prefix first.
+    /// Queues of each host, sorted by the length of their prefix, the longest first.
     by_host: HashMap<Box<str>, Vec<Route>>,
     in_force: bool,
 }
@@ -33,7 +33,7 @@
         routes
     }
 
-    /// Whether there is a change set at all.
+    /// Whether a change set is in force.
     pub(super) fn in_force(&self) -> bool {
         self.in_force
     }
@@ -43,7 +43,7 @@
         self.by_name.get(name)
     }
 
-    /// The queue for a path, the one with the longest matching prefix.
+    /// The queue of a host with the longest prefix that matches the path.
     pub(super) fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         let routes = self.by_host.get(host)?;
         let found = routes.iter().find(|route| path.starts_with(&*route.prefix))?;
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -1,5 +1,5 @@
-//! What a leader knows of one life of a runner: its last report, its lease, and
-//! how well its runs end.
+//! State of one runner incarnation as the leader knows it: the last report, the lease, and
+//! how the runs end.
 
 use super::interference::ImageKey;
 use super::messages::{ReportedRun, RunnerReport, RunnerState};
@@ -11,39 +11,39 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
-/// How slow a runner's steady clock may be, in percent, as the platform says.
+/// How much too slow a runner's monotonic clock may be, in percent; the platform's bound.
 const RUNNER_CLOCK_SLOW_PERCENT: u32 = 2;
-/// How slow this VM's clock may be against true time, in percent; see
+/// How much too slow this VM's clock may be, in percent; see
 /// [`crate::moment::DRIFT_PPM`].
 const OWN_CLOCK_SLOW_PERCENT: u32 = 1;
-/// Added to every lease where it is counted as ended: the runner may look at its
-/// clock this much late.
+/// Added to a lease before it counts as expired, because the runner may read its clock this
+/// much too late.
 const LEASE_SLACK: Duration = Duration::from_millis(100);
-/// An order that is older is dropped by the runner: a second, and some slack for the two
+/// Age after which a runner certainly drops an order: one second, plus slack for the two
 /// clocks.
 const ORDER_LIFE: Duration = Duration::from_millis(1_100);
-/// A runner heard within this time is expected to report again soon.
+/// A runner whose last report is more recent than this is expected to report again soon.
 const HEARD_LATELY: Duration = Duration::from_millis(1_500);
 
-/// Runners whose runs end badly get less work.
+/// Runners whose runs fail or stall get fewer tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DistrustPolicy {
-    /// Whether they do.
+    /// Whether such runners get fewer tasks.
     pub mode: Switch,
-    /// Bad ends in a row after which a runner is set aside. One is common: two to five
-    /// tasks in a hundred fail by their own fault.
+    /// Consecutive failed or stalled runs after which a runner is quarantined. A single one is
+    /// common: two to five tasks in a hundred fail by their own fault.
     pub bad_ends_max: u32,
-    /// How long a runner that is set aside gets nothing new.
+    /// How long a quarantined runner gets no new tasks.
     #[serde(rename = "quarantine-ms")]
     pub quarantine: Millis,
-    /// After this long without a bad end a runner is trusted as before: the longest of
-    /// the usual faults is over by then.
+    /// A runner is fully trusted again after this long without a failed or stalled run. The
+    /// longest of the usual faults is over by then.
     #[serde(rename = "forgiven-ms")]
     pub forgiven: Millis,
-    /// A run whose figure has not moved for this long stands still. Heartbeats come at
-    /// least once a second and a long run moves by a percent in much less, so two
-    /// heartbeats without a move are no coincidence.
+    /// A run whose progress has not changed for this long is stalled. Heartbeats come at least
+    /// once a second, and a long run advances by a percent in much less, so two heartbeats
+    /// without progress are no coincidence.
     #[serde(rename = "standing-ms")]
     pub standing: Millis,
 }
@@ -60,29 +60,29 @@
     }
 }
 
-/// Bound on when a lease of `span`, granted now, has ended on the runner's clock.
+/// Time after which a lease of `span`, granted now, has expired on the runner's clock too.
 pub fn lease_expiry_bound(span: Duration) -> Duration {
     span + span * (RUNNER_CLOCK_SLOW_PERCENT + OWN_CLOCK_SLOW_PERCENT) / 100 + LEASE_SLACK
 }
 
-/// How the runs on a runner ended lately.
+/// How the recent runs on a runner ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
-    /// Failed or standing runs since the last one that was done.
+    /// Failed or stalled runs since the last successful run.
     bad: u32,
     last_bad: Moment,
 }
 
-/// What may be started on a runner, by its health.
+/// Which tasks may start on a runner, by its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Trust {
-    /// Anything.
+    /// All tasks.
     Full,
-    /// Only tasks that may fail and be tried again.
+    /// Only tasks that may fail once more and be retried.
     SecondTryOnly,
-    /// One such task, to find out.
+    /// One task that may fail once more, to probe the runner.
     Probe,
-    /// Nothing.
+    /// No tasks.
     None,
 }
 
@@ -97,8 +97,8 @@
     }
 
     pub(super) fn trust(self, now: Moment, policy: &DistrustPolicy) -> Trust {
-        // Without a limit in time, a task's last try would wait for ever where every
-        // runner had a bad end and nothing else is left to run that could end well.
+        // Without a time limit, a task's last attempt would wait for ever if every runner had a
+        // failed run and no other task is left whose success could restore the trust.
         let forgiven = now.since(self.last_bad) > policy.forgiven.to_duration();
         if self.bad == 0 || forgiven || policy.mode == Switch::Off {
             return Trust::Full;
@@ -113,7 +113,7 @@
     }
 }
 
-/// One run as its runner reported it.
+/// One run as its runner last reported it.
 #[derive(Clone, Debug)]
 pub(super) struct RunView {
     pub(super) run: u32,
@@ -121,17 +121,17 @@
     pub(super) percent: u8,
     pub(super) gauge: Option<u64>,
     pub(super) first_seen: Moment,
-    /// How long it has been listed.
+    /// How long the runner has listed the run.
     pub(super) age: Duration,
     pub(super) moved: Moment,
-    /// It is to be stopped; said again with each heartbeat until it is gone.
+    /// The run must stop; the order is repeated with each heartbeat until the run is gone.
     pub(super) stopping: bool,
-    /// The share at which it works, in percent, as far as this leader knows.
+    /// Pace of the run in percent of full speed; `None` if this leader does not know it.
     pub(super) rate: Option<u8>,
 }
 
 impl RunView {
-    /// About how long it still runs: by how far it has come, else by the guess.
+    /// Remaining run time, from the progress, or from the estimate if there is no progress.
     pub(super) fn time_left(&self, now: Moment, estimate_ms: u64) -> Duration {
         let ran = now.since(self.first_seen);
         let left = u32::from(100 - self.percent.min(100));
@@ -146,7 +146,7 @@
     }
 }
 
-/// A life of a runner that has reported to this leader.
+/// A runner incarnation that has reported to this leader.
 #[derive(Debug)]
 pub(super) struct Runner {
     pub(super) key: IncarnationKey,
@@ -156,33 +156,34 @@
     pub(super) labels: Vec<Box<str>>,
     pub(super) capacity: Resources,
     pub(super) state: RunnerState,
-    /// Its machine is to go down for upkeep.
+    /// The machine of the runner will go down for upkeep.
     pub(super) closing: bool,
     pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
     pub(super) last_report_at: Moment,
-    /// All leases that this leader granted have surely ended by then.
+    /// Time at which all leases that this leader granted have certainly expired.
     pub(super) lease_end: Moment,
-    /// Ends up to this one are in the log.
+    /// Run ends up to this number are committed.
     pub(super) acked_through: u64,
-    /// Ends up to this one are proposed.
+    /// Run ends up to this number are proposed.
     pub(super) proposed: u64,
     pub(super) running: BTreeMap<TaskKey, RunView>,
-    /// When runs were last ordered to start that it has not listed yet.
+    /// Runs that were ordered to start, and when the order was last sent.
     pub(super) ordered: BTreeMap<(TaskKey, u32), Moment>,
-    /// Runs that it has no room for any more, and since when they were not ordered.
+    /// Assigned runs that the runner has no capacity for any more, and since when they are
+    /// not ordered.
     withheld: BTreeMap<(TaskKey, u32), Moment>,
     pub(super) health: Health,
     pub(super) free: Resources,
-    /// Processors committed to tasks that last, in thousandths.
+    /// CPU reserved for long-running tasks, in millicores.
     pub(super) lasting_millicores: u64,
-    /// The image that serves there, where it is only one.
+    /// Image of the serving tasks on the runner, if there is only one such image.
     pub(super) serves: Option<ImageKey>,
-    /// Share at which tasks of an image that disturbs work, in percent; 100 for
-    /// those not named.
+    /// Pace of the background tasks of an image, in percent of full speed; 100 for images
+    /// that are not listed.
     pub(super) paces: BTreeMap<ImageKey, u8>,
     pub(super) paced_at: Moment,
-    /// Since when some task that serves there is over its bound.
+    /// Since when a serving task on the runner has exceeded its bound.
     pub(super) over_since: Option<Moment>,
 }
 
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Takes a newer report in.
+    /// Applies a newer report.
     pub(super) fn update(&mut self, report: &RunnerReport, now: Moment) {
         self.pool.clone_from(&report.pool);
         self.capacity = report.capacity;
@@ -229,7 +230,7 @@
                 report.remaining_ms.map(|ms| now + Duration::from_millis(ms)).or(self.terminates_at)
             }
         };
-        // What runs in a life's first report to this leader was started by another.
+        // Runs in an incarnation's first report to this leader were started by an earlier one.
         let known = self.sequence > 0;
         let mut former = std::mem::take(&mut self.running);
         for run in &report.running {
@@ -239,7 +240,7 @@
         self.sequence = report.sequence;
     }
 
-    /// Notes that runs were ordered to start.
+    /// Records when runs were ordered to start.
     pub(super) fn note_orders<I>(&mut self, runs: I, now: Moment)
     where
         I: Iterator<Item = (TaskKey, u32)>,
@@ -248,7 +249,7 @@
         self.ordered.extend(runs.map(|run| (run, now)));
     }
 
-    /// Notes runs that are not ordered, since there is no room for them.
+    /// Records the runs that are not ordered because the runner has no capacity for them.
     pub(super) fn withhold(&mut self, runs: BTreeSet<(TaskKey, u32)>, now: Moment) {
         self.withheld.retain(|run, _| runs.contains(run));
         for (task, run) in runs {
@@ -259,9 +260,9 @@
         }
     }
 
-    /// Whether a run was not ordered for so long that it surely does not run there. A report
-    /// may be late: only once the lease of an earlier one has ended does it not matter that
-    /// a run is not listed.
+    /// Whether a run has not been ordered for so long that it certainly does not run here. A
+    /// delayed report may lack the run, so the lease of an earlier report must have expired as
+    /// well.
     pub(super) fn is_withheld(
         &self,
         task: TaskKey,
@@ -278,22 +279,22 @@
         self.ordered.get(&(task, run)).is_some_and(|at| now.since(*at) < ORDER_LIFE)
     }
 
-    /// Whether it can be given new tasks at all.
+    /// Whether the runner can be given new tasks at all.
     pub(super) fn takes_tasks(&self) -> bool {
         self.state == RunnerState::Ready && !self.closing
     }
 
-    /// Whether it reported lately, and so is expected to report again soon.
+    /// Whether the runner reported recently, so that its next report is expected soon.
     pub(super) fn reported_recently(&self, now: Moment) -> bool {
         now.since(self.last_report_at) < HEARD_LATELY
     }
 
-    /// One of its runs, as it last listed it.
+    /// A run as the runner last reported it, if it did.
     pub(super) fn view(&self, task: TaskKey, run: u32) -> Option<&RunView> {
         self.running.get(&task).filter(|view| view.run == run)
     }
 
-    /// Whether it carries a label.
+    /// Whether the runner has a label.
     pub(super) fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| &**own == label)
     }
@@ -315,7 +316,7 @@
         first_seen,
         moved,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
-        // A new leader does not know what the former one has ordered.
+        // A new leader does not know which pace the former one ordered.
         rate: same.as_ref().map_or(fresh.then_some(100), |view| view.rate),
     }
 }
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -1,10 +1,11 @@
-//! Tasks under which runners were lost are tried alone until they are cleared or given up.
+//! Trials of suspects: tasks whose runners were lost start alone until they are cleared or
+//! given up.
 //!
-//! The pattern answered here: a task crashes each runner that starts it, within
-//! milliseconds, and the runner is back after some seconds; runners crash by themselves too,
-//! and all that ran there is lost with them. Evidence comes late, with the runner's next
-//! life. A suspect starts where little would be lost, nothing else starts there until the
-//! runner has listed it, and only so many are tried at once.
+//! This handles tasks that crash each runner that starts them, within milliseconds; the runner
+//! is back after some seconds. Runners also crash on their own, and then all of their runs are
+//! lost. The evidence comes late, with the next incarnation of the runner. A suspect starts on
+//! a runner where little would be lost, no other task starts there until the runner has listed
+//! it, and the number of concurrent trials is limited.
 
 use super::leader::{Leader, Now, OnCommit};
 use super::lost::PROVEN_AFTER;
@@ -22,30 +23,33 @@
     IncarnationKey, JobCommand, JobId, Loss, LossEvidence, RunStart, RunnerFate, Task, TaskKey,
 };
 
-/// Tasks of one job that are tried at once, while at most one runner crashed at the start of
-/// its tasks.
+/// Concurrent trials of one job while at most one runner has crashed at the start of its
+/// tasks.
 const TRIED_OF_JOB_MAX: usize = 3;
-/// Runners that may be trying a suspect in a pool of any size.
+/// Concurrent trials that are always allowed, however few runners there are.
 const TRIED_MIN: usize = 2;
 
-/// Tasks under which runners were lost are tried alone.
+/// How tasks whose runners were lost are tried alone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SuspectsPolicy {
-    /// Whether they are; otherwise they start as all others, until they are given up.
+    /// Whether suspects are tried alone. Otherwise they start like all other tasks until they
+    /// are given up.
     pub mode: Switch,
-    /// How long a task that has lost several runners waits for news of the last ones.
+    /// How long a task that has lost several runners waits to learn whether they crashed.
     #[serde(rename = "news-ms")]
     pub news: Millis,
-    /// One runner in this many may be trying a suspect, and always two.
+    /// One runner in this many may try a suspect at a time; two always may.
     pub one_in: usize,
-    /// How long a suspect waits for a runner with nothing on it.
+    /// How long a suspect waits for an empty runner. Then a runner without long-running tasks
+    /// is enough.
     #[serde(rename = "empty-ms")]
     pub empty: Millis,
-    /// How long for one without tasks that last.
+    /// How long a suspect waits for a runner without long-running tasks. Then any runner is
+    /// enough.
     #[serde(rename = "not-lasting-ms")]
     pub not_lasting: Millis,
-    /// How long one that the next crash would end waits for a runner with nothing on it.
+    /// How long a task that would be given up after its next crash waits for an empty runner.
     #[serde(rename = "last-try-ms")]
     pub last_try: Millis,
 }
@@ -63,45 +67,45 @@
     }
 }
 
-/// How a task may be started, by the runners lost under it.
+/// How a task may start, given the runners that were lost during its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CrashSuspicion {
-    /// As any other.
+    /// The task starts like any other.
     Clear,
-    /// Alone.
+    /// The task starts alone.
     Suspect,
-    /// Not before there is news of the runners.
+    /// The task waits until it is known whether its runners crashed.
     HeldBack,
 }
 
-/// Suspects that wait, and how many may be tried, as of the last ranking.
+/// Waiting suspects and the number of trials that may start, as of the last ranking.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
-    /// In the order in which they are tried.
+    /// Waiting suspects, in the order in which they are tried.
     waiting: Vec<TaskKey>,
-    /// When each first waited.
+    /// Since when each suspect has waited.
     since: BTreeMap<TaskKey, Moment>,
-    /// How many more may be tried at once,
+    /// Number of further trials that may start.
     left: usize,
-    /// and how many of each job.
+    /// Number of further trials that may start for each job.
     left_of_job: BTreeMap<JobId, usize>,
-    /// Lives that were lost and report again, since when.
+    /// Incarnations that were lost and report again, and since when.
     reporting: BTreeMap<IncarnationKey, Moment>,
 }
 
-/// A suspect that waits, in the order in which suspects are tried.
+/// A waiting suspect; sorts in the order in which suspects are tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitingSuspect {
-    /// Runners that crashed right after the order to start a task of its job.
+    /// Number of runners that crashed right after the order to start a task of the job.
     crashed_of_job: usize,
     job: JobId,
-    /// Runners lost under it.
+    /// Number of runners lost during runs of the task.
     losses: Reverse<usize>,
     task: TaskKey,
 }
 
 impl Leader {
-    /// How a task may be started.
+    /// How a task may start.
     pub(super) fn standing(&self, now: Now, task: TaskKey) -> CrashSuspicion {
         let losses = self.state.losses();
         if losses.is_empty() {
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Whether news of a lost runner may still come.
+    /// Whether the fate of a lost runner is unknown and may still become known.
     fn may_be_heard(&self, now: Now, loss: &Loss) -> bool {
         let wait = u64::from(self.cfg.policy.suspects.news.0);
         // The wall clock may have been set back since.
@@ -129,8 +133,8 @@
         loss.fate == RunnerFate::Unknown && age.is_some_and(|age| age < wait)
     }
 
-    /// Whether several runners crashed at the start of tasks of a step, and none of its tasks
-    /// has ever worked.
+    /// Whether at least two runners crashed at the start of tasks of a step, and none of its
+    /// tasks is running or done.
     fn has_suspect_step(&self, task: TaskKey) -> bool {
         let group = StepKey::of(task);
         if self.lives_lost_at_start(group.job, Some(group)).len() < 2 {
@@ -146,7 +150,7 @@
         step.is_some_and(|step| !step.tasks.iter().enumerate().any(works))
     }
 
-    /// Whether some runner lists a task.
+    /// Whether a runner lists a task as running.
     fn is_listed(&self, task: TaskKey, state: &Task) -> bool {
         let mut runners = state
             .assignments
@@ -155,7 +159,8 @@
         runners.any(|runner| runner.running.contains_key(&task))
     }
 
-    /// Runners that crashed right after the order to start a task of a job, or of a step.
+    /// Incarnations that crashed right after the order to start a task of a job, or of one of
+    /// its steps.
     fn lives_lost_at_start(&self, job: JobId, group: Option<StepKey>) -> BTreeSet<IncarnationKey> {
         let of_group = |task: TaskKey| group.is_none_or(|group| StepKey::of(task) == group);
         let losses = self.state.losses().of_job(job).filter(|(task, _)| of_group(*task));
@@ -165,9 +170,9 @@
         at_start.map(|loss| loss.incarnation).collect()
     }
 
-    /// Finds the suspects that wait. Jobs under which the fewest runners crashed come first,
-    /// since most of them are innocent; of a job's tasks that which lost the most, since it
-    /// tells soonest whether the job is to be given up.
+    /// Updates the waiting suspects. Jobs with the fewest crashed runners come first, because
+    /// most of them did not cause the crash. Within a job, the task that lost the most runners
+    /// comes first, because its trial shows soonest whether the job must be given up.
     pub(super) fn find_suspects(&mut self, now: Now) {
         self.suspects.waiting.clear();
         self.suspects
@@ -204,18 +209,18 @@
     fn trials_of_job(&self, job: JobId, crashed: usize) -> usize {
         match crashed {
             0 | 1 => TRIED_OF_JOB_MAX,
-            // Each one that has survived its start speaks for the others.
+            // Each task that has survived its start makes it less likely that the others crash.
             _ => 1 + 2 * self.survivors_of(job),
         }
     }
 
-    /// Tasks of a job under which runners were lost and that work now.
+    /// Number of tasks of a job that lost runners and are running now.
     fn survivors_of(&self, job: JobId) -> usize {
         let works = |task| self.state.task(task).is_some_and(|state| self.is_listed(task, state));
         self.state.losses().of_job(job).filter(|(task, _)| works(*task)).count()
     }
 
-    /// All suspects that wait, in no order.
+    /// All waiting suspects, unsorted.
     fn waiting_suspects(&self, now: Now) -> Vec<WaitingSuspect> {
         let mut jobs: Vec<JobId> = self.state.losses().tasks().map(|(task, _)| task.job).collect();
         jobs.dedup();
@@ -247,8 +252,8 @@
         found
     }
 
-    /// Whether a second copy of a task may start: one that crashes its runners would crash two
-    /// more at once.
+    /// Whether a second copy of a task may start. A task that crashes its runners would crash
+    /// two at once.
     pub(super) fn may_have_copy(&self, task: TaskKey) -> bool {
         match self.state.losses().of(task) {
             [] => true,
@@ -257,19 +262,20 @@
         }
     }
 
-    /// Whether one more crash would be the last: what else runs beside it must not decide.
+    /// Whether the task is given up after one more crash. Such a crash must not be the fault of
+    /// a colocated task.
     fn is_last_try(&self, task: TaskKey) -> bool {
         self.state.losses().crashes(task).reach_bound_with(1)
     }
 
-    /// Whether a step's job has tasks that may not start beside others.
+    /// Whether a step's job has tasks that may not start like others because of lost runners.
     pub(super) fn has_suspect(&self, now: Now, group: StepKey) -> bool {
         let mut lost = self.state.losses().of_job(group.job);
         lost.any(|(task, _)| self.standing(now, task) != CrashSuspicion::Clear)
     }
 
-    /// The suspect that a runner was told to start and has not listed yet, or not for long
-    /// enough to clear it on its last try.
+    /// The suspect in a trial on a runner: it was ordered and the runner has not listed it yet,
+    /// or it is on its last attempt and not listed for long enough to be cleared.
     pub(super) fn trial_on(&self, now: Now, runner: &Runner) -> Option<TaskKey> {
         if self.state.losses().is_empty() {
             return None;
@@ -286,7 +292,7 @@
         held.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
     }
 
-    /// Starts a suspect on a runner that has reported, if one may be tried there.
+    /// Chooses a suspect to start on the reporting runner, if one may be tried there.
     pub(super) fn pick_suspect(&mut self, now: Now, key: IncarnationKey, chosen: &mut Chosen) {
         let Some(runner) = self.runners.get(&key) else { return };
         let trust = self.trust(now, runner);
@@ -352,8 +358,9 @@
         Some(RunStart { task, run, incarnation: runner.key })
     }
 
-    /// A runner whose runs were given up reports again: what it lost is no crash, once its
-    /// reports have come for a lease's time. A single one may have been sent before a crash.
+    /// Handles a report of a runner whose runs were given up. Once such reports have come for
+    /// the duration of a lease, the losses are no crash. A single report may have been sent
+    /// before a crash.
     pub(super) fn revive(&mut self, now: Now, key: IncarnationKey) {
         if !self.state.losses().has_unknown(key) {
             return;
@@ -361,18 +368,19 @@
         let since = *self.suspects.reporting.entry(key).or_insert(now.at);
         if now.at.since(since) > lease_expiry_bound(self.cfg.lease) {
             log::info!("{key} reports again: its losses are no crash");
-            // Asked for again only if this one is lost.
+            // Restarts the wait, so that the command is proposed again only if this one is lost.
             self.suspects.reporting.insert(key, now.at);
             self.propose(JobCommand::Alive(key), OnCommit::Nothing);
         }
     }
 
-    /// That is in the log.
+    /// The command that clears an incarnation of its crash is committed.
     pub(super) fn revived(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
-    /// Says what became of tasks whose runners are now known to have crashed.
+    /// Logs the verdict on tasks whose lost runners were in `were_unknown` and whose fate is
+    /// known now.
     pub(super) fn log_fates(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
         if were_unknown.is_empty() {
             return;
@@ -387,7 +395,7 @@
         }
     }
 
-    /// Says what the loss of a runner means for a task.
+    /// Logs the verdict on a task that has lost runners.
     pub(super) fn log_standing(&self, now: Now, task: TaskKey) {
         let losses = self.state.losses();
         let own = losses.of(task);
--- a/crates/coordination/src/jobs/telemetry.rs
+++ b/crates/coordination/src/jobs/telemetry.rs
@@ -1,10 +1,10 @@
-//! What the leader tells of itself: counts for metrics, and lines on how full the
-//! cell is and what was taken in.
+//! Telemetry of the leader: counters for metrics, and log lines about the load of the cell
+//! and about accepted, ended and overdue jobs.
 
 use super::leader::{Leader, Now};
 use yuccalink_state::jobs::{JobId, JobPhase, StepSpec};
 
-/// What happened since the leader began, for metrics.
+/// Counters since the leader took over, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaderCounters {
     /// Jobs accepted.
@@ -13,28 +13,28 @@
     pub refused: u64,
     /// Runs ordered.
     pub starts: u64,
-    /// Runs that were done.
+    /// Runs that finished successfully.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
-    /// Runs stopped because they stood still.
+    /// Runs stopped because they made no progress.
     pub stalled_runs: u64,
-    /// Runs given up because their lease ended or their runner's life was over.
+    /// Runs lost because their lease expired or their runner incarnation ended.
     pub lost: u64,
-    /// Of these, runs whose runner is known to have crashed.
+    /// Lost runs whose runner is known to have crashed; also counted in `lost`.
     pub crashed: u64,
-    /// Runs of suspects that were tried alone.
+    /// Runs of suspects that were started alone in a trial.
     pub tried: u64,
-    /// Jobs given up since a task lost too many runners.
+    /// Jobs that failed because a task lost too many runners.
     pub given_up: u64,
-    /// Reports of runners.
+    /// Heartbeats received.
     pub heartbeats: u64,
-    /// Runners looked at beside those that reported: work that must not grow with the pool
-    /// for each job, task or report.
+    /// Runners scanned other than the reporting ones. The work for one job, task or report
+    /// must not grow with the size of the pool.
     pub runners_scanned: u64,
 }
 
-/// How full the runners are.
+/// Load of the runners.
 #[derive(Default)]
 struct Load {
     serving: usize,
@@ -43,12 +43,12 @@
     runs: usize,
     filling: f64,
     free: u64,
-    /// Runners with a serving task over its bound.
+    /// Runners with a serving task that exceeds its bound.
     over: usize,
 }
 
 impl Leader {
-    /// One line on how full the cell is.
+    /// Logs the load of the cell in one line.
     pub(super) fn log_load(&self, now: Now) {
         let mut load = Load::default();
         for runner in self.runners.values() {
@@ -84,13 +84,13 @@
         log::info!("job={id} accepted queue={} steps=[{}]", job.queue, steps.join(" "));
     }
 
-    /// One line when a job is over, with what its caller was to expect.
+    /// Logs one line when a job has ended, with its age and its objective.
     pub(super) fn log_ended(&mut self, id: JobId, now: Now) {
         let Some(job) = self.state.job(id).filter(|job| job.phase != JobPhase::Active) else {
             return;
         };
         if job.phase == JobPhase::Cancelled {
-            // Said where it was asked for.
+            // The cancellation is logged when its command is committed.
             return;
         }
         let (age, objective) = self.ready.age_and_objective(id, now.at).unwrap_or_default();
@@ -113,7 +113,8 @@
         self.counts.given_up += u64::from(given_up);
     }
 
-    /// One line when nobody waits for a job any more, which may never end.
+    /// Logs one line when a job is so late that no caller waits for it any more. Such a job
+    /// may never end.
     pub(super) fn log_overdue(&self, id: JobId, now: Now) {
         let (age, objective) = self.ready.age_and_objective(id, now.at).unwrap_or_default();
         let held_up = self.accounts.get(id);
@@ -121,7 +122,7 @@
     }
 }
 
-/// A step in one word: tasks, millicores, MiB, estimate, and what is special.
+/// Formats a step as one word: tasks, millicores, MiB, estimate, and special properties.
 fn shown_step(step: &StepSpec) -> Box<str> {
     let mut f = format!(
         "{}x{}m/{}M/{}ms",
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -1,4 +1,4 @@
-//! Upkeep waves: machines go down for upkeep a few at a time, emptied first so that
+//! Upkeep waves: machines go down for upkeep a few at a time. Each is drained first, so that
 //! no long-running step loses more tasks than its document allows.
 
 use super::external::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
@@ -9,17 +9,17 @@
 use std::time::Duration;
 use yuccalink_state::jobs::{IncarnationKey, JobCommand, TaskKey, Wave};
 
-/// How often the list of machines is read while a wave is under way: the platform
-/// bounds the readings of all nodes together.
+/// Interval at which the list of machines is read during a wave. The platform limits the
+/// reads of all nodes together.
 const READ_EVERY: Duration = Duration::from_millis(700);
-/// Longest wait for an answer of the platform.
+/// Longest wait for a reply of the platform.
 const ANSWER_MAX: Duration = Duration::from_millis(2_500);
-/// How long finite tasks may go on on a machine that is to go down.
+/// How long tasks that are not long-running may go on while their machine is drained.
 const EMPTY_MAX: Duration = Duration::from_millis(4_000);
-/// Pause before a refused order is given again.
+/// Delay before a refused upkeep order is retried.
 const AGAIN_AFTER: Duration = Duration::from_millis(1_000);
 
-/// A machine on its way down.
+/// A machine that is drained before its upkeep.
 #[derive(Debug)]
 struct Emptying {
     wave: u64,
@@ -28,7 +28,7 @@
     ordered: Option<(ExternalCallId, Moment)>,
 }
 
-/// What the leader knows of machines and waves beside the replicated state.
+/// State of machines and waves that the leader keeps outside of the replicated state.
 #[derive(Debug, Default)]
 pub(super) struct Waves {
     machines: BTreeMap<Box<str>, Machine>,
@@ -46,7 +46,7 @@
 
 impl Leader {
     pub(super) fn wave_start(&mut self, token: RequestToken, wave: Wave) -> Option<CellResponse> {
-        // The same order again is acknowledged again.
+        // A repeated request is acknowledged again.
         if self.state.wave(wave.id).is_some() {
             return Some(CellResponse::Ok);
         }
@@ -55,7 +55,7 @@
         None
     }
 
-    /// Does what is due for waves.
+    /// Advances all open waves.
     pub(super) fn keep_waves(&mut self, now: Now) {
         let open: Vec<u64> =
             self.state.waves().filter(|w| !w.is_done()).map(|w| w.wave.id).collect();
@@ -81,7 +81,7 @@
         self.waves.reading = Some((call, now.at));
     }
 
-    /// A machine that began its upkeep and is up again is done.
+    /// Proposes the end of upkeep for machines that are up again or have left the platform.
     fn note_returns(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
         for wave in self.state.waves() {
@@ -89,7 +89,7 @@
                 let found = self.waves.machines.get(machine);
                 let back = found.is_some_and(|m| m.state == MachineState::Up)
                     && self.waves.runner_of(machine) != wave.runner_before(machine);
-                // One that is not listed any more has left for good.
+                // A machine that is no longer listed has left for good.
                 let left = self.waves.read.is_some() && found.is_none();
                 if back || left {
                     done.push((wave.wave.id, Box::from(machine)));
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Stops what must move, and orders the upkeep of machines that are empty.
+    /// Stops long-running tasks on machines that are drained, and orders the upkeep of
+    /// machines that are empty or have been drained for `EMPTY_MAX`.
     fn empty_machines(&mut self, now: Now) {
         let machines: Vec<Box<str>> = self.waves.emptying.keys().cloned().collect();
         for machine in machines {
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Stops long-running tasks on a runner as far as their budgets allow; true when
-    /// nothing runs there any more.
+    /// Stops long-running tasks on a runner as far as their disruption budgets allow; true if
+    /// no run is left there.
     fn empty_runner(&mut self, incarnation: IncarnationKey) -> bool {
         let tasks: Vec<TaskKey> =
             self.state.assigned_runs(incarnation).map(|(task, _)| task).collect();
@@ -178,8 +179,8 @@
         tasks.is_empty()
     }
 
-    /// Whether the system may take a long-running task away now: fewer of its step are
-    /// away than its document allows.
+    /// Whether a long-running task may be stopped now: fewer other tasks of its step are not
+    /// working than its document allows.
     pub(super) fn may_disrupt(&self, task: TaskKey, also: &BTreeSet<TaskKey>) -> bool {
         let Some(step) = self.state.step_spec(task) else { return false };
         if !step.long_running {
@@ -204,7 +205,7 @@
         })
     }
 
-    /// Takes an answer of the platform in.
+    /// Handles a reply of the platform.
     pub(super) fn machines_told(&mut self, now: Now, call: ExternalCallId, told: ExternalReply) {
         if self.waves.reading.is_some_and(|(reading, _)| reading == call) {
             return self.list_told(now, told);
@@ -212,7 +213,7 @@
         let ordered = |emptying: &Emptying| emptying.ordered.is_some_and(|(id, _)| id == call);
         let found = self.waves.emptying.iter().find(|(_, emptying)| ordered(emptying));
         let Some((machine, wave)) = found.map(|(name, e)| (name.clone(), e.wave)) else { return };
-        log::info!("wave={wave} machine={machine} upkeep ordered: {told:?}");
+        log::info!("wave={wave} machine={machine} upkeep reply: {told:?}");
         if told == ExternalReply::Done {
             self.waves.emptying.remove(&machine);
             let runner = self.waves.runner_of(&machine).map(Box::from);
