--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -14,16 +14,16 @@
 use yuccalink_state::jobs::{Job, JobId, JobPhase, StepSpec, TaskKey};
 
 /// Interval at which jobs are checked; each check adds this time to the cause it finds.
-pub(super) const LOOK_EVERY: Duration = Duration::from_millis(250);
+pub(super) const ACCOUNT_INTERVAL: Duration = Duration::from_millis(250);
 /// A run that takes this many times its estimate is a straggler.
-const LAGS_BY: u32 = 2;
+const STRAGGLER_FACTOR: u32 = 2;
 /// Runners with free capacity that are checked for one job. More of them would rarely
 /// change the cause that is found.
-const LOOKED_AT_MAX: usize = 32;
+const RUNNERS_SCANNED_MAX: usize = 32;
 
 /// Cause that holds a job up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, derive_more::Display)]
-pub enum HeldUp {
+pub enum DelayCause {
     /// No runner has free capacity for the next task.
     #[display("room")]
     Room,
@@ -50,30 +50,30 @@
     Lag,
 }
 
-const CAUSES: [HeldUp; 8] = [
-    HeldUp::Room,
-    HeldUp::Margin,
-    HeldUp::Trust,
-    HeldUp::Suspect,
-    HeldUp::Order,
-    HeldUp::Pace,
-    HeldUp::Again,
-    HeldUp::Lag,
+const CAUSES: [DelayCause; 8] = [
+    DelayCause::Room,
+    DelayCause::Margin,
+    DelayCause::Trust,
+    DelayCause::Suspect,
+    DelayCause::Order,
+    DelayCause::Pace,
+    DelayCause::Again,
+    DelayCause::Lag,
 ];
 
 /// Time that each cause has held one job up so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Account {
+pub(super) struct DelayAccount {
     spans: [Duration; CAUSES.len()],
     /// Age of the job when this leader first saw it.
-    former: Duration,
+    age_at_takeover: Duration,
     /// Whether the log says already that the job is overdue.
-    told: bool,
+    overdue_logged: bool,
 }
 
-impl fmt::Display for Account {
+impl fmt::Display for DelayAccount {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "former:{}", self.former.as_millis())?;
+        write!(f, "former:{}", self.age_at_takeover.as_millis())?;
         for (cause, span) in CAUSES.iter().zip(&self.spans) {
             if !span.is_zero() {
                 write!(f, ",{cause}:{}", span.as_millis())?;
@@ -85,16 +85,18 @@
 
 /// Accounts of all jobs that must end.
 #[derive(Debug, Default)]
-pub(super) struct Accounts(HashMap<JobId, Account>);
+pub(super) struct DelayAccounts(HashMap<JobId, DelayAccount>);
 
-impl Accounts {
+impl DelayAccounts {
     /// Opens the account of a job whose age is already `age`.
     pub(super) fn open(&mut self, id: JobId, age: Duration) {
-        self.0.entry(id).or_insert(Account { former: age, ..Account::default() });
+        self.0
+            .entry(id)
+            .or_insert(DelayAccount { age_at_takeover: age, ..DelayAccount::default() });
     }
 
     /// Account of a job.
-    pub(super) fn get(&self, id: JobId) -> Account {
+    pub(super) fn get(&self, id: JobId) -> DelayAccount {
         self.0.get(&id).copied().unwrap_or_default()
     }
 
@@ -102,33 +104,33 @@
         self.0.remove(&id);
     }
 
-    fn add(&mut self, id: JobId, cause: HeldUp) {
+    fn add(&mut self, id: JobId, cause: DelayCause) {
         let account = self.0.entry(id).or_default();
         if let Some(at) = CAUSES.iter().position(|known| *known == cause) {
-            account.spans[at] += LOOK_EVERY;
+            account.spans[at] += ACCOUNT_INTERVAL;
         }
     }
 
     /// Marks a job as overdue; true only the first time.
-    fn is_news(&mut self, id: JobId) -> bool {
+    fn mark_overdue(&mut self, id: JobId) -> bool {
         let account = self.0.entry(id).or_default();
-        !std::mem::replace(&mut account.told, true)
+        !std::mem::replace(&mut account.overdue_logged, true)
     }
 }
 
 /// Runners that take tasks, by pool, sorted by free CPU from most to least.
-struct Vacancies<'a> {
+struct FreeRunners<'a> {
     by_pool: HashMap<&'a str, Vec<&'a Runner>>,
     /// Number of runners checked so far.
     runners_scanned: u64,
 }
 
-impl<'a> Vacancies<'a> {
+impl<'a> FreeRunners<'a> {
     /// Some runners of a pool with enough free capacity for a task.
     fn with_room(&mut self, pool: &str, need: Resources) -> Vec<&'a Runner> {
         let runners = self.by_pool.get(pool).into_iter().flatten().copied();
         let enough = runners.take_while(|runner| runner.free.millicores >= need.millicores);
-        let runners_scanned: Vec<&Runner> = enough.take(LOOKED_AT_MAX).collect();
+        let runners_scanned: Vec<&Runner> = enough.take(RUNNERS_SCANNED_MAX).collect();
         self.runners_scanned += runners_scanned.len() as u64;
         runners_scanned.into_iter().filter(|runner| runner.free.covers(need)).collect()
     }
@@ -136,52 +138,52 @@
 
 impl Leader {
     /// Adds the time since the last check to the account of each job that must end.
-    pub(super) fn keep_accounts(&mut self, now: Now) {
+    pub(super) fn update_accounts(&mut self, now: Now) {
         let mut held_up = Vec::new();
         let mut overdue = Vec::new();
-        let mut vacancies = self.vacancies(now);
+        let mut free_runners = self.free_runners(now);
         for (id, job) in self.state.all() {
             if job.phase != JobPhase::Active || self.ready.lasts_or_comes_later(id) {
                 continue;
             }
-            if let Some(cause) = self.what_holds_up(now, id, job, &mut vacancies) {
+            if let Some(cause) = self.delay_cause(now, id, job, &mut free_runners) {
                 held_up.push((id, cause));
             }
             if self.ready.is_overdue(id, now.at) {
                 overdue.push(id);
             }
         }
-        self.counts.runners_scanned += vacancies.runners_scanned;
+        self.counts.runners_scanned += free_runners.runners_scanned;
         for (id, cause) in held_up {
             self.accounts.add(id, cause);
         }
         for id in overdue {
-            if self.accounts.is_news(id) {
+            if self.accounts.mark_overdue(id) {
                 self.log_overdue(id, now);
             }
         }
     }
 
-    fn what_holds_up(
+    fn delay_cause(
         &self,
         now: Now,
         id: JobId,
         job: &Job,
-        vacancies: &mut Vacancies<'_>,
-    ) -> Option<HeldUp> {
+        free_runners: &mut FreeRunners<'_>,
+    ) -> Option<DelayCause> {
         if let Some(group) = self.ready.first_waiting(id) {
-            return Some(self.why_waits(now, group, vacancies));
+            return Some(self.waiting_cause(now, group, free_runners));
         }
         let mut worst = None;
         for (task, last_run, view) in self.running_of(id, job) {
-            let cause = self.why_runs_long(now, task, last_run, view);
+            let cause = self.running_cause(now, task, last_run, view);
             worst = worst.max(cause);
         }
         worst
     }
 
     /// Collects the runners that take tasks, for one check of all waiting jobs.
-    fn vacancies(&self, now: Now) -> Vacancies<'_> {
+    fn free_runners(&self, now: Now) -> FreeRunners<'_> {
         let mut by_pool: HashMap<&str, Vec<&Runner>> = HashMap::new();
         for runner in self.runners.values() {
             if runner.takes_tasks() && runner.reported_recently(now.at) {
@@ -191,25 +193,30 @@
         for runners in by_pool.values_mut() {
             runners.sort_by_key(|runner| Reverse(runner.free.millicores));
         }
-        Vacancies { by_pool, runners_scanned: self.runners.len() as u64 }
+        FreeRunners { by_pool, runners_scanned: self.runners.len() as u64 }
     }
 
     /// Cause that keeps a step's next task from starting.
-    fn why_waits(&self, now: Now, group: StepKey, vacancies: &mut Vacancies<'_>) -> HeldUp {
-        let Some(step) = self.ready.step(group.job, group.step) else { return HeldUp::Order };
-        let Some(job) = self.state.job(group.job) else { return HeldUp::Order };
-        let mut cause = HeldUp::Room;
-        for runner in vacancies.with_room(self.pool_of(job), step.reserved) {
+    fn waiting_cause(
+        &self,
+        now: Now,
+        group: StepKey,
+        free_runners: &mut FreeRunners<'_>,
+    ) -> DelayCause {
+        let Some(step) = self.ready.step(group.job, group.step) else { return DelayCause::Order };
+        let Some(job) = self.state.job(group.job) else { return DelayCause::Order };
+        let mut cause = DelayCause::Room;
+        for runner in free_runners.with_room(self.pool_of(job), step.reserved) {
             let Some((job, spec)) = self.may_host(now, runner, group) else { continue };
             let trust = self.trust(now, runner);
             let takes_more = matches!(trust, Trust::Full | Trust::SecondTryOnly);
             if !takes_more || !self.has_task_for(now, job, spec, group, runner, trust) {
                 let suspect = self.has_suspect(now, group);
-                cause = if suspect { HeldUp::Suspect } else { HeldUp::Trust };
+                cause = if suspect { DelayCause::Suspect } else { DelayCause::Trust };
             } else if step.disturbs() {
-                return HeldUp::Margin;
+                return DelayCause::Margin;
             } else {
-                return HeldUp::Order;
+                return DelayCause::Order;
             }
         }
         cause
@@ -255,21 +262,21 @@
         })
     }
 
-    fn why_runs_long(
+    fn running_cause(
         &self,
         now: Now,
         task: TaskKey,
         last_run: u32,
         view: &RunView,
-    ) -> Option<HeldUp> {
+    ) -> Option<DelayCause> {
         let step = self.ready.step_of(task)?;
-        let guessed = Duration::from_millis(step.estimate_ms);
+        let estimate = Duration::from_millis(step.estimate_ms);
         if view.rate.is_some_and(|rate| rate < 100) {
-            Some(HeldUp::Pace)
+            Some(DelayCause::Pace)
         } else if last_run > 1 {
-            Some(HeldUp::Again)
+            Some(DelayCause::Again)
         } else {
-            (now.at.since(view.first_seen) > guessed * LAGS_BY).then_some(HeldUp::Lag)
+            (now.at.since(view.first_seen) > estimate * STRAGGLER_FACTOR).then_some(DelayCause::Lag)
         }
     }
 }
--- a/crates/coordination/src/jobs/admission.rs
+++ b/crates/coordination/src/jobs/admission.rs
@@ -6,11 +6,11 @@
 use super::leader::Leader;
 
 /// Retry delay for callers while the log catches up, in milliseconds.
-const LOG_FULL_MS: u64 = 1_000;
+const LOG_FULL_RETRY_MS: u64 = 1_000;
 
 impl Leader {
     /// Retry delay in milliseconds if a new job must be refused now.
-    pub(super) fn refuse(&self) -> Option<u64> {
-        self.is_full().then_some(LOG_FULL_MS)
+    pub(super) fn overload_retry_ms(&self) -> Option<u64> {
+        self.is_full().then_some(LOG_FULL_RETRY_MS)
     }
 }
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -11,23 +11,23 @@
 use yuccalink_state::jobs::IncarnationKey;
 
 /// Runners in one query. A job's objective leaves no time for more.
-const ASKED_MAX: usize = 30;
+const RUNNERS_QUERIED_MAX: usize = 30;
 /// A ticket that expires sooner than this may not reach its runner in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(1_200);
 /// Longest wait for a reply before another query is sent.
-const ANSWER_MAX: Duration = Duration::from_millis(3_000);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Tickets of one step, and the runners that were already queried.
 #[derive(Debug, Default)]
-struct Known {
+struct StepTickets {
     tickets: BTreeMap<IncarnationKey, Box<str>>,
     until: Moment,
-    asked: BTreeSet<IncarnationKey>,
+    queried: BTreeSet<IncarnationKey>,
 }
 
 /// The query that waits for its reply.
 #[derive(Debug)]
-struct Asked {
+struct PendingQuery {
     call: ExternalCallId,
     group: StepKey,
     /// The runners in the query, by name.
@@ -38,8 +38,8 @@
 /// Tickets of all steps, and the pending query.
 #[derive(Debug, Default)]
 pub(super) struct Advice {
-    known: BTreeMap<StepKey, Known>,
-    asked: Option<Asked>,
+    by_step: BTreeMap<StepKey, StepTickets>,
+    pending: Option<PendingQuery>,
 }
 
 impl Advice {
@@ -50,20 +50,20 @@
         incarnation: IncarnationKey,
         now: Moment,
     ) -> Option<&str> {
-        let known = self.known.get(&group).filter(|known| known.until > now + TICKET_MARGIN)?;
+        let known = self.by_step.get(&group).filter(|known| known.until > now + TICKET_MARGIN)?;
         known.tickets.get(&incarnation).map(|ticket| &**ticket)
     }
 
     /// Handles a reply; false if it does not belong to the pending query.
-    pub(super) fn told(&mut self, call: ExternalCallId, told: &ExternalReply) -> bool {
-        let Some(asked) = self.asked.take_if(|asked| asked.call == call) else { return false };
-        let ExternalReply::Advice { allowed, validity_ms } = told else { return true };
-        let known = self.known.entry(asked.group).or_default();
+    pub(super) fn handle_reply(&mut self, call: ExternalCallId, reply: &ExternalReply) -> bool {
+        let Some(query) = self.pending.take_if(|query| query.call == call) else { return false };
+        let ExternalReply::Advice { allowed, validity_ms } = reply else { return true };
+        let known = self.by_step.entry(query.group).or_default();
         // The validity begins between the query and its reply; count from the earliest time.
-        known.until = asked.since + Duration::from_millis(*validity_ms);
-        known.asked.extend(asked.incarnations.values());
+        known.until = query.since + Duration::from_millis(*validity_ms);
+        known.queried.extend(query.incarnations.values());
         for (name, ticket) in allowed {
-            if let Some(incarnation) = asked.incarnations.get(name) {
+            if let Some(incarnation) = query.incarnations.get(name) {
                 known.tickets.insert(*incarnation, ticket.clone());
             }
         }
@@ -80,16 +80,16 @@
     }
 
     /// Sends a query for the first step in order that needs tickets and has no usable one.
-    pub(super) fn ask_advice(&mut self, now: Now) {
-        if self.advice.asked.as_ref().is_some_and(|a| now.at.since(a.since) < ANSWER_MAX) {
+    pub(super) fn query_advice(&mut self, now: Now) {
+        if self.advice.pending.as_ref().is_some_and(|a| now.at.since(a.since) < REPLY_TIMEOUT) {
             return;
         }
-        self.advice.asked = None;
+        self.advice.pending = None;
         // Tickets that expire too soon to be used are dropped, so that new ones are requested.
-        self.advice.known.retain(|_, known| known.until > now.at + TICKET_MARGIN);
+        self.advice.by_step.retain(|_, known| known.until > now.at + TICKET_MARGIN);
         let wants = |group: &StepKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
         let Some(group) = self.ready.order().find(wants) else { return };
-        let incarnations = self.incarnations_to_ask(group);
+        let incarnations = self.incarnations_to_query(group);
         if incarnations.is_empty() {
             return;
         }
@@ -105,12 +105,12 @@
             group.step,
             incarnations.len()
         );
-        self.advice.asked = Some(Asked { call, group, incarnations, since: now.at });
+        self.advice.pending = Some(PendingQuery { call, group, incarnations, since: now.at });
     }
 
     /// Whether a runner with a ticket has free capacity for a task of the step.
     fn has_room_by_ticket(&self, group: StepKey) -> bool {
-        let Some(known) = self.advice.known.get(&group) else { return false };
+        let Some(known) = self.advice.by_step.get(&group) else { return false };
         let Some(step) = self.ready.step(group.job, group.step) else { return false };
         known.tickets.keys().any(|incarnation| {
             self.runners
@@ -121,17 +121,17 @@
 
     /// The runners with the most free capacity that were not yet in a query for this step.
     /// All runners count again once the tickets of the step have expired.
-    fn incarnations_to_ask(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
+    fn incarnations_to_query(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
         let Some(step) = self.ready.step(group.job, group.step) else { return BTreeMap::new() };
-        let known = self.advice.known.get(&group);
-        let asked = |incarnation: IncarnationKey| {
-            known.is_some_and(|known| known.asked.contains(&incarnation))
+        let known = self.advice.by_step.get(&group);
+        let queried = |incarnation: IncarnationKey| {
+            known.is_some_and(|known| known.queried.contains(&incarnation))
         };
         let fits = |r: &&super::runner::Runner| {
-            r.takes_tasks() && r.free.covers(step.reserved) && !asked(r.key)
+            r.takes_tasks() && r.free.covers(step.reserved) && !queried(r.key)
         };
         let mut runners: Vec<_> = self.runners.values().filter(fits).collect();
         runners.sort_by_key(|runner| std::cmp::Reverse(runner.free.millicores));
-        runners.into_iter().take(ASKED_MAX).map(|r| (r.id.clone(), r.key)).collect()
+        runners.into_iter().take(RUNNERS_QUERIED_MAX).map(|r| (r.id.clone(), r.key)).collect()
     }
 }
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -41,17 +41,17 @@
 
     /// Applies a committed command and sends the response that waits for it.
     pub fn apply_committed(&mut self, now: Now, index: u64, command: JobCommand) {
-        let touched = touched(&command, &self.state);
+        let affected_jobs = affected_jobs(&command, &self.state);
         let detail = command.clone();
         let open: Vec<JobId> =
-            touched.iter().copied().filter(|id| self.state.is_active(*id)).collect();
+            affected_jobs.iter().copied().filter(|id| self.state.is_active(*id)).collect();
         let unknown = match &command {
             JobCommand::Meet(_) => self.state.losses().unknown(),
             _ => BTreeSet::new(),
         };
         let outcome = self.state.apply(command);
-        self.log_fates(now, &unknown);
-        self.after(now, &detail, &outcome);
+        self.log_resolved_losses(now, &unknown);
+        self.update_after(now, &detail, &outcome);
         for id in open {
             self.log_ended(id, now);
             if !self.state.is_active(id) {
@@ -61,22 +61,22 @@
                 }
             }
         }
-        for id in touched {
+        for id in affected_jobs {
             self.refresh(id, now.at);
         }
         if self.committing.front().is_some_and(|(at, _)| *at == index)
             && let Some((_, then)) = self.committing.pop_front()
         {
-            self.finish(now, then, &outcome);
+            self.complete(now, then, &outcome);
         }
     }
 
     /// Updates the state of the leader after a command, whichever leader proposed it.
-    fn after(&mut self, now: Now, command: &JobCommand, outcome: &JobOutcome) {
+    fn update_after(&mut self, now: Now, command: &JobCommand, outcome: &JobOutcome) {
         match command {
             JobCommand::Submit(submit) => {
                 if *outcome == (JobOutcome::Accepted { new: true }) {
-                    self.meet_job(submit.id, now);
+                    self.add_job(submit.id, now);
                 }
             }
             JobCommand::Start(starts) => {
@@ -87,7 +87,7 @@
             JobCommand::End { ends, .. } => {
                 for end in ends {
                     self.ending.remove(&(end.task, end.run));
-                    self.note_end(now, end);
+                    self.record_end(now, end);
                 }
             }
             JobCommand::Forget(ids) => {
@@ -100,9 +100,9 @@
                 self.ready.changed(&self.state, &self.routes);
             }
             JobCommand::UpkeepDone { wave, machine } => {
-                self.noting.remove(&(*wave, machine.clone()));
+                self.proposed_returns.remove(&(*wave, machine.clone()));
             }
-            JobCommand::Alive(incarnation) => self.revived(*incarnation),
+            JobCommand::Alive(incarnation) => self.clear_return(*incarnation),
             JobCommand::Cancel { .. }
             | JobCommand::Meet(_)
             | JobCommand::Learn(_)
@@ -111,13 +111,13 @@
         }
     }
 
-    fn note_end(&mut self, now: Now, end: &RunEnd) {
+    fn record_end(&mut self, now: Now, end: &RunEnd) {
         let name = self
             .state
             .incarnation(end.incarnation)
             .map_or("unheard", |incarnation| &*incarnation.id);
         log::info!("end task={} run={} runner={name} how={:?}", end.task, end.run, end.outcome);
-        let lasts = self.state.step_spec(end.task).is_some_and(|step| step.long_running);
+        let long_running = self.state.step_spec(end.task).is_some_and(|step| step.long_running);
         match end.outcome {
             RunOutcome::Done => self.counts.done += 1,
             RunOutcome::Failed => self.counts.failed += 1,
@@ -130,17 +130,17 @@
         }
         if let Some(runner) = self.runners.get_mut(&end.incarnation) {
             match end.outcome {
-                RunOutcome::Done => runner.health.went_well(),
-                RunOutcome::Failed if !lasts => runner.health.went_badly(now.at),
+                RunOutcome::Done => runner.health.record_success(),
+                RunOutcome::Failed if !long_running => runner.health.record_failure(now.at),
                 _ => {}
             }
         }
         if matches!(end.outcome, RunOutcome::Crashed(_) | RunOutcome::Silent(_)) {
-            self.log_standing(now, end.task);
+            self.log_suspicion(now, end.task);
         }
     }
 
-    fn finish(&mut self, now: Now, then: OnCommit, outcome: &JobOutcome) {
+    fn complete(&mut self, now: Now, then: OnCommit, outcome: &JobOutcome) {
         match then {
             OnCommit::Submitted { id, token } => {
                 if *outcome == (JobOutcome::Accepted { new: true }) {
@@ -159,7 +159,9 @@
                 log::info!("change version={version} in-force={now_in_force}");
                 self.answer(token, CellResponse::Ok);
             }
-            OnCommit::Met { token, report } => self.met(now, token, &report, outcome),
+            OnCommit::Met { token, report } => {
+                self.incarnation_committed(now, token, &report, outcome)
+            }
             OnCommit::Heartbeat(at) => self.heartbeat_committed(now, at),
             OnCommit::Acknowledged(token) => self.answer(token, CellResponse::Ok),
             OnCommit::Nothing => {}
@@ -168,14 +170,14 @@
 }
 
 /// Jobs whose state a command may change.
-fn touched(command: &JobCommand, jobs: &CellState) -> BTreeSet<JobId> {
+fn affected_jobs(command: &JobCommand, state: &CellState) -> BTreeSet<JobId> {
     match command {
         JobCommand::Submit(submit) => BTreeSet::from([submit.id]),
         JobCommand::Cancel { id, .. } => BTreeSet::from([*id]),
         JobCommand::Start(starts) => starts.iter().map(|start| start.task.job).collect(),
         JobCommand::End { ends, .. } => ends.iter().map(|end| end.task.job).collect(),
         // A new incarnation shows that the lost one crashed, which may end jobs.
-        JobCommand::Meet(_) => jobs.losses().open_jobs(),
+        JobCommand::Meet(_) => state.losses().open_jobs(),
         JobCommand::Change(_)
         | JobCommand::Forget(_)
         | JobCommand::Learn(_)
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -1,8 +1,8 @@
 //! Periodic work: ranking, expired leases, due occurrences, and removal of ended jobs.
 
-use super::account::LOOK_EVERY;
+use super::account::ACCOUNT_INTERVAL;
 use super::leader::{Leader, Now, OnCommit, startable};
-use super::lost::Why;
+use super::lost::LossReason;
 use super::messages::{CellResponse, RunnerOrders};
 use super::ready::StepKey;
 use super::runner::lease_expiry_bound;
@@ -11,19 +11,19 @@
 
 /// Longest time that a heartbeat waits for its commands to be committed. A runner drops a
 /// response that arrives after one second, and the way back takes part of it.
-const HEARTBEAT_WAIT: Duration = Duration::from_millis(600);
+const HEARTBEAT_COMMIT_WAIT_MAX: Duration = Duration::from_millis(600);
 /// Interval at which waiting steps are ranked, well below the shortest objective.
-const RANK_EVERY: Duration = Duration::from_millis(100);
+const RANK_INTERVAL: Duration = Duration::from_millis(100);
 /// Jobs removed by one command, so that no batch for the log becomes large.
-const FORGET_MAX: usize = 256;
+const REMOVED_JOBS_MAX: usize = 256;
 /// Interval at which ended jobs are checked for removal.
-const FORGET_EVERY: Duration = Duration::from_secs(2);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Leader {
     /// Does all periodic work that is due at `now`.
     pub fn tick(&mut self, now: Now) {
-        if now.at.since(self.ranked) >= RANK_EVERY {
-            self.ranked = now.at;
+        if now.at.since(self.last_ranked) >= RANK_INTERVAL {
+            self.last_ranked = now.at;
             self.ready.rank_all(&self.state, now.at);
             self.measure_pools();
             self.count_moving_out();
@@ -31,29 +31,29 @@
             self.find_suspects(now);
             self.keep_room(now);
             self.place_gangs(now);
-            self.ask_advice(now);
-            self.keep_waves(now);
-            self.end_lapsed(now);
+            self.query_advice(now);
+            self.advance_waves(now);
+            self.end_expired_leases(now);
         }
-        if now.at.since(self.looked) >= LOOK_EVERY {
-            self.looked = now.at;
-            self.keep_accounts(now);
+        if now.at.since(self.last_accounted) >= ACCOUNT_INTERVAL {
+            self.last_accounted = now.at;
+            self.update_accounts(now);
         }
-        self.give_up_late_heartbeats(now);
-        self.open_due(now);
-        if now.at.since(self.forgot) >= FORGET_EVERY {
-            self.forgot = now.at;
-            self.forget(now);
-            self.forget_loads();
+        self.answer_late_heartbeats(now);
+        self.add_due_occurrences(now);
+        if now.at.since(self.last_cleanup) >= CLEANUP_INTERVAL {
+            self.last_cleanup = now.at;
+            self.remove_ended_jobs(now);
+            self.remove_ended_forecasts();
             self.log_load(now);
-            self.remember();
+            self.commit_learned_weights();
         }
     }
 
-    fn give_up_late_heartbeats(&mut self, now: Now) {
+    fn answer_late_heartbeats(&mut self, now: Now) {
         let mut late = Vec::new();
         for waiting in self.heartbeats.values_mut() {
-            if !waiting.answered && now.at.since(waiting.since) > HEARTBEAT_WAIT {
+            if !waiting.answered && now.at.since(waiting.since) > HEARTBEAT_COMMIT_WAIT_MAX {
                 waiting.answered = true;
                 late.push((waiting.token, waiting.incarnation));
             }
@@ -67,7 +67,7 @@
 
     /// Ends the runs whose lease has certainly expired. To start them elsewhere any earlier
     /// could run a task twice.
-    fn end_lapsed(&mut self, now: Now) {
+    fn end_expired_leases(&mut self, now: Now) {
         let inherited = self.started + lease_expiry_bound(self.cfg.lease);
         let mut ends = Vec::new();
         for incarnation in self.state.incarnations_with_runs() {
@@ -75,7 +75,7 @@
                 self.runners.get(&incarnation).map_or(inherited, |runner| runner.lease_end);
             let until = granted.max(inherited);
             if now.at > until {
-                self.collect_lost(now, incarnation, Why::Lease, &mut ends);
+                self.collect_lost(now, incarnation, LossReason::Lease, &mut ends);
             }
         }
         self.propose_ends(now, ends, OnCommit::Nothing);
@@ -90,7 +90,7 @@
     }
 
     /// Adds due occurrences of scheduled jobs to the ready queue.
-    fn open_due(&mut self, now: Now) {
+    fn add_due_occurrences(&mut self, now: Now) {
         let due: Vec<JobId> = self.ready.scheduled();
         for id in due {
             let Some(job) = self.state.job(id) else { continue };
@@ -107,24 +107,24 @@
 
     /// Commits the learned interference weights for later leaders. To learn them again after
     /// each change of leader, serving tasks would exceed their bounds for some ten seconds.
-    fn remember(&mut self) {
+    fn commit_learned_weights(&mut self) {
         let learnt = self.interference.learned_weights();
         if !learnt.is_empty() && learnt != self.state.learnt() {
             self.propose(JobCommand::Learn(learnt), OnCommit::Nothing);
         }
     }
 
-    fn forget(&mut self, now: Now) {
+    fn remove_ended_jobs(&mut self, now: Now) {
         let keep = u64::try_from(self.cfg.job_retention.as_millis()).unwrap_or(u64::MAX);
-        let ids = self.state.forgettable(now.unix_ms.saturating_sub(keep), FORGET_MAX);
+        let ids = self.state.forgettable(now.unix_ms.saturating_sub(keep), REMOVED_JOBS_MAX);
         if !ids.is_empty() {
             self.propose(JobCommand::Forget(ids), OnCommit::Nothing);
         }
     }
 
-    fn forget_loads(&mut self) {
-        let jobs = &self.state;
-        self.loads.keep(|group| jobs.is_active(group.job));
+    fn remove_ended_forecasts(&mut self) {
+        let state = &self.state;
+        self.loads.keep(|group| state.is_active(group.job));
     }
 
     pub(super) fn empty_orders(&self) -> CellResponse {
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -2,7 +2,7 @@
 //! or stop runs.
 
 use super::leader::{Leader, Now, OnCommit, PendingHeartbeat, RequestToken};
-use super::lost::Why;
+use super::lost::LossReason;
 use super::messages::{
     CellResponse, FinishedRun, RunnerOrders, RunnerReport, RunnerState, StartOrder,
 };
@@ -19,14 +19,14 @@
 
 /// Shortest and longest interval between reports of a runner with free capacity. Each report
 /// is a chance to start a task there, and costs the leader about 60 us.
-const REPORT_MIN: Duration = Duration::from_millis(150);
-const REPORT_MAX: Duration = Duration::from_millis(1_000);
+const REPORT_INTERVAL_MIN: Duration = Duration::from_millis(150);
+const REPORT_INTERVAL_MAX: Duration = Duration::from_millis(1_000);
 /// Interval per runner, so that all runners together report at most 250 times a second.
-const REPORT_PER_RUNNER: Duration = Duration::from_millis(4);
+const REPORT_INTERVAL_PER_RUNNER: Duration = Duration::from_millis(4);
 /// Interval for a runner without free capacity, which also reports after each run end.
-const REPORT_FULL: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL_FULL: Duration = Duration::from_millis(500);
 /// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
-const REPORT_TRIAL: Duration = Duration::from_millis(150);
+const REPORT_INTERVAL_TRIAL: Duration = Duration::from_millis(150);
 /// Time before the announced end of a runner by which its runs should have ended. The work
 /// of runs that end with the runner is lost.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
@@ -51,9 +51,9 @@
 
 /// Whether the response to a report may start runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Offer {
-    Work,
-    Nothing,
+enum NewStarts {
+    Allowed,
+    Deferred,
 }
 
 impl Leader {
@@ -62,31 +62,31 @@
         let change = self.state.change_set();
         if change.is_some_and(|change| change.pool(&report.pool).is_none()) {
             log::info!("runner={} ignored: no pool {}", report.runner, report.pool);
-            let what = format!("there is no pool {}; correct the name", report.pool);
-            return self.answer(token, CellResponse::Invalid(what.into()));
+            let message = format!("there is no pool {}; correct the name", report.pool);
+            return self.answer(token, CellResponse::Invalid(message.into()));
         }
         let known = self.incarnations.newest(&report.runner);
-        let born = known
+        let newest_ms = known
             .and_then(|key| self.state.incarnation(key))
             .map(|incarnation| incarnation.started_ms);
-        match (known, born) {
-            (Some(key), Some(born)) if born == report.started_ms => {
-                self.take_report(now, token, key, &report, Offer::Work);
+        match (known, newest_ms) {
+            (Some(key), Some(newest_ms)) if newest_ms == report.started_ms => {
+                self.process_report(now, token, key, &report, NewStarts::Allowed);
             }
-            (_, Some(born)) if report.started_ms < born => {
+            (_, Some(newest_ms)) if report.started_ms < newest_ms => {
                 log::info!(
-                    "runner={} report of an earlier incarnation ignored: born={} newest={born}",
+                    "runner={} report of an earlier incarnation ignored: born={} newest={newest_ms}",
                     report.runner,
                     report.started_ms
                 );
                 let answer = self.empty_orders();
                 self.answer(token, answer);
             }
-            _ => self.propose_life(token, report),
+            _ => self.propose_incarnation(token, report),
         }
     }
 
-    fn propose_life(&mut self, token: RequestToken, report: Box<RunnerReport>) {
+    fn propose_incarnation(&mut self, token: RequestToken, report: Box<RunnerReport>) {
         let incarnation = RunnerIncarnation {
             id: report.runner.clone(),
             started_ms: report.started_ms,
@@ -96,7 +96,7 @@
     }
 
     /// A new runner incarnation is committed: ends the runs of the incarnations that it replaces.
-    pub(super) fn met(
+    pub(super) fn incarnation_committed(
         &mut self,
         now: Now,
         token: RequestToken,
@@ -104,31 +104,31 @@
         outcome: &JobOutcome,
     ) {
         let JobOutcome::Met(key) = *outcome else { return };
-        self.incarnations.meet(key, &self.state);
+        self.incarnations.add(key, &self.state);
         log::info!("runner={} {key} registered: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
-        for over in self.incarnations.over() {
-            self.collect_lost(now, over, Why::NextLife, &mut ends);
-            self.runners.remove(&over);
+        for ended in self.incarnations.ended() {
+            self.collect_lost(now, ended, LossReason::NextLife, &mut ends);
+            self.runners.remove(&ended);
         }
         // Interrupted tasks come before tasks that never ran, but they wait only once the ends
         // proposed here are committed. Until then no other task may take their capacity.
-        let offer = if ends.is_empty() { Offer::Work } else { Offer::Nothing };
+        let new_starts = if ends.is_empty() { NewStarts::Allowed } else { NewStarts::Deferred };
         self.propose_ends(now, ends, OnCommit::Nothing);
-        self.take_report(now, token, key, report, offer);
+        self.process_report(now, token, key, report, new_starts);
     }
 
-    fn take_report(
+    fn process_report(
         &mut self,
         now: Now,
         token: RequestToken,
         key: IncarnationKey,
         report: &RunnerReport,
-        offer: Offer,
+        new_starts: NewStarts,
     ) {
         let runner = self.runners.entry(key).or_insert_with(|| Runner::new(key, report, now.at));
         let late = report.sequence <= runner.sequence && runner.sequence > 0;
-        if late || self.incarnations.is_over(key) {
+        if late || self.incarnations.has_ended(key) {
             log::info!("runner={} late report {} ignored", report.runner, report.sequence);
             let answer = self.empty_orders();
             return self.answer(token, answer);
@@ -137,18 +137,18 @@
             log::info!("runner={} state={} was={}", report.runner, report.state, runner.state);
         }
         runner.update(report, now.at);
-        self.revive(now, key);
+        self.note_return(now, key);
         let ends = self.new_ends(key, &report.finished);
         let ended: BTreeSet<(TaskKey, u32)> =
             report.finished.iter().filter_map(|f| f.task.map(|task| (task, f.run))).collect();
         let mut all_ends = ends;
         self.collect_never_started(now, key, &ended, &mut all_ends);
-        self.judge_runs(now, key);
+        self.mark_runs_to_stop(now, key);
         let colocation = self.pace(now, key);
         self.measure_room(key, &ended);
-        let starts = match offer {
-            Offer::Work => self.pick(now, key, colocation),
-            Offer::Nothing => Vec::new(),
+        let starts = match new_starts {
+            NewStarts::Allowed => self.pick(now, key, colocation),
+            NewStarts::Deferred => Vec::new(),
         };
         self.commit_report(now, token, key, report, all_ends, starts);
     }
@@ -184,13 +184,13 @@
         ends: &mut Vec<RunEnd>,
     ) {
         let Some(runner) = self.runners.get(&key) else { return };
-        let order_over = lease_expiry_bound(self.cfg.lease);
+        let order_expiry = lease_expiry_bound(self.cfg.lease);
         for (task, run) in self.state.assigned_runs(key) {
             let listed = runner.view(task, run).is_some();
             let under_way = self.ending.contains(&(task, run));
             let wanted = self.is_wanted(task)
                 && self.may_be_ordered(now, key, task)
-                && !runner.is_withheld(task, run, order_over, now.at);
+                && !runner.is_withheld(task, run, order_expiry, now.at);
             // A delayed order may still start the run. If its capacity were given to another run
             // meanwhile, the runner would be overcommitted.
             let late = runner.may_yet_start(task, run, now.at);
@@ -222,12 +222,12 @@
 
     /// Marks runs to be stopped: stalled runs, and runs that will not end before their runner
     /// leaves.
-    fn judge_runs(&mut self, now: Now, key: IncarnationKey) {
-        let standing_after = self.cfg.policy.distrust.standing;
-        let staying = self.staying(now, key);
+    fn mark_runs_to_stop(&mut self, now: Now, key: IncarnationKey) {
+        let stalled_after = self.cfg.policy.distrust.stalled_after;
+        let tasks_to_keep = self.tasks_to_keep(now, key);
         let Some(runner) = self.runners.get_mut(&key) else { return };
         let leaving = runner.state == RunnerState::Draining;
-        let mut standing = 0;
+        let mut stalled_count = 0;
         for (task, view) in &mut runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
             if view.stopping {
@@ -235,17 +235,17 @@
             }
             if step.long_running {
                 // The task moves to another runner as soon as one has capacity.
-                view.stopping = leaving && !staying.contains(task);
+                view.stopping = leaving && !tasks_to_keep.contains(task);
                 continue;
             }
-            let stands = !step.opportunistic && view.stands_still(now.at, standing_after);
-            let too_long = leaving
+            let stalled = !step.opportunistic && view.is_stalled(now.at, stalled_after);
+            let ends_too_late = leaving
                 && runner.terminates_at.is_some_and(|at| {
                     let left = at.since(now.at + LEAVE_MARGIN);
                     view.time_left(now.at, step.estimate_ms) > left && left < LEAVE_MARGIN * 4
                 });
-            if stands {
-                standing += 1;
+            if stalled {
+                stalled_count += 1;
                 log::info!(
                     "stop task={task} run={} runner={} why=standing percent={} for={:?}",
                     view.run,
@@ -253,7 +253,7 @@
                     view.percent,
                     now.at.since(view.moved)
                 );
-            } else if too_long {
+            } else if ends_too_late {
                 log::info!(
                     "stop task={task} run={} runner={} why=leaving percent={}",
                     view.run,
@@ -261,43 +261,49 @@
                     view.percent
                 );
             }
-            view.stopping = stands || too_long;
+            view.stopping = stalled || ends_too_late;
         }
-        for _ in 0..standing {
-            runner.health.went_badly(now.at);
+        for _ in 0..stalled_count {
+            runner.health.record_failure(now.at);
         }
-        self.counts.stalled_runs += standing;
+        self.counts.stalled_runs += stalled_count;
     }
 
     /// Long-running tasks on a draining runner that no other runner has capacity for. Tasks
     /// that are moving already are counted against the free capacity, so that no two tasks
     /// move for the same capacity.
-    fn staying(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
+    fn tasks_to_keep(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
         let policy = self.cfg.policy.leaving;
-        let mut staying = BTreeSet::new();
-        let Some(runner) = self.runners.get(&key) else { return staying };
+        let mut tasks_to_keep = BTreeSet::new();
+        let Some(runner) = self.runners.get(&key) else { return tasks_to_keep };
         let soon = now.at + policy.margin.to_duration();
         let leaves_later = runner.terminates_at.is_some_and(|at| at > soon);
         if policy.mode == Switch::Off || runner.state == RunnerState::Ready || !leaves_later {
-            return staying;
+            return tasks_to_keep;
         }
         let mut moving = self.moving_out;
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task).filter(|step| step.long_running) else {
                 continue;
             };
-            if view.stopping || self.seats_elsewhere(now, runner, *task, step) > moving {
+            if view.stopping || self.capacity_elsewhere(now, runner, *task, step) > moving {
                 moving += u32::from(!view.stopping);
             } else {
-                staying.insert(*task);
+                tasks_to_keep.insert(*task);
             }
         }
         self.moving_out = moving;
-        staying
+        tasks_to_keep
     }
 
     /// Number of tasks of a step that other runners have capacity for.
-    fn seats_elsewhere(&self, now: Now, leaving: &Runner, task: TaskKey, step: &StepInfo) -> u32 {
+    fn capacity_elsewhere(
+        &self,
+        now: Now,
+        leaving: &Runner,
+        task: TaskKey,
+        step: &StepInfo,
+    ) -> u32 {
         let group = StepKey::of(task);
         let mut seats = 0;
         for runner in self.runners.values() {
@@ -329,18 +335,18 @@
         let Some(runner) = self.runners.get_mut(&key) else { return };
         if commands == 0 {
             // No run end that the report lists still waits for its commit.
-            if runner.proposed == runner.acked_through {
+            if runner.proposed_through == runner.acked_through {
                 runner.acked_through = runner.acked_through.max(newest);
-                runner.proposed = runner.acked_through;
+                runner.proposed_through = runner.acked_through;
             }
             return self.send_orders(now, token, key);
         }
-        runner.proposed = runner.proposed.max(newest);
-        let at = self.next_heartbeat;
+        runner.proposed_through = runner.proposed_through.max(newest);
+        let heartbeat = self.next_heartbeat;
         self.next_heartbeat += 1;
-        let acked_through = runner.proposed;
+        let acked_through = runner.proposed_through;
         let since = now.at;
-        let waiting = PendingHeartbeat {
+        let pending = PendingHeartbeat {
             token,
             incarnation: key,
             commands,
@@ -348,34 +354,34 @@
             since,
             answered: false,
         };
-        self.heartbeats.insert(at, waiting);
-        self.propose_ends(now, ends, OnCommit::Heartbeat(at));
+        self.heartbeats.insert(heartbeat, pending);
+        self.propose_ends(now, ends, OnCommit::Heartbeat(heartbeat));
         if !starts.is_empty() {
             self.starting.extend(starts.iter().map(|start| (start.task, *start)));
             self.counts.starts += starts.len() as u64;
-            self.propose(JobCommand::Start(starts), OnCommit::Heartbeat(at));
+            self.propose(JobCommand::Start(starts), OnCommit::Heartbeat(heartbeat));
         }
     }
 
     /// One of a heartbeat's commands is committed.
-    pub(super) fn heartbeat_committed(&mut self, now: Now, at: u64) {
-        let Some(waiting) = self.heartbeats.get_mut(&at) else { return };
-        waiting.commands -= 1;
-        if waiting.commands > 0 {
+    pub(super) fn heartbeat_committed(&mut self, now: Now, heartbeat: u64) {
+        let Some(pending) = self.heartbeats.get_mut(&heartbeat) else { return };
+        pending.commands -= 1;
+        if pending.commands > 0 {
             return;
         }
-        let Some(waiting) = self.heartbeats.remove(&at) else { return };
-        if let Some(runner) = self.runners.get_mut(&waiting.incarnation) {
-            runner.acked_through = runner.acked_through.max(waiting.acked_through);
+        let Some(pending) = self.heartbeats.remove(&heartbeat) else { return };
+        if let Some(runner) = self.runners.get_mut(&pending.incarnation) {
+            runner.acked_through = runner.acked_through.max(pending.acked_through);
         }
-        if !waiting.answered {
-            self.send_orders(now, waiting.token, waiting.incarnation);
+        if !pending.answered {
+            self.send_orders(now, pending.token, pending.incarnation);
         }
     }
 
     /// Answers a heartbeat with orders from the committed state.
     pub(super) fn send_orders(&mut self, now: Now, token: RequestToken, key: IncarnationKey) {
-        let pause = self.pause();
+        let report_interval = self.report_interval();
         let Some(runner) = self.runners.get(&key) else {
             let answer = self.empty_orders();
             return self.answer(token, answer);
@@ -396,10 +402,11 @@
         let stop = self.stop_orders(runner);
         let acked_through = runner.acked_through;
         let has_room = runner.takes_tasks() && runner.free.millicores > 0;
-        let retry = if has_room { pause } else { REPORT_FULL.max(pause) };
+        let retry =
+            if has_room { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
         let retry = retry.min(self.cfg.heartbeat);
         let retry = match self.trial_on(now, runner) {
-            Some(_) => retry.min(REPORT_TRIAL),
+            Some(_) => retry.min(REPORT_INTERVAL_TRIAL),
             None => retry,
         };
         let Some(runner) = self.runners.get_mut(&key) else { return };
@@ -420,9 +427,9 @@
         self.answer(token, CellResponse::Orders(Box::new(orders)));
     }
 
-    fn pause(&self) -> Duration {
+    fn report_interval(&self) -> Duration {
         let count = u32::try_from(self.runners.len()).unwrap_or(u32::MAX);
-        (REPORT_PER_RUNNER * count).clamp(REPORT_MIN, REPORT_MAX)
+        (REPORT_INTERVAL_PER_RUNNER * count).clamp(REPORT_INTERVAL_MIN, REPORT_INTERVAL_MAX)
     }
 
     /// Orders for runs that are assigned to the runner and that it does not list. If a
@@ -479,16 +486,16 @@
         let incarnation = known.and_then(|key| {
             self.state.incarnation(key).map(|incarnation| (key, incarnation.started_ms))
         });
-        if let Some((key, born)) = incarnation
-            && started_ms.is_none_or(|told| told == born)
+        if let Some((key, newest_ms)) = incarnation
+            && started_ms.is_none_or(|reported| reported == newest_ms)
         {
             log::info!("runner={id} {key} left");
             match (started_ms, self.runners.get_mut(&key)) {
                 (Some(_), _) => {
                     let mut ends = Vec::new();
-                    self.collect_lost(now, key, Why::Left, &mut ends);
+                    self.collect_lost(now, key, LossReason::Left, &mut ends);
                     self.propose_ends(now, ends, OnCommit::Nothing);
-                    self.incarnations.end(key);
+                    self.incarnations.mark_ended(key);
                     self.runners.remove(&key);
                 }
                 // The message may be a delayed one of an earlier incarnation: no run is started
--- a/crates/coordination/src/jobs/incarnations.rs
+++ b/crates/coordination/src/jobs/incarnations.rs
@@ -12,31 +12,31 @@
 pub(super) struct Incarnations {
     by_id: HashMap<Box<str>, IncarnationKey>,
     by_address: HashMap<Box<str>, IncarnationKey>,
-    over: BTreeSet<IncarnationKey>,
+    ended: BTreeSet<IncarnationKey>,
 }
 
 impl Incarnations {
     /// Builds the index from the committed incarnations, in the order of their registration.
-    pub(super) fn of(jobs: &CellState) -> Self {
+    pub(super) fn from_state(state: &CellState) -> Self {
         let mut incarnations = Self::default();
-        for (key, _) in jobs.incarnations() {
-            incarnations.meet(key, jobs);
+        for (key, _) in state.incarnations() {
+            incarnations.add(key, state);
         }
         incarnations
     }
 
     /// Adds a committed incarnation. Marks the incarnations that it replaces as ended, or the
     /// added one if a newer one is known.
-    pub(super) fn meet(&mut self, key: IncarnationKey, jobs: &CellState) {
-        let Some(incarnation) = jobs.incarnation(key) else { return };
+    pub(super) fn add(&mut self, key: IncarnationKey, state: &CellState) {
+        let Some(incarnation) = state.incarnation(key) else { return };
         let mut newest = (key, incarnation);
-        for rival in self.rivals(key, incarnation) {
-            let Some(known) = jobs.incarnation(rival) else { continue };
+        for rival in self.conflicting(key, incarnation) {
+            let Some(known) = state.incarnation(rival) else { continue };
             if known.started_ms > newest.1.started_ms {
-                self.over.insert(newest.0);
+                self.ended.insert(newest.0);
                 newest = (rival, known);
             } else {
-                self.over.insert(rival);
+                self.ended.insert(rival);
             }
         }
         if newest.1.id == incarnation.id {
@@ -48,14 +48,14 @@
     }
 
     /// Incarnations with the same name or address that have not ended.
-    fn rivals(
+    fn conflicting(
         &self,
         key: IncarnationKey,
         incarnation: &RunnerIncarnation,
     ) -> BTreeSet<IncarnationKey> {
         let known = [self.by_id.get(&incarnation.id), self.by_address.get(&incarnation.address)];
-        let rivals = known.into_iter().flatten().copied();
-        rivals.filter(|rival| *rival != key && !self.over.contains(rival)).collect()
+        let conflicting = known.into_iter().flatten().copied();
+        conflicting.filter(|rival| *rival != key && !self.ended.contains(rival)).collect()
     }
 
     /// The newest incarnation of a runner.
@@ -64,17 +64,17 @@
     }
 
     /// Marks an incarnation as ended because its runner has left.
-    pub(super) fn end(&mut self, key: IncarnationKey) {
-        self.over.insert(key);
+    pub(super) fn mark_ended(&mut self, key: IncarnationKey) {
+        self.ended.insert(key);
     }
 
     /// Whether an incarnation has ended; a delayed report of it may still arrive.
-    pub(super) fn is_over(&self, key: IncarnationKey) -> bool {
-        self.over.contains(&key)
+    pub(super) fn has_ended(&self, key: IncarnationKey) -> bool {
+        self.ended.contains(&key)
     }
 
     /// All incarnations that have ended.
-    pub(super) fn over(&self) -> impl Iterator<Item = IncarnationKey> {
-        self.over.iter().copied()
+    pub(super) fn ended(&self) -> impl Iterator<Item = IncarnationKey> {
+        self.ended.iter().copied()
     }
 }
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -1,6 +1,6 @@
 //! State of the leader: commands that wait for the log, pending responses and timers.
 
-use super::account::Accounts;
+use super::account::DelayAccounts;
 use super::advice::Advice;
 use super::external::{ExternalCall, ExternalCallId, ExternalReply};
 use super::incarnations::Incarnations;
@@ -122,18 +122,18 @@
     /// Pools with at least half of their CPU unreserved, as of the last ranking.
     pub(super) idle_pools: BTreeSet<Box<str>>,
     /// Ends of upkeep, by wave and machine, that are proposed but not committed.
-    pub(super) noting: BTreeSet<(u64, Box<str>)>,
+    pub(super) proposed_returns: BTreeSet<(u64, Box<str>)>,
     /// Name under which this process calls the platform.
-    pub(super) cfg_name: Box<str>,
-    pub(super) accounts: Accounts,
-    pub(super) ranked: Moment,
-    pub(super) looked: Moment,
-    pub(super) forgot: Moment,
+    pub(super) node_name: Box<str>,
+    pub(super) accounts: DelayAccounts,
+    pub(super) last_ranked: Moment,
+    pub(super) last_accounted: Moment,
+    pub(super) last_cleanup: Moment,
     pub(super) counts: LeaderCounters,
 }
 
 impl Leader {
-    /// Starts to lead in `term` with the state `jobs`, to which all earlier commands are applied.
+    /// Starts to lead in `term` with `state`, to which all earlier commands are applied.
     ///
     /// ```
     /// use yuccalink_coordination::jobs::*;
@@ -143,12 +143,12 @@
     /// let answers = leader.take_answers();
     /// assert!(matches!(answers[0], (RequestToken(1), CellResponse::NotServing { .. })));
     /// ```
-    pub fn new(cfg: LeaderConfig, term: u64, jobs: CellState, now: Now) -> Self {
+    pub fn new(cfg: LeaderConfig, term: u64, state: CellState, now: Now) -> Self {
         let mut leader = Self {
             cfg,
             term,
             started: now.at,
-            state: jobs,
+            state,
             runners: BTreeMap::new(),
             incarnations: Incarnations::default(),
             routes: Routes::default(),
@@ -172,20 +172,20 @@
             suspects: Suspects::default(),
             moving_out: 0,
             idle_pools: BTreeSet::new(),
-            noting: BTreeSet::new(),
-            cfg_name: Box::default(),
-            accounts: Accounts::default(),
-            ranked: now.at,
-            looked: now.at,
-            forgot: now.at,
+            proposed_returns: BTreeSet::new(),
+            node_name: Box::default(),
+            accounts: DelayAccounts::default(),
+            last_ranked: now.at,
+            last_accounted: now.at,
+            last_cleanup: now.at,
             counts: LeaderCounters::default(),
         };
         leader.routes = Routes::new(leader.state.change_set());
-        leader.incarnations = Incarnations::of(&leader.state);
+        leader.incarnations = Incarnations::from_state(&leader.state);
         leader.interference.recall(leader.state.learnt());
         let active: Vec<JobId> = leader.state.all().map(|(id, _)| id).collect();
         for id in active {
-            leader.meet_job(id, now);
+            leader.add_job(id, now);
             leader.refresh(id, now.at);
         }
         leader
@@ -224,7 +224,7 @@
 
     /// Sets the name under which this process calls external services.
     pub fn set_node_name(&mut self, name: &str) {
-        self.cfg_name = name.into();
+        self.node_name = name.into();
     }
 
     /// Takes the calls to external services since the last call of this function.
@@ -233,9 +233,9 @@
     }
 
     /// Handles the reply of an external service.
-    pub fn handle_external_reply(&mut self, now: Now, call: ExternalCallId, told: ExternalReply) {
-        if !self.advice.told(call, &told) {
-            self.machines_told(now, call, told);
+    pub fn handle_external_reply(&mut self, now: Now, call: ExternalCallId, reply: ExternalReply) {
+        if !self.advice.handle_reply(call, &reply) {
+            self.handle_platform_reply(now, call, reply);
         }
     }
 
@@ -247,10 +247,10 @@
     }
 
     /// Handles one request; its response is available at once or after a commit.
-    pub fn handle_request(&mut self, now: Now, token: RequestToken, ask: CellRequest) {
-        match ask {
+    pub fn handle_request(&mut self, now: Now, token: RequestToken, request: CellRequest) {
+        match request {
             CellRequest::Heartbeat(report) => self.heartbeat(now, token, report),
-            other => self.ask_other(now, token, other),
+            other => self.handle_other_request(now, token, other),
         }
     }
 
@@ -258,14 +258,14 @@
         self.answers.push((token, answer));
     }
 
-    pub(super) fn meet_job(&mut self, id: JobId, now: Now) {
+    pub(super) fn add_job(&mut self, id: JobId, now: Now) {
         let Some(job) = self.state.job(id) else { return };
         // The wall clock may have jumped since the submission. The age is limited to the
         // range from 0 to the longest objective.
         const AGE_MAX_MS: u64 = 60_000;
         let age = now.unix_ms.saturating_sub(job.at_ms).min(AGE_MAX_MS);
-        let came = now.at - Duration::from_millis(age);
-        self.ready.add_job(id, job, came, &self.routes, &mut self.interference);
+        let submitted_at = now.at - Duration::from_millis(age);
+        self.ready.add_job(id, job, submitted_at, &self.routes, &mut self.interference);
         self.accounts.open(id, Duration::from_millis(age));
     }
 
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -11,7 +11,7 @@
 
 /// Why the runs of a runner incarnation count as ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-pub(super) enum Why {
+pub(super) enum LossReason {
     /// A later incarnation of the runner, or another runner at its address, has reported.
     #[display("next-life")]
     NextLife,
@@ -29,7 +29,7 @@
         &self,
         now: Now,
         incarnation: IncarnationKey,
-        why: Why,
+        why: LossReason,
         ends: &mut Vec<RunEnd>,
     ) {
         let runner = self.runners.get(&incarnation);
@@ -39,14 +39,14 @@
             if self.ending.contains(&(task, run)) {
                 continue;
             }
-            let seen = seen(runner, task, run);
+            let seen = loss_evidence(runner, task, run);
             self.log_lost(now, incarnation, why, (task, run), seen);
             let view = runner.and_then(|runner| runner.view(task, run));
             let checkpoint = view.map_or_else(Box::default, |view| view.checkpoint.clone());
             let outcome = match (why, seen.filter(|_| !leaves)) {
-                (Why::Left, _) | (_, None) => RunOutcome::Gone,
-                (Why::NextLife, Some(seen)) => RunOutcome::Crashed(seen),
-                (Why::Lease, Some(seen)) => RunOutcome::Silent(seen),
+                (LossReason::Left, _) | (_, None) => RunOutcome::Gone,
+                (LossReason::NextLife, Some(seen)) => RunOutcome::Crashed(seen),
+                (LossReason::Lease, Some(seen)) => RunOutcome::Silent(seen),
             };
             ends.push(RunEnd { task, run, incarnation, outcome, checkpoint });
         }
@@ -56,7 +56,7 @@
         &self,
         now: Now,
         incarnation: IncarnationKey,
-        why: Why,
+        why: LossReason,
         (task, run): (TaskKey, u32),
         seen: Option<LossEvidence>,
     ) {
@@ -73,7 +73,7 @@
 }
 
 /// Last evidence of a run; `None` if the run was certainly never ordered.
-fn seen(runner: Option<&Runner>, task: TaskKey, run: u32) -> Option<LossEvidence> {
+fn loss_evidence(runner: Option<&Runner>, task: TaskKey, run: u32) -> Option<LossEvidence> {
     let Some(runner) = runner else { return Some(LossEvidence::Nothing) };
     match runner.view(task, run) {
         Some(view) if view.age >= PROVEN_AFTER => Some(LossEvidence::Proven),
--- a/crates/coordination/src/jobs/requests.rs
+++ b/crates/coordination/src/jobs/requests.rs
@@ -12,19 +12,24 @@
 const NO_CHANGE_YET_MS: u64 = 1_000;
 
 impl Leader {
-    pub(super) fn ask_other(&mut self, now: Now, token: RequestToken, ask: CellRequest) {
-        let answer = match ask {
+    pub(super) fn handle_other_request(
+        &mut self,
+        now: Now,
+        token: RequestToken,
+        request: CellRequest,
+    ) {
+        let answer = match request {
             CellRequest::Submit { at, id, spec } => self.submit(now, token, &at, id, &spec),
-            CellRequest::State { at, id } => Some(self.in_queue(&at, |leader, queue| {
+            CellRequest::State { at, id } => Some(self.with_queue(&at, |leader, queue| {
                 leader
                     .job_of(queue, id)
-                    .map_or(CellResponse::Gone, |job| leader.told_state(id, job))
+                    .map_or(CellResponse::Gone, |job| leader.state_response(id, job))
             })),
             CellRequest::Cancel { at, id } => self.cancel(now, token, &at, id),
             CellRequest::Pending { at } => Some(
-                self.in_queue(&at, |leader, queue| CellResponse::Pending(leader.pending(queue))),
+                self.with_queue(&at, |leader, queue| CellResponse::Pending(leader.pending(queue))),
             ),
-            CellRequest::Other { at } => Some(self.in_queue(&at, |_, _| CellResponse::NotTaken)),
+            CellRequest::Other { at } => Some(self.with_queue(&at, |_, _| CellResponse::NotTaken)),
             CellRequest::Leave { runner, started_ms } => {
                 self.leave(now, token, &runner, started_ms);
                 None
@@ -44,27 +49,27 @@
         }
     }
 
-    fn in_queue<F>(&self, at: &QueueAddress, then: F) -> CellResponse
+    fn with_queue<F>(&self, at: &QueueAddress, respond: F) -> CellResponse
     where
         F: FnOnce(&Self, &Queue) -> CellResponse,
     {
-        if !self.routes.in_force() {
+        if !self.routes.has_change_set() {
             return CellResponse::NotServing { after_ms: NO_CHANGE_YET_MS };
         }
         match self.routes.route(&at.host, &at.path) {
-            Some(queue) => then(self, queue),
+            Some(queue) => respond(self, queue),
             None => CellResponse::NoQueue,
         }
     }
 
-    fn told_state(&self, id: JobId, job: &Job) -> CellResponse {
+    fn state_response(&self, id: JobId, job: &Job) -> CellResponse {
         match state(job) {
-            JobState::Failed => CellResponse::Failed(self.why_failed(id, job).into()),
+            JobState::Failed => CellResponse::Failed(self.failure_text(id, job).into()),
             other => CellResponse::State(other),
         }
     }
 
-    fn why_failed(&self, id: JobId, job: &Job) -> String {
+    fn failure_text(&self, id: JobId, job: &Job) -> String {
         let losses = self.state.losses();
         match losses.of_job(id).find(|(task, _)| self.state.exceeds_loss_limit(*task)) {
             Some((task, lost)) => format!(
@@ -91,7 +96,7 @@
         id: JobId,
         spec: &Arc<JobSpec>,
     ) -> Option<CellResponse> {
-        if !self.routes.in_force() {
+        if !self.routes.has_change_set() {
             return Some(CellResponse::NotServing { after_ms: NO_CHANGE_YET_MS });
         }
         let Some(queue) = self.routes.route(&at.host, &at.path) else {
@@ -101,10 +106,10 @@
             // The caller sent the job again; the first response may have been lost.
             return Some(CellResponse::Accepted);
         }
-        if let Err(bad) = spec.check() {
-            return Some(CellResponse::Invalid(bad.to_string().into()));
+        if let Err(error) = spec.check() {
+            return Some(CellResponse::Invalid(error.to_string().into()));
         }
-        if let Some(after_ms) = self.refuse() {
+        if let Some(after_ms) = self.overload_retry_ms() {
             log::info!("job={id} queue={} refused after-ms={after_ms}", queue.name);
             self.counts.refused += 1;
             return Some(CellResponse::Refused { after_ms });
@@ -128,7 +133,7 @@
         at: &QueueAddress,
         id: JobId,
     ) -> Option<CellResponse> {
-        let found = self.in_queue(at, |leader, queue| {
+        let found = self.with_queue(at, |leader, queue| {
             leader
                 .job_of(queue, id)
                 .map_or(CellResponse::Gone, |job| CellResponse::State(state(job)))
@@ -159,9 +164,9 @@
     }
 
     fn change(&mut self, token: RequestToken, change: &Arc<ChangeSet>) -> Option<CellResponse> {
-        if let Err(bad) = change.check() {
-            log::info!("change version={} refused: {bad}", change.version);
-            return Some(CellResponse::Invalid(bad.to_string().into()));
+        if let Err(error) = change.check() {
+            log::info!("change version={} refused: {error}", change.version);
+            return Some(CellResponse::Invalid(error.to_string().into()));
         }
         let version = change.version;
         // An equal or lower version is acknowledged and changes nothing, because the highest
--- a/crates/coordination/src/jobs/routes.rs
+++ b/crates/coordination/src/jobs/routes.rs
@@ -10,7 +10,7 @@
     by_name: HashMap<Box<str>, Queue>,
     /// Queues of each host, sorted by the length of their prefix, the longest first.
     by_host: HashMap<Box<str>, Vec<Route>>,
-    in_force: bool,
+    has_change_set: bool,
 }
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 
 impl Routes {
     pub(super) fn new(change: Option<&ChangeSet>) -> Self {
-        let mut routes = Self { in_force: change.is_some(), ..Self::default() };
+        let mut routes = Self { has_change_set: change.is_some(), ..Self::default() };
         for queue in change.into_iter().flat_map(|change| &change.queues) {
             let route = Route { prefix: queue.prefix.clone(), name: queue.name.clone() };
             routes.by_host.entry(queue.host.clone()).or_default().push(route);
@@ -34,8 +34,8 @@
     }
 
     /// Whether a change set is in force.
-    pub(super) fn in_force(&self) -> bool {
-        self.in_force
+    pub(super) fn has_change_set(&self) -> bool {
+        self.has_change_set
     }
 
     /// The queue called `name`.
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -21,9 +21,9 @@
 const LEASE_SLACK: Duration = Duration::from_millis(100);
 /// Age after which a runner certainly drops an order: one second, plus slack for the two
 /// clocks.
-const ORDER_LIFE: Duration = Duration::from_millis(1_100);
+const ORDER_LIFETIME_MAX: Duration = Duration::from_millis(1_100);
 /// A runner whose last report is more recent than this is expected to report again soon.
-const HEARD_LATELY: Duration = Duration::from_millis(1_500);
+const RECENT_REPORT_AGE_MAX: Duration = Duration::from_millis(1_500);
 
 /// Runners whose runs fail or stall get fewer tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     /// once a second, and a long run advances by a percent in much less, so two heartbeats
     /// without progress are no coincidence.
     #[serde(rename = "standing-ms")]
-    pub standing: Millis,
+    pub stalled_after: Millis,
 }
 
 impl Default for DistrustPolicy {
@@ -55,7 +55,7 @@
             bad_ends_max: 2,
             quarantine: Millis(2_500),
             forgiven: Millis(8_000),
-            standing: Millis(1_800),
+            stalled_after: Millis(1_800),
         }
     }
 }
@@ -69,8 +69,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
     /// Failed or stalled runs since the last successful run.
-    bad: u32,
-    last_bad: Moment,
+    consecutive_failures: u32,
+    last_failure: Moment,
 }
 
 /// Which tasks may start on a runner, by its health.
@@ -87,26 +87,26 @@
 }
 
 impl Health {
-    pub(super) fn went_well(&mut self) {
-        self.bad = 0;
+    pub(super) fn record_success(&mut self) {
+        self.consecutive_failures = 0;
     }
 
-    pub(super) fn went_badly(&mut self, now: Moment) {
-        self.bad += 1;
-        self.last_bad = now;
+    pub(super) fn record_failure(&mut self, now: Moment) {
+        self.consecutive_failures += 1;
+        self.last_failure = now;
     }
 
     pub(super) fn trust(self, now: Moment, policy: &DistrustPolicy) -> Trust {
         // Without a time limit, a task's last attempt would wait for ever if every runner had a
         // failed run and no other task is left whose success could restore the trust.
-        let forgiven = now.since(self.last_bad) > policy.forgiven.to_duration();
-        if self.bad == 0 || forgiven || policy.mode == Switch::Off {
+        let forgiven = now.since(self.last_failure) > policy.forgiven.to_duration();
+        if self.consecutive_failures == 0 || forgiven || policy.mode == Switch::Off {
             return Trust::Full;
         }
-        if self.bad < policy.bad_ends_max {
+        if self.consecutive_failures < policy.bad_ends_max {
             return Trust::SecondTryOnly;
         }
-        match now.since(self.last_bad) < policy.quarantine.to_duration() {
+        match now.since(self.last_failure) < policy.quarantine.to_duration() {
             true => Trust::None,
             false => Trust::Probe,
         }
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(super) fn stands_still(&self, now: Moment, after: Millis) -> bool {
+    pub(super) fn is_stalled(&self, now: Moment, after: Millis) -> bool {
         self.rate == Some(100) && self.percent < 100 && now.since(self.moved) > after.to_duration()
     }
 }
@@ -157,7 +157,7 @@
     pub(super) capacity: Resources,
     pub(super) state: RunnerState,
     /// The machine of the runner will go down for upkeep.
-    pub(super) closing: bool,
+    pub(super) upkeep_pending: bool,
     pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
     pub(super) last_report_at: Moment,
@@ -166,7 +166,7 @@
     /// Run ends up to this number are committed.
     pub(super) acked_through: u64,
     /// Run ends up to this number are proposed.
-    pub(super) proposed: u64,
+    pub(super) proposed_through: u64,
     pub(super) running: BTreeMap<TaskKey, RunView>,
     /// Runs that were ordered to start, and when the order was last sent.
     pub(super) ordered: BTreeMap<(TaskKey, u32), Moment>,
@@ -197,13 +197,13 @@
             labels: report.labels.clone(),
             capacity: report.capacity,
             state: report.state,
-            closing: false,
+            upkeep_pending: false,
             terminates_at: None,
             sequence: 0,
             last_report_at: now,
             lease_end: now,
             acked_through: 0,
-            proposed: 0,
+            proposed_through: 0,
             running: BTreeMap::new(),
             ordered: BTreeMap::new(),
             withheld: BTreeMap::new(),
@@ -231,10 +231,10 @@
             }
         };
         // Runs in an incarnation's first report to this leader were started by an earlier one.
-        let known = self.sequence > 0;
+        let reported_before = self.sequence > 0;
         let mut former = std::mem::take(&mut self.running);
         for run in &report.running {
-            let view = next_view(former.remove(&run.task), run, now, known);
+            let view = next_view(former.remove(&run.task), run, now, reported_before);
             self.running.insert(run.task, view);
         }
         self.sequence = report.sequence;
@@ -245,7 +245,7 @@
     where
         I: Iterator<Item = (TaskKey, u32)>,
     {
-        self.ordered.retain(|_, at| now.since(*at) < ORDER_LIFE);
+        self.ordered.retain(|_, at| now.since(*at) < ORDER_LIFETIME_MAX);
         self.ordered.extend(runs.map(|run| (run, now)));
     }
 
@@ -271,22 +271,22 @@
         now: Moment,
     ) -> bool {
         let since = self.withheld.get(&(task, run));
-        since.is_some_and(|since| now.since(*since) > ORDER_LIFE + lease)
+        since.is_some_and(|since| now.since(*since) > ORDER_LIFETIME_MAX + lease)
     }
 
     /// Whether an order to start a run may still be on its way.
     pub(super) fn may_yet_start(&self, task: TaskKey, run: u32, now: Moment) -> bool {
-        self.ordered.get(&(task, run)).is_some_and(|at| now.since(*at) < ORDER_LIFE)
+        self.ordered.get(&(task, run)).is_some_and(|at| now.since(*at) < ORDER_LIFETIME_MAX)
     }
 
     /// Whether the runner can be given new tasks at all.
     pub(super) fn takes_tasks(&self) -> bool {
-        self.state == RunnerState::Ready && !self.closing
+        self.state == RunnerState::Ready && !self.upkeep_pending
     }
 
     /// Whether the runner reported recently, so that its next report is expected soon.
     pub(super) fn reported_recently(&self, now: Moment) -> bool {
-        now.since(self.last_report_at) < HEARD_LATELY
+        now.since(self.last_report_at) < RECENT_REPORT_AGE_MAX
     }
 
     /// A run as the runner last reported it, if it did.
@@ -300,7 +300,12 @@
     }
 }
 
-fn next_view(former: Option<RunView>, run: &ReportedRun, now: Moment, fresh: bool) -> RunView {
+fn next_view(
+    former: Option<RunView>,
+    run: &ReportedRun,
+    now: Moment,
+    reported_before: bool,
+) -> RunView {
     let same = former.filter(|view| view.run == run.run);
     let moved = match &same {
         Some(view) if view.percent == run.percent => view.moved,
@@ -317,6 +322,6 @@
         moved,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
         // A new leader does not know which pace the former one ordered.
-        rate: same.as_ref().map_or(fresh.then_some(100), |view| view.rate),
+        rate: same.as_ref().map_or(reported_before.then_some(100), |view| view.rate),
     }
 }
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -25,9 +25,9 @@
 
 /// Concurrent trials of one job while at most one runner has crashed at the start of its
 /// tasks.
-const TRIED_OF_JOB_MAX: usize = 3;
+const TRIALS_PER_JOB_MAX: usize = 3;
 /// Concurrent trials that are always allowed, however few runners there are.
-const TRIED_MIN: usize = 2;
+const TRIALS_MIN: usize = 2;
 
 /// How tasks whose runners were lost are tried alone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -86,9 +86,9 @@
     /// Since when each suspect has waited.
     since: BTreeMap<TaskKey, Moment>,
     /// Number of further trials that may start.
-    left: usize,
+    trials_left: usize,
     /// Number of further trials that may start for each job.
-    left_of_job: BTreeMap<JobId, usize>,
+    trials_left_of_job: BTreeMap<JobId, usize>,
     /// Incarnations that were lost and report again, and since when.
     reporting: BTreeMap<IncarnationKey, Moment>,
 }
@@ -112,7 +112,8 @@
             return CrashSuspicion::Clear;
         }
         let own = losses.of(task);
-        if own.len() >= CRASHES_AT_START_MAX && own.iter().any(|loss| self.may_be_heard(now, loss))
+        if own.len() >= CRASHES_AT_START_MAX
+            && own.iter().any(|loss| self.may_become_known(now, loss))
         {
             return CrashSuspicion::HeldBack;
         }
@@ -126,7 +127,7 @@
     }
 
     /// Whether the fate of a lost runner is unknown and may still become known.
-    fn may_be_heard(&self, now: Now, loss: &Loss) -> bool {
+    fn may_become_known(&self, now: Now, loss: &Loss) -> bool {
         let wait = u64::from(self.cfg.policy.suspects.news.0);
         // The wall clock may have been set back since.
         let age = now.unix_ms.checked_sub(loss.at_ms);
@@ -137,7 +138,7 @@
     /// tasks is running or done.
     fn has_suspect_step(&self, task: TaskKey) -> bool {
         let group = StepKey::of(task);
-        if self.lives_lost_at_start(group.job, Some(group)).len() < 2 {
+        if self.incarnations_crashed_at_start(group.job, Some(group)).len() < 2 {
             return false;
         }
         let Some(job) = self.state.job(task.job) else { return false };
@@ -161,7 +162,11 @@
 
     /// Incarnations that crashed right after the order to start a task of a job, or of one of
     /// its steps.
-    fn lives_lost_at_start(&self, job: JobId, group: Option<StepKey>) -> BTreeSet<IncarnationKey> {
+    fn incarnations_crashed_at_start(
+        &self,
+        job: JobId,
+        group: Option<StepKey>,
+    ) -> BTreeSet<IncarnationKey> {
         let of_group = |task: TaskKey| group.is_none_or(|group| StepKey::of(task) == group);
         let losses = self.state.losses().of_job(job).filter(|(task, _)| of_group(*task));
         let at_start = losses.flat_map(|(_, losses)| losses).filter(|loss| {
@@ -189,10 +194,10 @@
         let mut waiting = self.waiting_suspects(now);
         waiting.sort_unstable();
         let one_in = self.cfg.policy.suspects.one_in.max(1);
-        let most = (self.runners.len() / one_in).max(TRIED_MIN);
-        let mut left_of_job = BTreeMap::new();
+        let trials_max = (self.runners.len() / one_in).max(TRIALS_MIN);
+        let mut trials_left_of_job = BTreeMap::new();
         for WaitingSuspect { crashed_of_job, job, .. } in &waiting {
-            left_of_job.entry(*job).or_insert_with(|| {
+            trials_left_of_job.entry(*job).or_insert_with(|| {
                 let tried = trying.iter().filter(|task| task.job == *job).count();
                 self.trials_of_job(*job, *crashed_of_job).saturating_sub(tried)
             });
@@ -201,14 +206,14 @@
         let since = |task| *former.get(&task).unwrap_or(&now.at);
         self.suspects.since = waiting.iter().map(|s| (s.task, since(s.task))).collect();
         self.suspects.waiting = waiting.into_iter().map(|suspect| suspect.task).collect();
-        self.suspects.left = most.saturating_sub(trying.len());
-        self.suspects.left_of_job = left_of_job;
+        self.suspects.trials_left = trials_max.saturating_sub(trying.len());
+        self.suspects.trials_left_of_job = trials_left_of_job;
     }
 
     /// How many tasks of a job may be tried at once.
     fn trials_of_job(&self, job: JobId, crashed: usize) -> usize {
         match crashed {
-            0 | 1 => TRIED_OF_JOB_MAX,
+            0 | 1 => TRIALS_PER_JOB_MAX,
             // Each task that has survived its start makes it less likely that the others crash.
             _ => 1 + 2 * self.survivors_of(job),
         }
@@ -227,7 +232,7 @@
         let mut found = Vec::new();
         for group in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
             let Some(job) = self.state.job(group.job) else { continue };
-            let crashed_of_job = self.lives_lost_at_start(group.job, None).len();
+            let crashed_of_job = self.incarnations_crashed_at_start(group.job, None).len();
             let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
             if step.gang {
                 continue;
@@ -300,11 +305,12 @@
             return;
         }
         let suspects = &self.suspects;
-        if suspects.left == 0 {
+        if suspects.trials_left == 0 {
             return;
         }
-        let may = |task: &&TaskKey| suspects.left_of_job.get(&task.job).is_some_and(|n| *n > 0);
-        let mut waiting = suspects.waiting.iter().filter(may);
+        let has_trials_left =
+            |task: &&TaskKey| suspects.trials_left_of_job.get(&task.job).is_some_and(|n| *n > 0);
+        let mut waiting = suspects.waiting.iter().filter(has_trials_left);
         let Some(start) = waiting.find_map(|task| self.try_on(now, runner, trust, *task, chosen))
         else {
             return;
@@ -323,8 +329,8 @@
         }
         chosen.starts.push(start);
         self.counts.tried += 1;
-        self.suspects.left -= 1;
-        if let Some(left) = self.suspects.left_of_job.get_mut(&start.task.job) {
+        self.suspects.trials_left -= 1;
+        if let Some(left) = self.suspects.trials_left_of_job.get_mut(&start.task.job) {
             *left -= 1;
         }
         self.suspects.waiting.retain(|task| *task != start.task);
@@ -361,7 +367,7 @@
     /// Handles a report of a runner whose runs were given up. Once such reports have come for
     /// the duration of a lease, the losses are no crash. A single report may have been sent
     /// before a crash.
-    pub(super) fn revive(&mut self, now: Now, key: IncarnationKey) {
+    pub(super) fn note_return(&mut self, now: Now, key: IncarnationKey) {
         if !self.state.losses().has_unknown(key) {
             return;
         }
@@ -375,28 +381,28 @@
     }
 
     /// The command that clears an incarnation of its crash is committed.
-    pub(super) fn revived(&mut self, key: IncarnationKey) {
+    pub(super) fn clear_return(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
     /// Logs the verdict on tasks whose lost runners were in `were_unknown` and whose fate is
     /// known now.
-    pub(super) fn log_fates(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
+    pub(super) fn log_resolved_losses(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
         if were_unknown.is_empty() {
             return;
         }
         let losses = self.state.losses();
         let still = losses.unknown();
-        let told = |loss: &Loss| {
+        let resolved = |loss: &Loss| {
             were_unknown.contains(&loss.incarnation) && !still.contains(&loss.incarnation)
         };
-        for (task, _) in losses.tasks().filter(|(_, own)| own.iter().any(told)) {
-            self.log_standing(now, task);
+        for (task, _) in losses.tasks().filter(|(_, own)| own.iter().any(resolved)) {
+            self.log_suspicion(now, task);
         }
     }
 
     /// Logs the verdict on a task that has lost runners.
-    pub(super) fn log_standing(&self, now: Now, task: TaskKey) {
+    pub(super) fn log_suspicion(&self, now: Now, task: TaskKey) {
         let losses = self.state.losses();
         let own = losses.of(task);
         if own.is_empty() {
--- a/crates/coordination/src/jobs/telemetry.rs
+++ b/crates/coordination/src/jobs/telemetry.rs
@@ -52,11 +52,11 @@
     pub(super) fn log_load(&self, now: Now) {
         let mut load = Load::default();
         for runner in self.runners.values() {
-            let beside = self.colocation(now, runner);
-            load.mixed += usize::from(beside.serving.len() > 1);
-            load.serving += usize::from(!beside.serving.is_empty());
+            let colocation = self.colocation(now, runner);
+            load.mixed += usize::from(colocation.serving.len() > 1);
+            load.serving += usize::from(!colocation.serving.is_empty());
             load.paced += usize::from(runner.paces.values().any(|pace| *pace < 100));
-            load.filling += beside.filling.iter().map(|fill| fill.share).sum::<f64>();
+            load.filling += colocation.filling.iter().map(|fill| fill.share).sum::<f64>();
             load.runs += runner.running.len();
             load.free += runner.free.millicores;
             load.over += usize::from(runner.over_since.is_some());
@@ -80,7 +80,7 @@
 
     pub(super) fn log_accepted(&self, id: JobId) {
         let Some(job) = self.state.job(id) else { return };
-        let steps: Vec<Box<str>> = job.spec.steps.iter().map(shown_step).collect();
+        let steps: Vec<Box<str>> = job.spec.steps.iter().map(format_step).collect();
         log::info!("job={id} accepted queue={} steps=[{}]", job.queue, steps.join(" "));
     }
 
@@ -123,7 +123,7 @@
 }
 
 /// Formats a step as one word: tasks, millicores, MiB, estimate, and special properties.
-fn shown_step(step: &StepSpec) -> Box<str> {
+fn format_step(step: &StepSpec) -> Box<str> {
     let mut f = format!(
         "{}x{}m/{}M/{}ms",
         step.count, step.need.millicores, step.need.memory_mib, step.estimate_ms
