--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -27,8 +27,9 @@
 const REPORT_INTERVAL_FULL: Duration = Duration::from_millis(500);
 /// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
 const REPORT_INTERVAL_TRIAL: Duration = Duration::from_millis(150);
-/// Time before the announced end of a runner by which its runs should have ended. The work
-/// of runs that end with the runner is lost.
+/// Margin before the announced end of a draining runner, in which no run should end. The
+/// runner leaves a little after the time it announced, and runs that end with it lose their
+/// work.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long-running tasks leave a draining runner.
@@ -75,7 +76,7 @@
             }
             (_, Some(newest_ms)) if report.started_ms < newest_ms => {
                 log::info!(
-                    "runner={} report of an earlier incarnation ignored: born={} newest={newest_ms}",
+                    "runner={} report of earlier incarnation ignored: born={} newest={newest_ms}",
                     report.runner,
                     report.started_ms
                 );
@@ -270,8 +271,8 @@
     }
 
     /// Long-running tasks on a draining runner that no other runner has capacity for. Tasks
-    /// that are moving already are counted against the free capacity, so that no two tasks
-    /// move for the same capacity.
+    /// that already move are counted against the free capacity, so that several tasks do not
+    /// move to the same capacity.
     fn tasks_to_keep(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
         let policy = self.cfg.policy.leaving;
         let mut tasks_to_keep = BTreeSet::new();
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -13,7 +13,7 @@
 
 /// How much too slow a runner's monotonic clock may be, in percent; the platform's bound.
 const RUNNER_CLOCK_SLOW_PERCENT: u32 = 2;
-/// How much too slow this VM's clock may be, in percent; see
+/// How much too slow this VM's clock may be against true time, in percent; see
 /// [`crate::moment::DRIFT_PPM`].
 const OWN_CLOCK_SLOW_PERCENT: u32 = 1;
 /// Added to a lease before it counts as expired, because the runner may read its clock this
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -273,7 +273,7 @@
         self.state.losses().crashes(task).reach_bound_with(1)
     }
 
-    /// Whether a step's job has tasks that may not start like others because of lost runners.
+    /// Whether a step's job has tasks that lost runners and may not start like any other task.
     pub(super) fn has_suspect(&self, now: Now, group: StepKey) -> bool {
         let mut lost = self.state.losses().of_job(group.job);
         lost.any(|(task, _)| self.standing(now, task) != CrashSuspicion::Clear)
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Stops long-running tasks on machines that are drained, and orders the upkeep of
-    /// machines that are empty or have been drained for `DRAIN_TIME_MAX`.
+    /// Stops long-running tasks on the machines to drain. Orders the upkeep of a machine once
+    /// it has no long-running task left, and either no other run or `DRAIN_TIME_MAX` has passed.
     fn drain_machines(&mut self, now: Now) {
         let machines: Vec<Box<str>> = self.waves.draining.keys().cloned().collect();
         for machine in machines {
@@ -180,8 +180,8 @@
         tasks.is_empty()
     }
 
-    /// Whether a long-running task may be stopped now: fewer other tasks of its step are not
-    /// working than its document allows.
+    /// Whether a long-running task may be stopped now, because fewer other tasks of its step
+    /// are away than its document allows.
     pub(super) fn may_disrupt(&self, task: TaskKey, also_stopping: &BTreeSet<TaskKey>) -> bool {
         let Some(step) = self.state.step_spec(task) else { return false };
         if !step.long_running {
