--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -1,8 +1,8 @@
-//! Heartbeats of runners: what they tell is taken in, what is to be started or
-//! stopped goes back with the answer.
+//! Heartbeats of runners: the leader processes the report and responds with orders to start
+//! or stop runs.
 
 use super::leader::{Leader, Now, OnCommit, PendingHeartbeat, RequestToken};
-use super::lost::Why;
+use super::lost::LossReason;
 use super::messages::{
     CellResponse, FinishedRun, RunnerOrders, RunnerReport, RunnerState, StartOrder,
 };
@@ -17,27 +17,29 @@
     RunnerIncarnation, TaskKey,
 };
 
-/// Longest and shortest time between reports of a runner with room: each report
-/// is a chance to start something there, and costs the leader about 60 us.
-const REPORT_MIN: Duration = Duration::from_millis(150);
-const REPORT_MAX: Duration = Duration::from_millis(1_000);
-/// Added for each runner, so that all together report at most 250 times a second.
-const REPORT_PER_RUNNER: Duration = Duration::from_millis(4);
-/// A runner without room reports by itself after each end.
-const REPORT_FULL: Duration = Duration::from_millis(500);
-/// A runner that tries a suspect tells soon whether it has survived its start.
-const REPORT_TRIAL: Duration = Duration::from_millis(150);
-/// A runner leaves a little after it said, and what ends then is lost work.
+/// Shortest and longest interval between reports of a runner with free capacity. Each report
+/// is a chance to start a task there, and costs the leader about 60 us.
+const REPORT_INTERVAL_MIN: Duration = Duration::from_millis(150);
+const REPORT_INTERVAL_MAX: Duration = Duration::from_millis(1_000);
+/// Interval per runner, so that all runners together report at most 250 times a second.
+const REPORT_INTERVAL_PER_RUNNER: Duration = Duration::from_millis(4);
+/// Interval for a runner without free capacity, which also reports after each run end.
+const REPORT_INTERVAL_FULL: Duration = Duration::from_millis(500);
+/// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
+const REPORT_INTERVAL_TRIAL: Duration = Duration::from_millis(150);
+/// Margin before the announced end of a draining runner, in which no run should end. The
+/// runner leaves a little after the time it announced, and runs that end with it lose their
+/// work.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Tasks that last leave a runner that leaves.
+/// How long-running tasks leave a draining runner.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LeavingPolicy {
-    /// Whether they stay while there is no room elsewhere; otherwise they are stopped at
-    /// once, and serve nobody until there is.
+    /// Whether the tasks stay while no other runner has capacity for them. Otherwise they are
+    /// stopped at once and serve nobody until another runner has capacity.
     pub mode: Switch,
-    /// How long before the runner's end they are stopped all the same.
+    /// Time before the runner's end at which the tasks are stopped in any case.
     #[serde(rename = "margin-ms")]
     pub margin: Millis,
 }
@@ -48,11 +50,11 @@
     }
 }
 
-/// What a report's answer may start.
+/// Whether the response to a report may start runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Offer {
-    Work,
-    Nothing,
+enum NewStarts {
+    Allowed,
+    Deferred,
 }
 
 impl Leader {
@@ -60,32 +62,32 @@
         self.counts.heartbeats += 1;
         let change = self.state.change_set();
         if change.is_some_and(|change| change.pool(&report.pool).is_none()) {
-            log::info!("runner={} left aside: no pool {}", report.runner, report.pool);
-            let what = format!("there is no pool {}; correct the name", report.pool);
-            return self.answer(token, CellResponse::Invalid(what.into()));
+            log::info!("runner={} ignored: no pool {}", report.runner, report.pool);
+            let message = format!("there is no pool {}; correct the name", report.pool);
+            return self.answer(token, CellResponse::Invalid(message.into()));
         }
         let known = self.incarnations.newest(&report.runner);
-        let born = known
+        let newest_ms = known
             .and_then(|key| self.state.incarnation(key))
             .map(|incarnation| incarnation.started_ms);
-        match (known, born) {
-            (Some(key), Some(born)) if born == report.started_ms => {
-                self.take_report(now, token, key, &report, Offer::Work);
+        match (known, newest_ms) {
+            (Some(key), Some(newest_ms)) if newest_ms == report.started_ms => {
+                self.process_report(now, token, key, &report, NewStarts::Allowed);
             }
-            (_, Some(born)) if report.started_ms < born => {
+            (_, Some(newest_ms)) if report.started_ms < newest_ms => {
                 log::info!(
-                    "runner={} report of an earlier life left aside: born={} newest={born}",
+                    "runner={} report of earlier incarnation ignored: born={} newest={newest_ms}",
                     report.runner,
                     report.started_ms
                 );
                 let answer = self.empty_orders();
                 self.answer(token, answer);
             }
-            _ => self.propose_life(token, report),
+            _ => self.propose_incarnation(token, report),
         }
     }
 
-    fn propose_life(&mut self, token: RequestToken, report: Box<RunnerReport>) {
+    fn propose_incarnation(&mut self, token: RequestToken, report: Box<RunnerReport>) {
         let incarnation = RunnerIncarnation {
             id: report.runner.clone(),
             started_ms: report.started_ms,
@@ -94,8 +96,8 @@
         self.propose(JobCommand::Meet(incarnation), OnCommit::Met { token, report });
     }
 
-    /// A new life is in the log; what earlier ones ran is over.
-    pub(super) fn met(
+    /// A new runner incarnation is committed: ends the runs of the incarnations that it replaces.
+    pub(super) fn incarnation_committed(
         &mut self,
         now: Now,
         token: RequestToken,
@@ -103,32 +105,32 @@
         outcome: &JobOutcome,
     ) {
         let JobOutcome::Met(key) = *outcome else { return };
-        self.incarnations.meet(key, &self.state);
-        log::info!("runner={} {key} met: born={}", report.runner, report.started_ms);
+        self.incarnations.add(key, &self.state);
+        log::info!("runner={} {key} registered: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
-        for over in self.incarnations.over() {
-            self.collect_lost(now, over, Why::NextLife, &mut ends);
-            self.runners.remove(&over);
+        for ended in self.incarnations.ended() {
+            self.collect_lost(now, ended, LossReason::NextLife, &mut ends);
+            self.runners.remove(&ended);
         }
-        // What it ran before is not waiting yet, and comes before what never ran: it must
-        // not find its room taken by the time it is.
-        let offer = if ends.is_empty() { Offer::Work } else { Offer::Nothing };
+        // Interrupted tasks come before tasks that never ran, but they wait only once the ends
+        // proposed here are committed. Until then no other task may take their capacity.
+        let new_starts = if ends.is_empty() { NewStarts::Allowed } else { NewStarts::Deferred };
         self.propose_ends(now, ends, OnCommit::Nothing);
-        self.take_report(now, token, key, report, offer);
+        self.process_report(now, token, key, report, new_starts);
     }
 
-    fn take_report(
+    fn process_report(
         &mut self,
         now: Now,
         token: RequestToken,
         key: IncarnationKey,
         report: &RunnerReport,
-        offer: Offer,
+        new_starts: NewStarts,
     ) {
         let runner = self.runners.entry(key).or_insert_with(|| Runner::new(key, report, now.at));
         let late = report.sequence <= runner.sequence && runner.sequence > 0;
-        if late || self.incarnations.is_over(key) {
-            log::info!("runner={} late report {} left aside", report.runner, report.sequence);
+        if late || self.incarnations.has_ended(key) {
+            log::info!("runner={} late report {} ignored", report.runner, report.sequence);
             let answer = self.empty_orders();
             return self.answer(token, answer);
         }
@@ -136,24 +138,24 @@
             log::info!("runner={} state={} was={}", report.runner, report.state, runner.state);
         }
         runner.update(report, now.at);
-        self.revive(now, key);
+        self.note_return(now, key);
         let ends = self.new_ends(key, &report.finished);
         let ended: BTreeSet<(TaskKey, u32)> =
             report.finished.iter().filter_map(|f| f.task.map(|task| (task, f.run))).collect();
         let mut all_ends = ends;
         self.collect_never_started(now, key, &ended, &mut all_ends);
-        self.judge_runs(now, key);
+        self.mark_runs_to_stop(now, key);
         let colocation = self.pace(now, key);
         self.measure_room(key, &ended);
-        let starts = match offer {
-            Offer::Work => self.pick(now, key, colocation),
-            Offer::Nothing => Vec::new(),
+        let starts = match new_starts {
+            NewStarts::Allowed => self.pick(now, key, colocation),
+            NewStarts::Deferred => Vec::new(),
         };
         self.commit_report(now, token, key, report, all_ends, starts);
     }
 
-    /// Ends that are not yet in the log. Those of runs that are not held are known
-    /// already, or were given up when their lease ended.
+    /// Reported run ends that are not yet proposed or committed. A run that is not assigned
+    /// has an end in the log already, or was given up when its lease expired.
     fn new_ends(&self, key: IncarnationKey, finished: &[FinishedRun]) -> Vec<RunEnd> {
         let mut ends = Vec::new();
         for end in finished {
@@ -173,8 +175,8 @@
         ends
     }
 
-    /// Runs that were never started and must not be any more: their job has ended, or their
-    /// runner has no room for them any more.
+    /// Collects ends for runs that were assigned but never started and must not start any more:
+    /// the job has ended, or the runner has no capacity for the run any more.
     fn collect_never_started(
         &self,
         now: Now,
@@ -183,15 +185,15 @@
         ends: &mut Vec<RunEnd>,
     ) {
         let Some(runner) = self.runners.get(&key) else { return };
-        let order_over = lease_expiry_bound(self.cfg.lease);
+        let order_expiry = lease_expiry_bound(self.cfg.lease);
         for (task, run) in self.state.assigned_runs(key) {
             let listed = runner.view(task, run).is_some();
             let under_way = self.ending.contains(&(task, run));
             let wanted = self.is_wanted(task)
                 && self.may_be_ordered(now, key, task)
-                && !runner.is_withheld(task, run, order_over, now.at);
-            // Its order may be late, and start it in room that was given away meanwhile: the
-            // runner would hold more than it has.
+                && !runner.is_withheld(task, run, order_expiry, now.at);
+            // A delayed order may still start the run. If its capacity were given to another run
+            // meanwhile, the runner would be overcommitted.
             let late = runner.may_yet_start(task, run, now.at);
             if listed || under_way || ended.contains(&(task, run)) || wanted || late {
                 continue;
@@ -206,45 +208,45 @@
         }
     }
 
-    /// Whether an order to start a task would be taken: one whose ticket has run out
-    /// would not.
+    /// Whether the runner would accept an order to start a task. It rejects an order whose
+    /// ticket has expired.
     fn may_be_ordered(&self, now: Now, incarnation: IncarnationKey, task: TaskKey) -> bool {
         let group = StepKey::of(task);
         !self.needs_ticket(group) || self.advice.ticket(group, incarnation, now.at).is_some()
     }
 
-    /// Whether a task is still to be done.
+    /// Whether a task still has to run.
     fn is_wanted(&self, task: TaskKey) -> bool {
         let active = self.state.job(task.job).is_some_and(|job| job.phase == JobPhase::Active);
         active && self.state.task(task).is_some_and(|task| !task.done)
     }
 
-    /// Finds runs that stand still, and those that will not end before their
-    /// runner leaves.
-    fn judge_runs(&mut self, now: Now, key: IncarnationKey) {
-        let standing_after = self.cfg.policy.distrust.standing;
-        let staying = self.staying(now, key);
+    /// Marks runs to be stopped: stalled runs, and runs that will not end before their runner
+    /// leaves.
+    fn mark_runs_to_stop(&mut self, now: Now, key: IncarnationKey) {
+        let stalled_after = self.cfg.policy.distrust.stalled_after;
+        let tasks_to_keep = self.tasks_to_keep(now, key);
         let Some(runner) = self.runners.get_mut(&key) else { return };
         let leaving = runner.state == RunnerState::Draining;
-        let mut standing = 0;
+        let mut stalled_count = 0;
         for (task, view) in &mut runner.running {
             let Some(step) = self.ready.step_of(*task) else { continue };
             if view.stopping {
                 continue;
             }
             if step.long_running {
-                // It is to serve elsewhere as soon as there is room.
-                view.stopping = leaving && !staying.contains(task);
+                // The task moves to another runner as soon as one has capacity.
+                view.stopping = leaving && !tasks_to_keep.contains(task);
                 continue;
             }
-            let stands = !step.opportunistic && view.stands_still(now.at, standing_after);
-            let too_long = leaving
+            let stalled = !step.opportunistic && view.is_stalled(now.at, stalled_after);
+            let ends_too_late = leaving
                 && runner.terminates_at.is_some_and(|at| {
                     let left = at.since(now.at + LEAVE_MARGIN);
                     view.time_left(now.at, step.estimate_ms) > left && left < LEAVE_MARGIN * 4
                 });
-            if stands {
-                standing += 1;
+            if stalled {
+                stalled_count += 1;
                 log::info!(
                     "stop task={task} run={} runner={} why=standing percent={} for={:?}",
                     view.run,
@@ -252,7 +254,7 @@
                     view.percent,
                     now.at.since(view.moved)
                 );
-            } else if too_long {
+            } else if ends_too_late {
                 log::info!(
                     "stop task={task} run={} runner={} why=leaving percent={}",
                     view.run,
@@ -260,42 +262,49 @@
                     view.percent
                 );
             }
-            view.stopping = stands || too_long;
+            view.stopping = stalled || ends_too_late;
         }
-        for _ in 0..standing {
-            runner.health.went_badly(now.at);
+        for _ in 0..stalled_count {
+            runner.health.record_failure(now.at);
         }
-        self.counts.stalled_runs += standing;
+        self.counts.stalled_runs += stalled_count;
     }
 
-    /// Tasks that last on a leaving runner and that would find no room elsewhere: each
-    /// one that leaves takes room that is free now, so not all leave for the same.
-    fn staying(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
+    /// Long-running tasks on a draining runner that no other runner has capacity for. Tasks
+    /// that already move are counted against the free capacity, so that several tasks do not
+    /// move to the same capacity.
+    fn tasks_to_keep(&mut self, now: Now, key: IncarnationKey) -> BTreeSet<TaskKey> {
         let policy = self.cfg.policy.leaving;
-        let mut staying = BTreeSet::new();
-        let Some(runner) = self.runners.get(&key) else { return staying };
+        let mut tasks_to_keep = BTreeSet::new();
+        let Some(runner) = self.runners.get(&key) else { return tasks_to_keep };
         let soon = now.at + policy.margin.to_duration();
         let leaves_later = runner.terminates_at.is_some_and(|at| at > soon);
         if policy.mode == Switch::Off || runner.state == RunnerState::Ready || !leaves_later {
-            return staying;
+            return tasks_to_keep;
         }
         let mut moving = self.moving_out;
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task).filter(|step| step.long_running) else {
                 continue;
             };
-            if view.stopping || self.seats_elsewhere(now, runner, *task, step) > moving {
+            if view.stopping || self.capacity_elsewhere(now, runner, *task, step) > moving {
                 moving += u32::from(!view.stopping);
             } else {
-                staying.insert(*task);
+                tasks_to_keep.insert(*task);
             }
         }
         self.moving_out = moving;
-        staying
+        tasks_to_keep
     }
 
-    /// How many tasks of a step find room on other runners.
-    fn seats_elsewhere(&self, now: Now, leaving: &Runner, task: TaskKey, step: &StepInfo) -> u32 {
+    /// Number of tasks of a step that other runners have capacity for.
+    fn capacity_elsewhere(
+        &self,
+        now: Now,
+        leaving: &Runner,
+        task: TaskKey,
+        step: &StepInfo,
+    ) -> u32 {
         let group = StepKey::of(task);
         let mut seats = 0;
         for runner in self.runners.values() {
@@ -326,19 +335,19 @@
         let commands = u32::from(!ends.is_empty()) + u32::from(!starts.is_empty());
         let Some(runner) = self.runners.get_mut(&key) else { return };
         if commands == 0 {
-            // Nothing that it lists is on its way to the log any more.
-            if runner.proposed == runner.acked_through {
+            // No run end that the report lists still waits for its commit.
+            if runner.proposed_through == runner.acked_through {
                 runner.acked_through = runner.acked_through.max(newest);
-                runner.proposed = runner.acked_through;
+                runner.proposed_through = runner.acked_through;
             }
             return self.send_orders(now, token, key);
         }
-        runner.proposed = runner.proposed.max(newest);
-        let at = self.next_heartbeat;
+        runner.proposed_through = runner.proposed_through.max(newest);
+        let heartbeat = self.next_heartbeat;
         self.next_heartbeat += 1;
-        let acked_through = runner.proposed;
+        let acked_through = runner.proposed_through;
         let since = now.at;
-        let waiting = PendingHeartbeat {
+        let pending = PendingHeartbeat {
             token,
             incarnation: key,
             commands,
@@ -346,34 +355,34 @@
             since,
             answered: false,
         };
-        self.heartbeats.insert(at, waiting);
-        self.propose_ends(now, ends, OnCommit::Heartbeat(at));
+        self.heartbeats.insert(heartbeat, pending);
+        self.propose_ends(now, ends, OnCommit::Heartbeat(heartbeat));
         if !starts.is_empty() {
             self.starting.extend(starts.iter().map(|start| (start.task, *start)));
             self.counts.starts += starts.len() as u64;
-            self.propose(JobCommand::Start(starts), OnCommit::Heartbeat(at));
+            self.propose(JobCommand::Start(starts), OnCommit::Heartbeat(heartbeat));
         }
     }
 
-    /// One of a heartbeat's commands is in the log.
-    pub(super) fn heartbeat_committed(&mut self, now: Now, at: u64) {
-        let Some(waiting) = self.heartbeats.get_mut(&at) else { return };
-        waiting.commands -= 1;
-        if waiting.commands > 0 {
+    /// One of a heartbeat's commands is committed.
+    pub(super) fn heartbeat_committed(&mut self, now: Now, heartbeat: u64) {
+        let Some(pending) = self.heartbeats.get_mut(&heartbeat) else { return };
+        pending.commands -= 1;
+        if pending.commands > 0 {
             return;
         }
-        let Some(waiting) = self.heartbeats.remove(&at) else { return };
-        if let Some(runner) = self.runners.get_mut(&waiting.incarnation) {
-            runner.acked_through = runner.acked_through.max(waiting.acked_through);
+        let Some(pending) = self.heartbeats.remove(&heartbeat) else { return };
+        if let Some(runner) = self.runners.get_mut(&pending.incarnation) {
+            runner.acked_through = runner.acked_through.max(pending.acked_through);
         }
-        if !waiting.answered {
-            self.send_orders(now, waiting.token, waiting.incarnation);
+        if !pending.answered {
+            self.send_orders(now, pending.token, pending.incarnation);
         }
     }
 
-    /// Answers a heartbeat by what is agreed on now.
+    /// Answers a heartbeat with orders from the committed state.
     pub(super) fn send_orders(&mut self, now: Now, token: RequestToken, key: IncarnationKey) {
-        let pause = self.pause();
+        let report_interval = self.report_interval();
         let Some(runner) = self.runners.get(&key) else {
             let answer = self.empty_orders();
             return self.answer(token, answer);
@@ -394,10 +403,11 @@
         let stop = self.stop_orders(runner);
         let acked_through = runner.acked_through;
         let has_room = runner.takes_tasks() && runner.free.millicores > 0;
-        let retry = if has_room { pause } else { REPORT_FULL.max(pause) };
+        let retry =
+            if has_room { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
         let retry = retry.min(self.cfg.heartbeat);
         let retry = match self.trial_on(now, runner) {
-            Some(_) => retry.min(REPORT_TRIAL),
+            Some(_) => retry.min(REPORT_INTERVAL_TRIAL),
             None => retry,
         };
         let Some(runner) = self.runners.get_mut(&key) else { return };
@@ -418,14 +428,14 @@
         self.answer(token, CellResponse::Orders(Box::new(orders)));
     }
 
-    fn pause(&self) -> Duration {
+    fn report_interval(&self) -> Duration {
         let count = u32::try_from(self.runners.len()).unwrap_or(u32::MAX);
-        (REPORT_PER_RUNNER * count).clamp(REPORT_MIN, REPORT_MAX)
+        (REPORT_INTERVAL_PER_RUNNER * count).clamp(REPORT_INTERVAL_MIN, REPORT_INTERVAL_MAX)
     }
 
-    /// Runs that are to run there and that the runner does not list. An order whose
-    /// answer was lost is given again under the same number: a runner that has ended
-    /// that run refuses it.
+    /// Orders for runs that are assigned to the runner and that it does not list. If a
+    /// response was lost, the order is sent again with the same run number; a runner that has
+    /// ended that run refuses it.
     fn start_orders(
         &self,
         now: Now,
@@ -465,7 +475,7 @@
         stop.map(|(task, view)| (*task, view.run)).collect()
     }
 
-    /// A runner has left: everything on it is over, and it can say nothing more.
+    /// A runner has left: all of its runs have ended, and it sends no more reports.
     pub(super) fn leave(
         &mut self,
         now: Now,
@@ -477,20 +487,20 @@
         let incarnation = known.and_then(|key| {
             self.state.incarnation(key).map(|incarnation| (key, incarnation.started_ms))
         });
-        if let Some((key, born)) = incarnation
-            && started_ms.is_none_or(|told| told == born)
+        if let Some((key, newest_ms)) = incarnation
+            && started_ms.is_none_or(|reported| reported == newest_ms)
         {
             log::info!("runner={id} {key} left");
             match (started_ms, self.runners.get_mut(&key)) {
                 (Some(_), _) => {
                     let mut ends = Vec::new();
-                    self.collect_lost(now, key, Why::Left, &mut ends);
+                    self.collect_lost(now, key, LossReason::Left, &mut ends);
                     self.propose_ends(now, ends, OnCommit::Nothing);
-                    self.incarnations.end(key);
+                    self.incarnations.mark_ended(key);
                     self.runners.remove(&key);
                 }
-                // It may be a delayed word of an earlier life: nothing is started
-                // there, but what runs there is given up only with its lease.
+                // The message may be a delayed one of an earlier incarnation: no run is started
+                // there, but its runs are given up only when their lease has expired.
                 (None, Some(runner)) => runner.state = RunnerState::Draining,
                 (None, None) => {}
             }
@@ -499,7 +509,7 @@
     }
 }
 
-/// Whole milliseconds of a span.
+/// Converts a duration to whole milliseconds.
 pub(super) fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/coordination/src/jobs/routes.rs
+++ b/crates/coordination/src/jobs/routes.rs
@@ -1,16 +1,16 @@
-//! Queues of the change set in force, found without a scan: there may be thousands,
-//! and every request and every waiting step asks for one.
+//! Index of the queues of the change set in force. There may be thousands of queues, and
+//! every request and every waiting step looks one up, so that a scan would be too slow.
 
 use std::collections::HashMap;
 use yuccalink_state::jobs::{ChangeSet, Queue};
 
-/// An index of one change set.
+/// Index of the queues of one change set.
 #[derive(Debug, Default)]
 pub(super) struct Routes {
     by_name: HashMap<Box<str>, Queue>,
-    /// Names of a host's queues, the longest prefix first.
+    /// Queues of each host, sorted by the length of their prefix, the longest first.
     by_host: HashMap<Box<str>, Vec<Route>>,
-    in_force: bool,
+    has_change_set: bool,
 }
 
 #[derive(Debug)]
@@ -21,7 +21,7 @@
 
 impl Routes {
     pub(super) fn new(change: Option<&ChangeSet>) -> Self {
-        let mut routes = Self { in_force: change.is_some(), ..Self::default() };
+        let mut routes = Self { has_change_set: change.is_some(), ..Self::default() };
         for queue in change.into_iter().flat_map(|change| &change.queues) {
             let route = Route { prefix: queue.prefix.clone(), name: queue.name.clone() };
             routes.by_host.entry(queue.host.clone()).or_default().push(route);
@@ -33,9 +33,9 @@
         routes
     }
 
-    /// Whether there is a change set at all.
-    pub(super) fn in_force(&self) -> bool {
-        self.in_force
+    /// Whether a change set is in force.
+    pub(super) fn has_change_set(&self) -> bool {
+        self.has_change_set
     }
 
     /// The queue called `name`.
@@ -43,7 +43,7 @@
         self.by_name.get(name)
     }
 
-    /// The queue for a path, the one with the longest matching prefix.
+    /// The queue of a host with the longest prefix that matches the path.
     pub(super) fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         let routes = self.by_host.get(host)?;
         let found = routes.iter().find(|route| path.starts_with(&*route.prefix))?;
