--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: everything that changes control state runs here, on one
-//! thread, so no lock is ever held across a decision.
+//! The control thread: all changes of control state run on this one thread, so no decision
+//! needs a lock.
 
 use crate::entry::Entry;
 use crate::error::{Error, Result};
@@ -22,14 +22,14 @@
 use yuccalink_state::store::Recovered;
 use yuccalink_transport::rpc;
 
-/// How often time is looked at.
+/// Interval of the periodic work of the replica and the leader.
 const TICK: Duration = Duration::from_millis(20);
-/// Longest wait for another voter to take over at a planned stop.
+/// Longest wait for another voter to take over the leadership at a planned stop.
 const HAND_OVER: Duration = Duration::from_millis(500);
-/// Longest wait for the leader when this entry says goodbye.
+/// Longest wait for the leader's response when this entry reports that it stops.
 const GOODBYE: Duration = Duration::from_secs(1);
 
-/// What the control thread starts with.
+/// Inputs of the control thread.
 pub(crate) struct Parts {
     pub(crate) shared: Arc<Shared>,
     pub(crate) peer_listener: TcpListener,
@@ -37,11 +37,11 @@
     pub(crate) storage: Option<Storage>,
     pub(crate) incarnation: Incarnation,
     pub(crate) stop: watch::Receiver<bool>,
-    /// Told why, when the disk fails and the daemon must not go on.
+    /// Receives the error when the disk fails; the daemon must then stop.
     pub(crate) failed: oneshot::Sender<yuccalink_state::Error>,
 }
 
-/// The recovered state of a voter.
+/// The disk thread and the recovered state of a voter.
 pub(crate) struct Storage {
     pub(crate) journal: Journal,
     pub(crate) recovered: Recovered,
@@ -88,7 +88,7 @@
     }
     let state = entry.borrow_mut().state(true, link.generation());
     let _ = tokio::time::timeout(GOODBYE, link.sync(&state)).await;
-    // The disk goes on until others need this replica no more.
+    // The disk thread stops last: the leadership transfer and the last sync still need it.
     let _ = halt.send(true);
     if let Some(writer) = writer {
         let _ = writer.await;
@@ -136,7 +136,7 @@
     });
 }
 
-/// Keeps this entry up to date and its lease renewed.
+/// Synchronizes this entry with the leader, which also renews its lease.
 async fn follow(
     shared: Arc<Shared>,
     entry: Rc<RefCell<Entry>>,
@@ -153,14 +153,15 @@
             Err(error) => Err(error),
             Ok(()) => tokio::select! {
                 result = link.sync(&state) => result,
-                // The leader holds its answer back; what changed here cannot wait.
+                // The leader delays its response to the pending sync, so a local change is sent
+                // in a new one at once.
                 () = shared.tell_leader.notified() => continue,
             },
         };
         match result {
             Ok(update) => {
                 if !connected {
-                    log::info!("in touch with the leader");
+                    log::info!("connected to the leader");
                 }
                 connected = true;
                 backoff.reset();
@@ -168,7 +169,7 @@
             }
             Err(error) => {
                 if connected {
-                    log::warn!("out of touch with the leader: {error}; trying again");
+                    log::warn!("lost contact with the leader: {error}; trying again");
                 }
                 connected = false;
                 backoff.pause().await;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts and stops all parts of one daemon.
+//! Starts and stops the servers and threads of a daemon.
 
 use crate::admin::Admin;
 use crate::clock::Clock;
@@ -20,13 +20,13 @@
 use yuccalink_transport::auth::Keys;
 use yuccalink_transport::server::{Server, ServerLimits};
 
-/// Threads for targets and operators.
+/// Threads that serve targets and operators.
 const CONTROL_THREADS: usize = 1;
-/// Connections of targets and operators at once.
+/// Largest number of concurrent connections of targets and operators.
 const CONTROL_CONNECTIONS: usize = 4096;
-/// Time for the last answers to leave once no request is in flight.
+/// Time to send the last responses once no request is in flight; then connections are closed.
 const ANSWERS_LEAVE: Duration = Duration::from_millis(500);
-/// How often a stopping daemon looks whether it may go on.
+/// Interval at which a draining daemon checks whether requests are still in flight.
 const POLL: Duration = Duration::from_millis(10);
 
 /// A running daemon.
@@ -107,34 +107,37 @@
         Ok(Self { shared, callers, admin, peer, stop, control, failed })
     }
 
-    /// Where callers' requests come in.
+    /// Address for callers' requests.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where targets and operators connect.
+    /// Address for targets and operators.
     pub fn control(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Where other daemons connect.
+    /// Address for other daemons.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// The error of the disk, once it has failed; the daemon must then end.
+    /// Returns the disk error once the disk has failed; the daemon must then be stopped.
     pub fn failure(&mut self) -> Option<yuccalink_state::Error> {
         self.failed.try_recv().ok()
     }
 
-    /// Stops gracefully: turns red, goes on serving until the balancer has
-    /// noticed, refuses new requests, finishes what is in flight, and returns.
+    /// Stops gracefully: fails the health check, serves until the load balancer has noticed,
+    /// then refuses new requests, waits for those in flight, and returns.
     ///
     /// # Errors
-    /// [`Error::Stopped`] when the control thread had ended before.
+    /// [`Error::Stopped`] when the control thread ended with a panic.
     pub fn drain(self) -> Result<()> {
         let config = &self.shared.config;
-        log::info!("draining: red for the balancer, still serving for {:?}", config.drain_delay);
+        log::info!(
+            "draining: failing the health check, still serving for {:?}",
+            config.drain_delay
+        );
         self.shared.start_draining();
         thread::sleep(config.drain_delay);
         self.shared.start_refusing();
@@ -153,8 +156,8 @@
         result
     }
 
-    /// Stops at once, as tests do: what is in flight is cut off, what was
-    /// acknowledged is on the disk.
+    /// Stops at once, for tests: requests in flight are cut off, and acknowledged writes
+    /// are on the disk.
     pub fn kill(self) {
         self.shared.start_refusing();
         self.callers.stop(Duration::ZERO);
@@ -220,7 +223,7 @@
         .map_err(Error::Thread)
 }
 
-/// A number from the system's generator, to seed others and to name this run.
+/// Returns a random number from the operating system, for seeds and the incarnation.
 fn draw() -> u64 {
     SysRng.try_next_u64().unwrap_or_else(|_| crate::clock::unix_ms())
 }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,5 +1,5 @@
-//! The entry's side of control: applies what the leader tells, keeps the view
-//! of the traffic threads and the lease that lets this entry serve.
+//! Control state of this entry: applies the leader's updates, publishes the routing table of
+//! the traffic threads, and keeps the lease without which this entry must not serve.
 
 use crate::shared::{Owner, RoutingTable, Shared};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -17,16 +17,18 @@
     revision: u64,
     term: u64,
     table_version: u64,
-    /// The way over which the leader was last told what is owned here.
+    /// Connection generation in which the leader last acknowledged the owned runners.
     told_owned: u64,
+    /// Connection generation of the last sync.
     telling: u64,
-    /// Runners that the leader of this term has told of.
+    /// Runners in the updates from the leader of this term.
     heard: BTreeSet<Name>,
-    /// Whether this leader's table is complete.
+    /// Whether the leader of this term has sent its complete runner table.
     runner_table_complete: bool,
     documents: BTreeMap<Name, Arc<Document>>,
     runners: BTreeMap<Name, RunnerChange>,
     neighbours: Vec<PeerEntry>,
+    /// Runners that may get no more requests and are released once none is in flight.
     releasing: Vec<Name>,
 }
 
@@ -50,7 +52,8 @@
         }
     }
 
-    /// What to tell the leader now; `way` changes with every new way to one.
+    /// Returns the state to send to the leader. `way` is the generation of the connection; in
+    /// each generation the owned runners are sent once.
     pub(crate) fn state(&mut self, leaving: bool, way: u64) -> EntryState {
         if !self.lease.holds(self.shared.clock.now()) {
             self.lapse();
@@ -75,9 +78,9 @@
         }
     }
 
-    /// The lease ran out: the leader may have given this entry's runners to
-    /// others, and knows nothing of what is still in flight here. Nothing new is
-    /// sent to them until the leader says anew what is this entry's.
+    /// Stops routing to all owned runners after the lease expired. The leader may have given
+    /// them to other entries and does not know which requests are still in flight here.
+    /// Routing resumes when the leader sends the runner table again.
     fn lapse(&mut self) {
         if self.table_version == 0 {
             return;
@@ -99,7 +102,7 @@
         owned.map(|runner| runner.spec.clone()).collect()
     }
 
-    /// Runners that another entry shall have and that hold nothing of ours any more.
+    /// Removes and returns the runners to release that have no more requests in flight.
     fn take_released(&mut self) -> Vec<Name> {
         let mut routing = self.shared.routing();
         let mut gone = Vec::new();
@@ -114,10 +117,9 @@
         gone
     }
 
-    /// Takes in news that answer a request sent at `sent`, then renews the lease.
+    /// Applies the update that answers a sync sent at `sent`, then renews the lease.
     pub(crate) fn apply(&mut self, update: EntryUpdate, sent: Moment) {
-        // A late answer of an earlier leader must not bring back what a later one
-        // has replaced.
+        // A late update from an earlier leader must not undo those of its successor.
         if update.term < self.term {
             return;
         }
@@ -149,8 +151,8 @@
         }
     }
 
-    /// The leader's table is complete now: what it does not know any more is gone.
-    /// Until then the table of the leader before it is the better guess.
+    /// Drops the runners that are missing from the leader's table, once that is complete.
+    /// Until then the entries from the previous leader's table are kept as the best estimate.
     fn settle(&mut self) -> bool {
         self.runner_table_complete = true;
         let gone: Vec<Name> =
@@ -169,7 +171,7 @@
     fn take_documents(&mut self, documents: Vec<yuccalink_state::document::Accepted>) -> bool {
         let mut changed = false;
         for accepted in documents {
-            // Revisions only grow: an answer that was overtaken changes nothing.
+            // Revisions only grow, so a reordered update changes nothing.
             if accepted.revision.0 <= self.revision {
                 continue;
             }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -1,5 +1,5 @@
-//! The disk thread: writes and syncs while the control thread goes on, so that
-//! all that gathers during one sync shares the next.
+//! The disk thread: writes and syncs without blocking the control thread. All writes that
+//! arrive during one sync share the next one.
 
 use crate::error::{Error, Result};
 use std::path::Path;
@@ -18,16 +18,16 @@
     Install { index: u64, bytes: Vec<u8> },
 }
 
-/// What the disk thread did.
+/// Completion of an operation of the disk thread.
 #[derive(Debug)]
 pub(crate) enum DiskEvent {
-    /// All writes up to this number are durable.
+    /// All writes up to this sequence number are durable.
     Written { seq: u64, counts: LogCounters },
-    /// The snapshot of this record is in place.
+    /// The snapshot of this record is stored and the log compacted.
     Compacted { index: u64 },
-    /// The snapshot that came from the leader is in place.
+    /// The snapshot from the leader is stored.
     Installed,
-    /// The disk failed; what is on it is not known.
+    /// The disk failed; it is unknown which writes reached it.
     Failed(yuccalink_state::Error),
 }
 
@@ -66,12 +66,12 @@
         let _ = self.jobs.send(Job::Install { index, bytes });
     }
 
-    /// The next finished job; `None` when the thread is gone.
+    /// Waits for the next finished job; `None` when the thread has ended.
     pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
-    /// Finishes what was asked and releases the folder.
+    /// Finishes the queued jobs, ends the thread and releases the folder.
     pub(crate) fn close(self) {
         drop(self.jobs);
         let _ = self.thread.join();
@@ -104,7 +104,7 @@
     Ok(DiskEvent::Written { seq, counts: store.counts() })
 }
 
-/// Makes one frame, and so one sync, of all writes that follow on each other.
+/// Merges consecutive writes into one frame, so that they need one sync.
 fn merge(writes: Vec<LogWrite>) -> yuccalink_state::Result<Vec<LogFrame>> {
     let mut frames: Vec<LogFrame> = Vec::new();
     for write in writes {
@@ -126,6 +126,7 @@
     Ok(frames)
 }
 
+/// Whether a write at index `first` overwrites part of the frame or continues it.
 fn follows(frame: &LogFrame, first: u64) -> bool {
     (frame.first..=frame.first + frame.records.len() as u64).contains(&first)
 }
@@ -134,7 +135,7 @@
     TermAndVote { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
 }
 
-/// The hard state as the consensus knows it.
+/// Converts a stored term and vote to the hard state of the consensus.
 pub(crate) fn from_hard(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
@@ -148,7 +149,7 @@
     })
 }
 
-/// An entry as the log kept it.
+/// Decodes a stored log record.
 pub(crate) fn to_entry(
     record: &Record,
 ) -> std::result::Result<LogEntry, yuccalink_protocol::peer::BadMessage> {
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -1,5 +1,5 @@
-//! The leader: decides what entries ask, proposes commands to the log, and
-//! carries out what follows from committed ones. Knows nothing of sockets.
+//! The leader: handles the requests of entries, proposes commands to the log and
+//! acts on committed ones. It does no network I/O.
 
 mod entries;
 mod orders;
@@ -41,18 +41,18 @@
 use yuccalink_state::worker::WorkerPhase;
 use yuccalink_state::{Resources, StateMachine};
 
-/// Commands waiting for the log; more are refused as "not run".
+/// Limit of commands that wait for the log; further requests are refused as "not run".
 const QUEUE_MAX: usize = 16 * 1024;
-/// Longest wait of a caller that asks whether a revision is in force.
+/// Longest time that a request waits until a revision is in force at all entries.
 const FORCE_WAIT: Duration = Duration::from_millis(2_000);
-/// Tasks listed at once.
+/// Largest number of tasks in one list response.
 const PAGE_MAX: u32 = 1000;
-/// How often all unconfirmed orders are looked through.
+/// Interval at which all workers with tasks are checked for unconfirmed orders.
 const SWEEP: Duration = Duration::from_secs(1);
 
 type Reply = oneshot::Sender<LeaderResponse>;
 
-/// What to do with the outcome of a command.
+/// Action to take with the outcome of a committed command.
 enum Then {
     Applied { service: Name, version: u64, reply: Reply },
     Submitted(Reply),
@@ -66,13 +66,14 @@
     FormerRunGone(Name),
 }
 
+/// A request that waits until a revision is in force at all entries.
 struct ForceWaiter {
     revision: Revision,
     until: Moment,
     reply: Reply,
 }
 
-/// Orders for one worker, ready to be sent.
+/// Orders to send to one worker in one message.
 pub(crate) struct OrderBatch {
     pub(crate) worker: WorkerKey,
     pub(crate) name: Name,
@@ -93,24 +94,28 @@
     dispatch: Dispatch,
     reconcile: Reconcile,
     proposed: VecDeque<(Command, Then)>,
-    /// Waits for its index in the log.
+    /// Actions of the batch that was taken for the log and has no log index yet.
     batch: VecDeque<Then>,
+    /// Log index and action of each command that is not committed yet.
     committing: VecDeque<(u64, Then)>,
     placing: bool,
     plan_due: bool,
+    /// Workers whose removal was proposed and is not committed yet.
     going: BTreeSet<Name>,
+    /// Workers that may have new orders.
     dirty: BTreeSet<WorkerKey>,
-    /// Tasks that workers hold and should not, to be stopped.
+    /// Tasks that a worker reports but that are not assigned to it; they are to be stopped.
     strays: BTreeMap<WorkerKey, Vec<(TaskId, Epoch)>>,
     pressure: Pressure,
-    /// Tasks to be slowed, by worker.
+    /// Throttle orders to send, by worker.
     throttles: BTreeMap<WorkerKey, Vec<Throttle>>,
     swept: Moment,
     force: Vec<ForceWaiter>,
-    /// Whether the directory is complete; see [`EntryUpdate::runner_table_complete`].
+    /// Whether the directory lists all runners; see [`EntryUpdate::runner_table_complete`].
     settled: bool,
     /// Wakes the task that sends orders.
     orders: Arc<Notify>,
+    /// Counter that is incremented when an entry update may be due.
     news: watch::Sender<u64>,
 }
 
@@ -155,13 +160,13 @@
         &self.state
     }
 
-    /// The state, for a replica that no longer leads. Whoever waits for an answer
-    /// is told that there is no leader: what it asked may yet be decided.
+    /// Returns the state to a replica that no longer leads. Pending requests get the
+    /// response that there is no leader: their commands may still be committed.
     pub(crate) fn into_state(self) -> StateMachine {
         self.state
     }
 
-    /// Tells when there may be news for entries.
+    /// Returns a receiver that is notified when an entry update may be due.
     pub(crate) fn watch(&self) -> watch::Receiver<u64> {
         self.news.subscribe()
     }
@@ -170,14 +175,14 @@
         self.news.send_modify(|count| *count += 1);
     }
 
-    // ---- the log ----
+    // ---- log ----
 
     fn propose_for<F>(&mut self, command: Command, then: F, reply: Reply)
     where
         F: FnOnce(Reply) -> Then,
     {
         if self.proposed.len() >= QUEUE_MAX {
-            let what = "the log has too much to write; send it again later";
+            let what = "too many commands wait for the log; send the request again later";
             let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, what)
                 .retry_after(1000);
             let _ = reply.send(LeaderResponse::Problem(problem));
@@ -190,7 +195,7 @@
         self.proposed.push_back((command, then));
     }
 
-    /// The next batch for the log, if none is under way.
+    /// Takes the next batch of commands for the log; empty while another batch is not committed.
     pub(crate) fn next_batch(&mut self, most: usize) -> Vec<Command> {
         self.plan();
         if !self.committing.is_empty() {
@@ -206,18 +211,19 @@
         commands
     }
 
-    /// The batch stands in the log from index `first` on.
+    /// Records that the batch was appended to the log from index `first` on.
     pub(crate) fn proposed(&mut self, first: u64) {
         self.committing.extend((first..).zip(self.batch.drain(..)));
     }
 
-    /// The batch did not get into the log; whoever waits is told that there is no leader.
+    /// Drops the batch, which was not appended to the log. Its requests get the response that
+    /// there is no leader.
     pub(crate) fn not_proposed(&mut self) {
         self.batch.clear();
         self.placing = false;
     }
 
-    /// A command is agreed on: applies it and answers.
+    /// Applies a committed command and responds to its request.
     pub(crate) fn committed(&mut self, index: u64, command: Command) {
         let outcome = self.state.apply(command);
         if self.committing.front().is_some_and(|(at, _)| *at == index)
@@ -347,7 +353,7 @@
         let answer = match outcome {
             Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_welcome(true)),
             Outcome::WorkerBusy => {
-                let what = "tasks of an earlier run are not given up yet; announce again";
+                let what = "tasks of its previous incarnation are not released yet; announce again";
                 let problem = Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what);
                 LeaderResponse::Problem(problem.retry_after(1000))
             }
@@ -362,7 +368,7 @@
         if let Outcome::Freed(tasks) = outcome {
             let count = tasks.len();
             self.shared.decisions.note(format!(
-                "gave up worker {name}: its lease has ended; {count} tasks wait for a new place"
+                "gave up worker {name}: its lease has ended; {count} tasks wait to be placed again"
             ));
         }
     }
@@ -374,7 +380,7 @@
         self.plan_due = false;
         let plan = placement::plan(&self.state);
         if plan.no_room > 0 {
-            log::debug!("{} tasks wait for room", plan.no_room);
+            log::debug!("{} tasks wait for free capacity", plan.no_room);
         }
         if plan.decisions.is_empty() {
             return;
@@ -396,7 +402,7 @@
 
 fn busy_problem(target: &TargetSpec, wait: Duration) -> Problem {
     let what = format!(
-        "another run of {} may still be alive; announce again when its lease has ended",
+        "another incarnation of {} may still be alive; announce again when its lease has ended",
         target.name()
     );
     Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what)
@@ -408,7 +414,7 @@
 }
 
 fn unexpected(outcome: &Outcome) -> LeaderResponse {
-    log::error!("a command came to {outcome:?}, which it never should; please report this");
+    log::error!("unexpected outcome of a command: {outcome:?}; please report this");
     LeaderResponse::Problem(Problem::new(
         ProblemKind::NotServing,
         ExecutionStatus::Unknown,
@@ -431,7 +437,7 @@
     }
 }
 
-/// The problem of a document with faults.
+/// Builds the response to a document that fails validation.
 pub(crate) fn unacceptable_document(
     faults: &yuccalink_protocol::fields::ValidationErrors,
 ) -> Problem {
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -1,16 +1,17 @@
-//! Entry VMs: their word, their leases, and what is new for them.
+//! Entry VMs: their reports, their leases and the updates sent to them.
 
 use super::*;
 use yuccalink_state::document::Accepted;
 
-/// Bytes of documents told at once, but always one document: a quarter of a second on a
-/// link of 2 Mbit/s. What took longer than a call may would never arrive.
+/// Bytes of documents in one update, which always carries at least one document. 64 KiB
+/// take a quarter of a second on a link of 2 Mbit/s; an update that takes longer than the
+/// timeout of a call would never arrive.
 const DOCUMENTS_BYTES: usize = 64 * 1024;
-/// Runners told of at once, at about 150 bytes each.
+/// Runners in one update, at about 150 bytes each.
 const RUNNERS_MAX: usize = 400;
 
 impl Leader {
-    /// Takes in an entry's word; its lease is renewed by the answer.
+    /// Processes an entry's report. The response to the report renews the entry's lease.
     pub(crate) fn hear(&mut self, state: &EntryState) {
         let now = self.clock.now();
         if state.leaving {
@@ -49,7 +50,7 @@
         self.answer_in_force();
     }
 
-    /// What is new for an entry, and whether that is anything at all.
+    /// Builds the update for an entry; the flag tells whether it contains anything new.
     pub(crate) fn news_for(&self, state: &EntryState) -> (EntryUpdate, bool) {
         let same_term = state.term == self.term;
         let table_version = if same_term { state.table_version } else { 0 };
@@ -78,8 +79,8 @@
         (news, any)
     }
 
-    /// The documents accepted after `revision`, the oldest first and not more than a call
-    /// carries over a slow link, with the revision up to which they go.
+    /// Returns the documents accepted after `revision`, oldest first and limited to
+    /// [`DOCUMENTS_BYTES`], and the revision up to which they are complete.
     fn documents_after(&self, revision: u64) -> (Vec<Accepted>, u64) {
         let accepted = self.state.services().map(|service| &service.accepted);
         let mut new: Vec<&Accepted> = accepted.filter(|a| a.revision.0 > revision).collect();
@@ -97,6 +98,7 @@
         (told, upto)
     }
 
+    /// Lists the entries that may hold a lease.
     pub(super) fn neighbours(&self) -> Vec<PeerEntry> {
         let now = self.clock.now();
         let alive = self.entries.iter().filter(|(_, entry)| entry.may_hold_lease(now));
--- a/crates/daemon/src/leader/orders.rs
+++ b/crates/daemon/src/leader/orders.rs
@@ -1,9 +1,9 @@
-//! Orders that are due at workers.
+//! Orders to be sent to workers.
 
 use super::*;
 
 impl Leader {
-    /// Orders that are due at workers with something new.
+    /// Collects the due orders of all changed workers that are not in `busy`.
     pub(crate) fn orders_due(&mut self, busy: &BTreeSet<WorkerKey>) -> Vec<OrderBatch> {
         let now = self.clock.now();
         let ready: Vec<WorkerKey> =
@@ -15,7 +15,7 @@
             for (task, epoch) in self.strays.remove(&key).unwrap_or_default() {
                 due.push(DueOrder { task, epoch, order: Order::Stop });
             }
-            // Not repeated when lost: the next heartbeat brings them again.
+            // A lost throttle order is not resent: the next heartbeat produces it again.
             let throttles = self.throttles.remove(&key).unwrap_or_default();
             if due.is_empty() && throttles.is_empty() {
                 continue;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Orders could not be delivered: they are due again at the next sweep.
+    /// Records that orders could not be delivered: they are due again at the next sweep.
     pub(crate) fn orders_failed(&mut self, due: &[DueOrder]) {
         for due in due {
             self.dispatch.failed(due);
--- a/crates/daemon/src/leader/requests.rs
+++ b/crates/daemon/src/leader/requests.rs
@@ -1,4 +1,4 @@
-//! What entries ask of the leader: documents, tasks, requests, and the views of operators.
+//! Requests of entries to the leader: documents, tasks, callers' requests and operators' views.
 
 use super::*;
 
@@ -39,7 +39,7 @@
             LeaderRequest::Tasks(filter) => LeaderResponse::Tasks(self.tasks(&filter)),
             LeaderRequest::Targets => LeaderResponse::Targets(self.targets()),
             LeaderRequest::Decisions => LeaderResponse::Decisions(self.shared.decisions.list()),
-            // Answered by the replica, which knows the log and the members.
+            // The replica answers these itself, as it knows the log and the members.
             LeaderRequest::Status | LeaderRequest::Snapshot => LeaderResponse::Problem(no_leader()),
         };
         let _ = reply.send(answer);
@@ -180,8 +180,9 @@
         }
     }
 
-    /// After a change of leader the directory is empty, but the state knows the
-    /// worker: its former run may hold a lease of the last leader.
+    /// Returns how long a worker must wait to register because its previous incarnation may
+    /// still hold a lease from the previous leader. A new leader's directory is empty, but the
+    /// replicated state still lists the worker.
     pub(super) fn previous_incarnation(
         &self,
         target: &TargetSpec,
@@ -202,7 +203,7 @@
             Usage { busy: beat.busy, millicores: beat.millicores, memory_mib: beat.memory_mib };
         let before = self.directory.version();
         if self.directory.heartbeat(now, name, beat.incarnation, usage) != HeartbeatOutcome::Noted {
-            let what = format!("target {name} is not known in this run; announce it first");
+            let what = format!("this incarnation of target {name} is not known; announce it first");
             let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
@@ -226,15 +227,15 @@
             w.spec.incarnation == beat.incarnation && w.phase != WorkerPhase::Gone
         });
         let Some((key, _)) = known else {
-            // It was given up: whatever it still holds is somebody else's by now.
+            // The worker was given up: its tasks may already run on other workers.
             let what = format!("worker {name} was given up; stop its tasks and announce it again");
             let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         };
         self.relieve(key, beat.millicores);
-        // A list is asked for whenever the digests differ, and until they are equal:
-        // what differs for good is then found by two lists in a row.
+        // The worker is asked for a list of its tasks as long as the digests differ.
+        // A lasting difference then shows in two lists in a row.
         let send_held = beat.held_digest != self.digest_of(key);
         let differences = match &beat.held {
             Some(held) => {
@@ -244,7 +245,10 @@
             None => Differences::default(),
         };
         if !differences.stray.is_empty() {
-            log::warn!("worker {name} holds {} tasks it should not", differences.stray.len());
+            log::warn!(
+                "worker {name} reports {} tasks that are not assigned to it",
+                differences.stray.len()
+            );
             self.strays.insert(key, differences.stray);
             self.dirty.insert(key);
             self.orders.notify_one();
@@ -260,7 +264,7 @@
         self.propose_for(Command::Report(reports), then, reply);
     }
 
-    /// Throttles batch tasks on a worker whose latency-critical ones need room.
+    /// Throttles batch tasks on a worker whose latency-critical tasks need more CPU.
     fn relieve(&mut self, worker: WorkerKey, used_millicores: u64) {
         let (throttles, turn) = self.pressure.note(&self.state, worker, used_millicores);
         if let Some(turn) = turn {
@@ -271,7 +275,7 @@
                      tasks: throttling {} batch tasks",
                     throttles.len()
                 ),
-                PressureChange::Eased => format!("worker {name} has room again: throttles run out"),
+                PressureChange::Eased => format!("worker {name} has capacity again: throttles end"),
             };
             self.shared.decisions.note(line);
         }
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Digest of the tasks that a worker has confirmed and should hold.
+    /// Computes the digest of the tasks that are assigned to a worker and that it confirmed.
     fn digest_of(&self, worker: WorkerKey) -> u32 {
         let confirmed = self
             .state
@@ -291,7 +295,7 @@
         held_digest(confirmed.map(|task| ReportedTask { task: task.id, epoch: task.epoch }))
     }
 
-    /// Reports that came as the answer to orders.
+    /// Proposes the task reports in a worker's response to orders.
     pub(crate) fn reported(&mut self, reports: Vec<TaskReport>) {
         if !reports.is_empty() {
             self.propose(Command::Report(reports.into()), Then::Reported(None));
@@ -301,7 +305,7 @@
     pub(super) fn leave(&mut self, name: Name, run: Incarnation, reply: Reply) {
         let now = self.clock.now();
         if self.directory.leave(&name, run) != HeartbeatOutcome::Noted {
-            let what = format!("target {name} is not known in this run");
+            let what = format!("this incarnation of target {name} is not known");
             let _ = reply.send(not_found(what));
             return;
         }
--- a/crates/daemon/src/leader/time.rs
+++ b/crates/daemon/src/leader/time.rs
@@ -1,9 +1,9 @@
-//! What only time brings about.
+//! Periodic work of the leader.
 
 use super::*;
 
 impl Leader {
-    /// Everything that only time brings about.
+    /// Expires leases, gives up workers, completes overdue waits and updates the gauges.
     pub(crate) fn tick(&mut self) {
         let now = self.clock.now();
         let before = self.directory.version();
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -1,6 +1,6 @@
-//! How this daemon reaches the leader: directly while it leads itself, over RPC
-//! otherwise. Calls that fail are sent again until their caller gives up; every
-//! ask is made so that asking twice does no harm.
+//! Client of the leader: calls it directly while this daemon leads, and over RPC
+//! otherwise. Failed calls are retried until the caller's deadline; all requests are
+//! idempotent.
 
 use crate::replica::Replica;
 use crate::shared::{ASK_TIMEOUT, Shared, ToLeader, no_leader};
@@ -20,21 +20,22 @@
 use yuccalink_transport::auth::AuthError;
 use yuccalink_transport::rpc;
 
-/// How long the leader holds back an answer that has no news.
+/// Time that the leader waits for a change before it responds with an empty update.
 pub(crate) const HOLD: Duration = Duration::from_millis(500);
-/// Longest wait for the answer to one call.
+/// Timeout of one call, after which it fails.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Asks in one call.
+/// Largest number of requests in one call.
 const BATCH_MAX: usize = 256;
-/// Bytes of bodies in one call; a larger ask goes alone.
+/// Bytes of request bodies in one call; a larger request is sent in a call of its own.
 const BATCH_BYTES: usize = 4 * 1024 * 1024;
-/// Calls under way at once.
+/// Largest number of concurrent calls to the leader.
 const CALLS_MAX: usize = 4;
-/// First pause after a failed call; doubles up to [`BACKOFF_MAX`].
+/// Longest pause after the first failed call; it doubles with each failure up to
+/// [`BACKOFF_MAX`].
 const BACKOFF_MIN: Duration = Duration::from_millis(20);
 const BACKOFF_MAX: Duration = Duration::from_millis(200);
 
-/// Why a call brought no answer.
+/// Error of a call to another daemon.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum CallError {
     /// cannot connect: {0}
@@ -47,7 +48,7 @@
     Message(peer::BadMessage),
     /// it speaks version {0} of the protocol between daemons; run the same release everywhere
     Version(u32),
-    /// nobody leads as far as the voters know
+    /// the voters know of no leader
     NoLeader,
 }
 
@@ -63,8 +64,8 @@
     }
 }
 
-/// Pauses that grow and are drawn from a range, so that daemons which lost the
-/// same leader do not all come back at the same instants.
+/// Exponential backoff with jitter, so that daemons which lost the same leader do not all
+/// retry at the same time.
 pub(crate) struct Backoff {
     next: Duration,
     rng: Pcg64Mcg,
@@ -86,7 +87,7 @@
     }
 }
 
-/// What another daemon says of itself when it is connected to.
+/// Response of another daemon to `hello` on a new connection.
 #[derive(Clone, Debug)]
 pub(crate) struct Greeting {
     pub(crate) replica: u64,
@@ -95,7 +96,7 @@
     pub(crate) leader: Option<Name>,
 }
 
-/// Says hello over a new connection.
+/// Sends `hello` over a new connection and checks the protocol version.
 pub(crate) async fn greet(
     shared: &Shared,
     incarnation: Incarnation,
@@ -123,13 +124,14 @@
     timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout))
 }
 
+/// A request that waits for a response until its deadline.
 struct Waiting {
     ask: LeaderRequest,
     reply: tokio::sync::oneshot::Sender<LeaderResponse>,
     until: Instant,
 }
 
-/// The way to the leader, wherever it is.
+/// Sends requests to the current leader, in this process or over RPC.
 pub(crate) struct LeaderClient {
     shared: Arc<Shared>,
     incarnation: Incarnation,
@@ -137,7 +139,8 @@
     remote: RefCell<Option<Rc<rpc::RpcConnection>>>,
     connecting: tokio::sync::Mutex<()>,
     next_voter: Cell<usize>,
-    /// Counts up with every new way to a leader.
+    /// Incremented with every new connection to a leader and whenever this daemon becomes
+    /// leader or ceases to be.
     generation: Cell<u64>,
     local: Cell<bool>,
     outbox: RefCell<VecDeque<Waiting>>,
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Changes whenever the way to the leader does: the next leader knows nothing
-    /// of what the last one was told.
+    /// Returns a number that changes with the connection to the leader: a new leader has
+    /// none of the reports that the previous one received.
     pub(crate) fn generation(&self) -> u64 {
         self.generation.get()
     }
@@ -180,12 +183,12 @@
         leads
     }
 
-    /// Makes sure that there is a way to the leader.
+    /// Connects to the leader unless this daemon leads or is already connected.
     pub(crate) async fn prepare(&self) -> Result<(), CallError> {
         if self.leads() { Ok(()) } else { self.remote().await.map(drop) }
     }
 
-    /// Tells the leader this entry's state and waits for news.
+    /// Sends this entry's state to the leader and waits for an update.
     pub(crate) async fn sync(&self, state: &EntryState) -> Result<EntryUpdate, CallError> {
         if self.leads()
             && let Some(replica) = &self.replica
@@ -199,7 +202,7 @@
             let response = call.send().promise.await?;
             Ok(EntryUpdate::read(response.get()?.get_news()?)?)
         };
-        // A leader that is cut off silently leaves calls hanging: only time tells.
+        // Calls to a partitioned leader hang without an error, so only the timeout ends them.
         let result = timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
         if result.is_err() {
             self.drop_remote(&link);
@@ -207,7 +210,7 @@
         result
     }
 
-    /// Asks the leader to take a replica in.
+    /// Asks the leader to add a replica to the voters.
     pub(crate) async fn join(
         &self,
         name: &Name,
@@ -234,7 +237,7 @@
         Ok(link)
     }
 
-    /// Asks the voters in turn; one that does not lead may know who does.
+    /// Tries the voters in turn, first the one that another voter names as the leader.
     async fn find_leader(&self) -> Result<rpc::RpcConnection, CallError> {
         let voters = &self.shared.config.voters;
         let own = &self.shared.config.name;
@@ -270,7 +273,7 @@
         Ok((link, greeting))
     }
 
-    /// Drops a connection that failed, unless another was made since.
+    /// Drops a failed connection unless it was already replaced by a new one.
     fn drop_remote(&self, failed: &Rc<rpc::RpcConnection>) {
         let mut link = self.remote.borrow_mut();
         if link.as_ref().is_some_and(|current| Rc::ptr_eq(current, failed)) {
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Carries asks to the leader for ever.
+    /// Forwards requests from the channel to the leader until the channel is closed.
     pub(crate) async fn carry(self: Rc<Self>, mut rx: mpsc::Receiver<ToLeader>) {
         let feeder = self.clone();
         tokio::task::spawn_local(async move { feeder.feed().await });
@@ -291,7 +294,7 @@
         }
     }
 
-    /// Asks the leader's part of this daemon; gives the ask back when another leads.
+    /// Hands a request to the leader in this process; returns it if this daemon does not lead.
     fn ask_local(&self, waiting: Waiting) -> Option<Waiting> {
         let Some(replica) = &self.replica else { return Some(waiting) };
         if !self.leads() {
@@ -346,7 +349,7 @@
         loop {
             let now = Instant::now();
             batch.retain(|waiting| waiting.until > now && !waiting.reply.is_closed());
-            // This daemon may have been elected since.
+            // This daemon may have become the leader since the last attempt.
             batch = batch.into_iter().filter_map(|waiting| self.ask_local(waiting)).collect();
             if batch.is_empty() {
                 return;
@@ -359,7 +362,11 @@
                     return;
                 }
                 Ok(answers) => {
-                    log::error!("{} asks got {} answers", batch.len(), answers.len());
+                    log::error!(
+                        "{} requests got {} responses from the leader",
+                        batch.len(),
+                        answers.len()
+                    );
                     for waiting in batch {
                         let _ = waiting.reply.send(LeaderResponse::Problem(no_leader()));
                     }
@@ -375,7 +382,7 @@
                     return;
                 }
                 Err(error) => {
-                    log::debug!("asking the leader failed: {error}");
+                    log::debug!("request to the leader failed: {error}");
                     backoff.pause().await;
                 }
             }
@@ -419,8 +426,8 @@
     }
 }
 
-/// The leader's side of a sync: waits for news, but not longer than [`HOLD`].
-/// `None` when this replica does not lead, or no longer does.
+/// Handles `sync` on the leader: waits for a change, at most [`HOLD`], and returns the update.
+/// Returns `None` when this replica does not lead or stops leading meanwhile.
 pub(crate) async fn news(
     replica: &Rc<RefCell<Replica>>,
     state: &EntryState,
@@ -437,7 +444,7 @@
         if any || left.is_zero() {
             return Some(news);
         }
-        // Fails when the leader's part is gone; then there is none to ask.
+        // The channel closes when this replica stops leading.
         if let Ok(Err(_)) = timeout(left, changes.changed()).await {
             return None;
         }
--- a/crates/daemon/src/orders.rs
+++ b/crates/daemon/src/orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to workers, one message at a time to each.
+//! Sends orders to workers, one request at a time to each worker.
 
 use crate::leader::OrderBatch;
 use crate::replica::Replica;
@@ -14,9 +14,9 @@
 use yuccalink_transport::http::{Request, header};
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
-/// Longest wait for a worker's answer.
+/// Timeout of one request to a worker; its orders are then sent again.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer of a worker, in bytes.
+/// Largest response body of a worker, in bytes.
 const ANSWER_MAX: usize = 4 * 1024 * 1024;
 
 pub(crate) struct Sender {
@@ -31,7 +31,7 @@
         Self { replica, pool: Pool::new(settings), busy: RefCell::default() }
     }
 
-    /// Sends what is due, for ever.
+    /// Sends due orders for ever.
     pub(crate) async fn run(self: Rc<Self>) {
         let wake = self.replica.borrow().orders.clone();
         loop {
@@ -83,9 +83,9 @@
         let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX));
         let body = whole
             .await
-            .map_err(|_| "the answer came too slowly".to_string())?
+            .map_err(|_| "timed out while reading the response".to_string())?
             .map_err(|e| e.to_string())?
-            .ok_or("the answer is too large")?;
+            .ok_or("the response is too large")?;
         if !answer.head.status.is_success() {
             return Err(format!("status {}", answer.head.status));
         }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! What other daemons may ask of this one.
+//! RPC service for other daemons.
 
 use crate::leader_client;
 use crate::replica::Replica;
@@ -81,7 +81,7 @@
         }
         let mut answers: Vec<LeaderResponse> = Vec::with_capacity(pending.len());
         for answer in pending {
-            // No longer leading: the asking daemon finds the next leader and asks again.
+            // This replica stopped leading: the calling daemon finds the new leader and retries.
             answers.push(answer.await.map_err(|_| does_not_lead())?);
         }
         let list = results.get().init_answers(peer::count(&answers));
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -1,5 +1,5 @@
-//! One voter: its part in the consensus, the state machine, and the leader's
-//! part while it leads. Carries out what the consensus asks for.
+//! One Raft replica: connects the consensus to the disk, the network, the state machine
+//! and, while it leads, the leader.
 
 mod disk;
 mod repair;
@@ -25,20 +25,21 @@
 use yuccalink_state::store::Recovered;
 use yuccalink_state::{StateMachine, store};
 
-/// Messages that may wait for one other voter; the oldest are dropped.
+/// Limit of messages queued for one other voter; beyond it the oldest are dropped.
 const OUTBOX_MAX: usize = 1024;
-/// Records after which a snapshot is taken.
+/// Log records after which a snapshot is taken.
 const SNAPSHOT_RECORDS: u64 = 20_000;
 /// Bytes of log after which a snapshot is taken.
 const SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
-/// Silence of a voter's former disk before a new one may take its seat.
+/// Time without a message from a voter's old disk after which a replica with a new disk may
+/// replace it.
 const REPLACE_AFTER: Duration = Duration::from_secs(3);
-/// Time after which a replica that asked to join is no longer waited for.
+/// Time after which a request to join expires if it is not repeated.
 const JOIN_FORGET: Duration = Duration::from_secs(30);
-/// Most commands in one proposal.
+/// Largest number of commands in one proposal.
 const BATCH_MAX: usize = 1024;
 
-/// What the disk is to do next.
+/// Next operation for the disk thread.
 pub(crate) enum DiskTask {
     Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
@@ -47,6 +48,7 @@
 
 type Reply = oneshot::Sender<LeaderResponse>;
 
+/// A replica that asked to join, and when it last asked.
 struct Joining {
     member: Member,
     asked: Moment,
@@ -55,20 +57,24 @@
 pub(crate) struct Replica {
     shared: Arc<Shared>,
     raft: Raft,
-    /// The state, but while this replica leads: then the leader has it.
+    /// The state machine; `None` while this replica leads, as the leader then owns it.
     state: Option<StateMachine>,
     leader: Option<Leader>,
     applied: u64,
     writes: Vec<LogWrite>,
     install: Option<(SnapshotMeta, Vec<u8>)>,
+    /// Messages to be sent once the write with this sequence number is durable.
     held: VecDeque<(u64, Envelope)>,
+    /// Sequence number of the last durable write.
     written: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
     joining: BTreeMap<ReplicaId, Joining>,
+    /// Daemon name of each replica that sent a message, as it gave it.
     names: BTreeMap<ReplicaId, Name>,
     counts: LogCounters,
+    /// Log counters at the last snapshot.
     snapshot_at: LogCounters,
-    /// Wakes the task that feeds the disk.
+    /// Wakes the task that passes work to the disk thread.
     pub(crate) work: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
     pub(crate) sends: Arc<Notify>,
@@ -121,22 +127,22 @@
         self.raft.is_empty()
     }
 
-    /// Whether this replica's disk is among the voters.
+    /// Whether the replica on this disk is a voter.
     pub(crate) fn is_voter(&self) -> bool {
         self.raft.members().is_voter(self.raft.id())
     }
 
-    /// Founds a new system; see [`Raft::bootstrap`].
+    /// Bootstraps a new Raft group; see [`Raft::bootstrap`].
     pub(crate) fn bootstrap(&mut self, voters: Vec<Member>) {
         let names: Vec<String> = voters.iter().map(|voter| voter.name.to_string()).collect();
-        log::info!("founding a new system of {}", names.join(", "));
+        log::info!("bootstrapping a new system with the voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
         self.pump();
     }
 
-    /// The leader's part, if this replica leads and no other can: only then may
-    /// anything be granted or read.
+    /// Returns the leader while this replica holds the leader lease, so that no other
+    /// replica can lead. Leases may be granted and state read only then.
     pub(crate) fn leader(&mut self) -> Option<&mut Leader> {
         let now = self.shared.clock.now();
         if !self.raft.has_lease(now) {
@@ -145,13 +151,13 @@
         self.leader.as_mut()
     }
 
-    /// The name of the daemon that leads, as far as is known.
+    /// Returns the name of the daemon that leads, if known.
     pub(crate) fn leader_name(&self) -> Option<Name> {
         let id = self.raft.leader()?;
         self.raft.members().get(id).map(|member| member.name.clone())
     }
 
-    /// Asks the leader's part; gives the ask back when this replica does not lead.
+    /// Hands a request to the leader; returns it if this replica does not lead.
     pub(crate) fn ask(
         &mut self,
         ask: LeaderRequest,
@@ -173,7 +179,7 @@
         LeaderResponse::Status(Box::new(status))
     }
 
-    /// Takes in an entry's word; false when this replica does not lead.
+    /// Processes an entry's report; returns false if this replica does not lead.
     pub(crate) fn hear(&mut self, state: &EntryState) -> bool {
         let Some(leader) = self.leader() else { return false };
         leader.hear(state);
@@ -221,7 +227,7 @@
         voters.chain(members.learners.iter().map(|member| view(member, false))).collect()
     }
 
-    // ---- the consensus ----
+    // ---- consensus ----
 
     pub(crate) fn step(&mut self, from: &Name, envelope: Envelope) {
         if self.names.get(&envelope.from) != Some(from) {
@@ -241,8 +247,8 @@
         self.propose();
     }
 
-    /// Gives what the leader has decided to the log. One batch at a time: what
-    /// comes meanwhile shares the next sync.
+    /// Appends the leader's queued commands to the log, one batch at a time. Commands that
+    /// arrive meanwhile share the next sync.
     pub(crate) fn propose(&mut self) {
         if let Some(leader) = &mut self.leader {
             let commands = leader.next_batch(BATCH_MAX);
@@ -253,7 +259,7 @@
                 match encoded.map(|bytes| self.raft.propose(now, bytes)) {
                     Ok(Ok(first)) => leader.proposed(first),
                     Ok(Err(why)) => {
-                        log::debug!("nothing was proposed: {why}");
+                        log::debug!("the proposal was refused: {why}");
                         leader.not_proposed();
                     }
                     Err(error) => {
@@ -266,7 +272,7 @@
         self.pump();
     }
 
-    /// Carries out what the consensus asks for.
+    /// Processes the output of the consensus: writes, messages, committed entries, role changes.
     fn pump(&mut self) {
         loop {
             let output = self.raft.take();
@@ -299,8 +305,8 @@
         let command = match store::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
-                // Going on without it would let this replica's state part from
-                // the others' for ever.
+                // Skipping the record would make this replica's state diverge from the
+                // others for good.
                 log::error!("record {index} cannot be applied: {error}");
                 std::process::abort();
             }
@@ -329,7 +335,7 @@
         }
     }
 
-    /// Passes on the messages whose writes the disk has confirmed.
+    /// Queues the messages whose preceding writes are durable for sending.
     fn release(&mut self) {
         let mut any = false;
         let mut later = VecDeque::new();
@@ -351,20 +357,20 @@
         }
     }
 
-    /// Messages to send now, by replica.
+    /// Takes the messages to send now, by replica.
     pub(crate) fn outgoing(&mut self) -> Vec<(ReplicaId, Vec<Envelope>)> {
         let all = std::mem::take(&mut self.outboxes);
         all.into_iter().map(|(to, messages)| (to, messages.into())).collect()
     }
 
-    /// The daemon of a replica: by the members, or by its own word.
+    /// Returns the daemon name of a replica, from the members or else from its own messages.
     pub(crate) fn name_of(&self, id: ReplicaId) -> Option<Name> {
         let known = self.raft.members().get(id).map(|member| member.name.clone());
         known.or_else(|| self.names.get(&id).cloned())
     }
 }
 
-/// Feeds the disk thread until told to stop.
+/// Passes work to the disk thread until told to stop.
 pub(crate) async fn feed(
     replica: std::rc::Rc<std::cell::RefCell<Replica>>,
     mut journal: Journal,
@@ -387,8 +393,8 @@
         }
         match journal.done().await {
             Some(DiskEvent::Failed(error)) => {
-                // What reached the disk is not known, so nothing more may be
-                // promised: the daemon stops and recovers from the disk.
+                // It is unknown which writes reached the disk, so no more may be
+                // acknowledged: the daemon stops and recovers from the disk.
                 let _ = failed.send(error);
                 return;
             }
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -1,9 +1,9 @@
-//! What a replica asks of its disk, and what it makes of the answers.
+//! Disk work of a replica: writes, snapshots and their completion. Also leadership transfer.
 
 use super::*;
 
 impl Replica {
-    /// What the disk is to do next, writes first.
+    /// Returns the next operation for the disk thread, writes first.
     pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
         if !self.writes.is_empty() {
             return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
@@ -14,7 +14,7 @@
         self.snapshot_due()
     }
 
-    /// The disk has done something.
+    /// Handles the completion of a disk operation.
     pub(crate) fn did(&mut self, done: &DiskEvent) {
         match done {
             DiskEvent::Written { seq, counts } => {
@@ -33,7 +33,7 @@
         let Some((meta, bytes)) = self.install.take() else { return };
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
-                log::info!("took over the leader's state up to record {}", meta.index);
+                log::info!("installed the leader's snapshot of record {}", meta.index);
                 self.state = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
@@ -58,7 +58,7 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("no snapshot: {error}");
+                log::error!("the snapshot cannot be encoded: {error}");
                 None
             }
         }
@@ -77,13 +77,13 @@
 
     pub(super) fn offer_snapshot(&mut self, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} the state up to record {}", meta.index);
+            log::info!("sending replica {to} a snapshot of record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
             self.pump();
         }
     }
 
-    /// Before a planned stop: lets another voter lead at once.
+    /// Asks another voter to take over the leadership before a planned stop.
     pub(crate) fn transfer_leadership(&mut self) -> bool {
         let asked = self.raft.transfer_leadership();
         self.pump();
--- a/crates/daemon/src/replica/repair.rs
+++ b/crates/daemon/src/replica/repair.rs
@@ -1,9 +1,10 @@
-//! Taking in a voter whose disk was replaced.
+//! Membership changes that replace a voter whose disk was replaced.
 
 use super::*;
 
 impl Replica {
-    /// A voter with an empty disk asks to be taken in.
+    /// Records the request of a voter with an empty disk to join; false if this replica does
+    /// not lead.
     pub(crate) fn join(&mut self, member: Member) -> bool {
         if self.leader().is_none() {
             return false;
@@ -13,8 +14,9 @@
         true
     }
 
-    /// Takes a replaced disk in: first it only follows, then the seat's former
-    /// disk goes, then it votes. One step at a time, each committed.
+    /// Replaces a voter's disk in three membership changes, each committed before the next:
+    /// the new disk becomes a learner, the old disk is removed from the voters, and the new
+    /// disk becomes a voter.
     pub(super) fn repair(&mut self, now: Moment) {
         self.joining.retain(|_, joining| now.since(joining.asked) < JOIN_FORGET);
         if self.joining.is_empty() || self.leader.is_none() {
@@ -46,7 +48,7 @@
         if !follows {
             members.learners.retain(|learner| learner.name != member.name);
             members.learners.push(member.clone());
-            return Some((members, "its new disk follows"));
+            return Some((members, "its new disk is a learner"));
         }
         if !self.raft.is_caught_up(member.id) {
             return None;
@@ -59,10 +61,10 @@
             }
             let former = former.id;
             members.voters.retain(|voter| voter.id != former);
-            return Some((members, "its former disk votes no more"));
+            return Some((members, "its old disk is no longer a voter"));
         }
         members.learners.retain(|learner| learner.id != member.id);
         members.voters.push(member.clone());
-        Some((members, "its new disk votes"))
+        Some((members, "its new disk is a voter"))
     }
 }
--- a/crates/daemon/src/voters.rs
+++ b/crates/daemon/src/voters.rs
@@ -1,5 +1,5 @@
-//! Talking to the other voters: messages of the consensus, founding a new
-//! system, and joining one with an empty disk.
+//! Connections to the other voters: Raft messages, bootstrap of a new system, and joining an
+//! existing one with an empty disk.
 
 use crate::leader_client::{CALL_TIMEOUT, CallError, Greeting, LeaderClient, greet};
 use crate::replica::Replica;
@@ -16,16 +16,16 @@
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_transport::rpc;
 
-/// Pause between tries to found or to join.
+/// Pause before the other voters are asked again whether a system exists.
 const AGAIN: Duration = Duration::from_millis(200);
-/// Pause between words of a replica that is still joining.
+/// Pause before a replica that is not yet a voter repeats its request to join.
 const JOIN_AGAIN: Duration = Duration::from_secs(2);
-/// Calls with messages under way to one voter.
+/// Largest number of concurrent calls to one voter; further messages are dropped.
 const CALLS_MAX: usize = 4;
-/// Bytes of messages in one call, but always at least one message.
+/// Bytes of messages in one call; a larger message is sent in a call of its own.
 const CALL_BYTES: usize = 2 * 1024 * 1024;
 
-/// Connections to the other voters.
+/// Connections to the other voters, over which Raft messages are sent.
 pub(crate) struct Voters {
     shared: Arc<Shared>,
     incarnation: Incarnation,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Sends the consensus's messages for ever. What cannot be sent is dropped:
-    /// the consensus sends again what it still needs.
+    /// Sends Raft messages for ever. Messages that cannot be sent are dropped, as Raft
+    /// repeats those that it still needs.
     pub(crate) async fn send(self: Rc<Self>) {
         let wake = self.replica.borrow().sends.clone();
         loop {
@@ -108,7 +108,7 @@
         });
     }
 
-    /// Where a replica is, by this daemon's own settings.
+    /// Returns the address of a replica according to this daemon's settings.
     fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
         let name = self.replica.borrow().name_of(id)?;
         let voters = &self.shared.config.voters;
@@ -123,8 +123,8 @@
         Member { id, name: config.name.clone(), address: address.to_string().into() }
     }
 
-    /// Brings an empty disk into the system: a new one, when every voter says
-    /// that it has nothing, or the one that is there.
+    /// Makes this replica a voter: bootstraps a new system if the disks of all voters are
+    /// empty, and otherwise joins the existing one.
     pub(crate) async fn settle(self: Rc<Self>, link: Rc<LeaderClient>) {
         let config = &self.shared.config;
         if config.voters.len() <= 1 {
@@ -142,17 +142,17 @@
                     let members = std::iter::once(self.own()).chain(others).collect();
                     self.replica.borrow_mut().bootstrap(members);
                 }
-                // The first of the list founds; this one waits for its word.
+                // Only the first voter of the list bootstraps; the others wait for its messages.
                 Others::AllEmpty(_) | Others::Unknown => sleep(AGAIN).await,
                 Others::Founded => {
                     if let Err(error) = self.join(&link).await {
-                        log::info!("not taken in yet: {error}");
+                        log::info!("cannot join yet: {error}; trying again");
                     }
                     sleep(JOIN_AGAIN).await;
                 }
             }
         }
-        log::info!("this replica votes");
+        log::info!("this replica is a voter");
     }
 
     async fn ask_others(&self) -> Others {
@@ -181,13 +181,14 @@
     }
 }
 
+/// Whether the other voters belong to a system already.
 enum Others {
     AllEmpty(Vec<Member>),
     Founded,
     Unknown,
 }
 
-/// Splits messages into calls of bounded size, in order.
+/// Splits messages into calls of at most [`CALL_BYTES`], in order.
 fn parts(messages: Vec<Envelope>) -> Vec<Vec<Envelope>> {
     let mut parts: Vec<Vec<Envelope>> = Vec::new();
     let mut bytes = usize::MAX;
@@ -218,7 +219,7 @@
     Ok(())
 }
 
-/// Asks a leader over `link` to take a replica in.
+/// Asks a leader over `link` to add a replica to the voters.
 pub(crate) async fn ask_to_join(
     link: &rpc::RpcConnection,
     name: &Name,
