--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,15 +1,15 @@
 //! The control thread: all changes of control state run on this one thread, so no decision
 //! needs a lock.
 
-use crate::entry::Entry;
+use crate::entry::EntryControl;
 use crate::error::{Error, Result};
 use crate::journal::Journal;
 use crate::leader_client::{Backoff, LeaderClient};
-use crate::orders::Sender;
+use crate::orders::OrderSender;
 use crate::peers::PeerService;
 use crate::replica::{self, Replica};
 use crate::shared::{Shared, ToLeader};
-use crate::voters::Voters;
+use crate::voters::VoterConnections;
 use std::cell::RefCell;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -23,22 +23,22 @@
 use yuccalink_transport::rpc;
 
 /// Interval of the periodic work of the replica and the leader.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for another voter to take over the leadership at a planned stop.
-const HAND_OVER: Duration = Duration::from_millis(500);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for the leader's response when this entry reports that it stops.
-const GOODBYE: Duration = Duration::from_secs(1);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Inputs of the control thread.
-pub(crate) struct Parts {
+pub(crate) struct ControlParts {
     pub(crate) shared: Arc<Shared>,
     pub(crate) peer_listener: TcpListener,
-    pub(crate) asks: mpsc::Receiver<ToLeader>,
+    pub(crate) requests: mpsc::Receiver<ToLeader>,
     pub(crate) storage: Option<Storage>,
     pub(crate) incarnation: Incarnation,
     pub(crate) stop: watch::Receiver<bool>,
     /// Receives the error when the disk fails; the daemon must then stop.
-    pub(crate) failed: oneshot::Sender<yuccalink_state::Error>,
+    pub(crate) disk_failure: oneshot::Sender<yuccalink_state::Error>,
 }
 
 /// The disk thread and the recovered state of a voter.
@@ -48,75 +48,88 @@
 }
 
 /// Runs until told to stop.
-pub(crate) fn run(parts: Parts) -> Result<()> {
+pub(crate) fn run(parts: ControlParts) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Thread)?;
     let local = LocalSet::new();
-    local.block_on(&runtime, control(parts));
+    local.block_on(&runtime, run_control(parts));
     Ok(())
 }
 
-async fn control(parts: Parts) {
-    let Parts { shared, peer_listener, asks, storage, incarnation, mut stop, failed } = parts;
-    let (halt, halted) = watch::channel(false);
-    let mut writer = None;
+async fn run_control(parts: ControlParts) {
+    let ControlParts {
+        shared,
+        peer_listener,
+        requests,
+        storage,
+        incarnation,
+        mut stop,
+        disk_failure,
+    } = parts;
+    let (disk_stop, disk_stopped) = watch::channel(false);
+    let mut disk_task = None;
     let mut replica = None;
     if let Some(Storage { journal, recovered }) = storage {
-        let made = match Replica::new(shared.clone(), recovered, incarnation.0) {
-            Ok(made) => Rc::new(RefCell::new(made)),
+        let opened = match Replica::new(shared.clone(), recovered, incarnation.0) {
+            Ok(opened) => Rc::new(RefCell::new(opened)),
             Err(error) => return log::error!("the state on the disk cannot be used: {error}"),
         };
-        let feed = replica::feed(made.clone(), journal, halted.clone(), failed);
-        writer = Some(tokio::task::spawn_local(feed));
-        replica = Some(made);
+        let disk_loop =
+            replica::run_disk_tasks(opened.clone(), journal, disk_stopped.clone(), disk_failure);
+        disk_task = Some(tokio::task::spawn_local(disk_loop));
+        replica = Some(opened);
     }
-    let link = Rc::new(LeaderClient::new(shared.clone(), incarnation, replica.clone()));
+    let leader_client = Rc::new(LeaderClient::new(shared.clone(), incarnation, replica.clone()));
     serve_peers(&shared, peer_listener, replica.clone());
     if let Some(replica) = &replica {
-        start_voting(&shared, incarnation, replica, &link);
+        start_voter_tasks(&shared, incarnation, replica, &leader_client);
     }
-    let entry = Rc::new(RefCell::new(Entry::new(shared.clone(), incarnation)));
-    tokio::task::spawn_local(link.clone().carry(asks));
-    let follower =
-        tokio::task::spawn_local(follow(shared, entry.clone(), link.clone(), incarnation));
+    let entry = Rc::new(RefCell::new(EntryControl::new(shared.clone(), incarnation)));
+    tokio::task::spawn_local(leader_client.clone().forward_requests(requests));
+    let sync_task = tokio::task::spawn_local(sync_with_leader(
+        shared,
+        entry.clone(),
+        leader_client.clone(),
+        incarnation,
+    ));
     let _ = stop.wait_for(|stop| *stop).await;
-    follower.abort();
+    sync_task.abort();
     if let Some(replica) = &replica {
         transfer_leadership(replica).await;
     }
-    let state = entry.borrow_mut().state(true, link.generation());
-    let _ = tokio::time::timeout(GOODBYE, link.sync(&state)).await;
+    let state = entry.borrow_mut().state(true, leader_client.generation());
+    let _ = tokio::time::timeout(LEAVE_TIMEOUT, leader_client.sync(&state)).await;
     // The disk thread stops last: the leadership transfer and the last sync still need it.
-    let _ = halt.send(true);
-    if let Some(writer) = writer {
-        let _ = writer.await;
+    let _ = disk_stop.send(true);
+    if let Some(disk_task) = disk_task {
+        let _ = disk_task.await;
     }
 }
 
-/// Waits until another voter leads, but not longer than [`HAND_OVER`].
+/// Waits until another voter leads, but not longer than [`LEADERSHIP_TRANSFER_TIMEOUT`].
 async fn transfer_leadership(replica: &Rc<RefCell<Replica>>) {
     if !replica.borrow_mut().transfer_leadership() {
         return;
     }
-    let until = tokio::time::Instant::now() + HAND_OVER;
-    while replica.borrow().is_leader() && tokio::time::Instant::now() < until {
-        tokio::time::sleep(TICK).await;
+    let deadline = tokio::time::Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT;
+    while replica.borrow().is_leader() && tokio::time::Instant::now() < deadline {
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-fn start_voting(
+fn start_voter_tasks(
     shared: &Arc<Shared>,
     incarnation: Incarnation,
     replica: &Rc<RefCell<Replica>>,
-    link: &Rc<LeaderClient>,
+    leader_client: &Rc<LeaderClient>,
 ) {
-    tokio::task::spawn_local(Rc::new(Sender::new(replica.clone())).run());
-    tokio::task::spawn_local(ticks(replica.clone()));
-    let voters = Rc::new(Voters::new(shared.clone(), incarnation, replica.clone()));
-    tokio::task::spawn_local(voters.clone().send());
-    tokio::task::spawn_local(voters.settle(link.clone()));
+    tokio::task::spawn_local(Rc::new(OrderSender::new(replica.clone())).run());
+    tokio::task::spawn_local(run_ticks(replica.clone()));
+    let voters = Rc::new(VoterConnections::new(shared.clone(), incarnation, replica.clone()));
+    tokio::task::spawn_local(voters.clone().send_messages());
+    tokio::task::spawn_local(voters.become_voter(leader_client.clone()));
 }
 
 fn serve_peers(shared: &Shared, listener: TcpListener, replica: Option<Rc<RefCell<Replica>>>) {
@@ -137,22 +150,22 @@
 }
 
 /// Synchronizes this entry with the leader, which also renews its lease.
-async fn follow(
+async fn sync_with_leader(
     shared: Arc<Shared>,
-    entry: Rc<RefCell<Entry>>,
-    link: Rc<LeaderClient>,
+    entry: Rc<RefCell<EntryControl>>,
+    leader_client: Rc<LeaderClient>,
     incarnation: Incarnation,
 ) {
     let mut backoff = Backoff::new(incarnation.0);
     let mut connected = false;
     loop {
-        let prepared = link.prepare().await;
-        let state = entry.borrow_mut().state(false, link.generation());
+        let prepared = leader_client.ensure_connected().await;
+        let state = entry.borrow_mut().state(false, leader_client.generation());
         let sent = shared.clock.now();
         let result = match prepared {
             Err(error) => Err(error),
             Ok(()) => tokio::select! {
-                result = link.sync(&state) => result,
+                result = leader_client.sync(&state) => result,
                 // The leader delays its response to the pending sync, so a local change is sent
                 // in a new one at once.
                 () = shared.tell_leader.notified() => continue,
@@ -178,11 +191,11 @@
     }
 }
 
-async fn ticks(replica: Rc<RefCell<Replica>>) {
-    let mut ticks = tokio::time::interval(TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn run_ticks(replica: Rc<RefCell<Replica>>) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        ticks.tick().await;
+        interval.tick().await;
         replica.borrow_mut().tick();
     }
 }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -3,7 +3,7 @@
 use crate::admin::Admin;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::control::{self, Parts, Storage};
+use crate::control::{self, ControlParts, Storage};
 use crate::error::{Error, Result};
 use crate::journal::Journal;
 use crate::shared::{CONTROL_QUEUE, Shared};
@@ -25,9 +25,9 @@
 /// Largest number of concurrent connections of targets and operators.
 const CONTROL_CONNECTIONS: usize = 4096;
 /// Time to send the last responses once no request is in flight; then connections are closed.
-const ANSWERS_LEAVE: Duration = Duration::from_millis(500);
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which a draining daemon checks whether requests are still in flight.
-const POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running daemon.
 pub struct Daemon {
@@ -37,7 +37,7 @@
     peer: SocketAddr,
     stop: watch::Sender<bool>,
     control: JoinHandle<Result<()>>,
-    failed: oneshot::Receiver<yuccalink_state::Error>,
+    disk_failure: oneshot::Receiver<yuccalink_state::Error>,
 }
 
 impl std::fmt::Debug for Daemon {
@@ -78,18 +78,18 @@
             Some(folder) => Some(recover(folder)?),
             None => None,
         };
-        let (asks_tx, asks) = mpsc::channel(CONTROL_QUEUE);
-        let shared = Arc::new(Shared::new(config, keys, Clock::start(), asks_tx));
+        let (requests_tx, requests) = mpsc::channel(CONTROL_QUEUE);
+        let shared = Arc::new(Shared::new(config, keys, Clock::start(), requests_tx));
         let (stop, stopped) = watch::channel(false);
-        let (failed_tx, failed) = oneshot::channel();
-        let parts = Parts {
+        let (disk_failure_tx, disk_failure) = oneshot::channel();
+        let parts = ControlParts {
             shared: shared.clone(),
             peer_listener: peers,
-            asks,
+            requests,
             storage,
-            incarnation: Incarnation(draw()),
+            incarnation: Incarnation(random_u64()),
             stop: stopped,
-            failed: failed_tx,
+            disk_failure: disk_failure_tx,
         };
         let control = thread::Builder::new()
             .name("control".into())
@@ -104,7 +104,7 @@
             callers.address(),
             admin.address()
         );
-        Ok(Self { shared, callers, admin, peer, stop, control, failed })
+        Ok(Self { shared, callers, admin, peer, stop, control, disk_failure })
     }
 
     /// Address for callers' requests.
@@ -124,7 +124,7 @@
 
     /// Returns the disk error once the disk has failed; the daemon must then be stopped.
     pub fn failure(&mut self) -> Option<yuccalink_state::Error> {
-        self.failed.try_recv().ok()
+        self.disk_failure.try_recv().ok()
     }
 
     /// Stops gracefully: fails the health check, serves until the load balancer has noticed,
@@ -141,15 +141,15 @@
         self.shared.start_draining();
         thread::sleep(config.drain_delay);
         self.shared.start_refusing();
-        let until = Instant::now() + config.drain_timeout;
-        while self.shared.in_flight.load(Ordering::Acquire) > 0 && Instant::now() < until {
-            thread::sleep(POLL);
+        let deadline = Instant::now() + config.drain_timeout;
+        while self.shared.in_flight.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         let left = self.shared.in_flight.load(Ordering::Acquire);
         if left > 0 {
             log::warn!("{left} requests were still in flight after {:?}", config.drain_timeout);
         }
-        self.callers.stop(ANSWERS_LEAVE);
+        self.callers.stop(RESPONSE_FLUSH_TIMEOUT);
         let result = stop_control(&self.stop, self.control);
         self.admin.stop(Duration::ZERO);
         log::info!("stopped");
@@ -186,7 +186,7 @@
 
 fn recover(folder: &std::path::Path) -> Result<Storage> {
     let started = Instant::now();
-    let (journal, recovered) = Journal::open(folder, draw())?;
+    let (journal, recovered) = Journal::open(folder, random_u64())?;
     log::info!(
         "replica {:016x}: read {} with a snapshot of record {} and {} records after it in {:?}",
         recovered.replica,
@@ -208,7 +208,7 @@
         stall_timeout: config.stall_timeout,
     };
     let shared = shared.clone();
-    Server::start(listener, limits, move || Traffic::new(shared.clone(), draw()))
+    Server::start(listener, limits, move || Traffic::new(shared.clone(), random_u64()))
         .map_err(Error::Thread)
 }
 
@@ -219,11 +219,11 @@
         ..ServerLimits::default()
     };
     let shared = shared.clone();
-    Server::start(listener, limits, move || Admin::new(shared.clone(), draw()))
+    Server::start(listener, limits, move || Admin::new(shared.clone(), random_u64()))
         .map_err(Error::Thread)
 }
 
 /// Returns a random number from the operating system, for seeds and the incarnation.
-fn draw() -> u64 {
+fn random_u64() -> u64 {
     SysRng.try_next_u64().unwrap_or_else(|_| crate::clock::unix_ms())
 }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -10,7 +10,7 @@
 use yuccalink_state::document::Document;
 use yuccalink_state::id::{Incarnation, Name};
 
-pub(crate) struct Entry {
+pub(crate) struct EntryControl {
     shared: Arc<Shared>,
     incarnation: Incarnation,
     lease: ConfigLease,
@@ -18,21 +18,21 @@
     term: u64,
     table_version: u64,
     /// Connection generation in which the leader last acknowledged the owned runners.
-    told_owned: u64,
+    owned_acked_generation: u64,
     /// Connection generation of the last sync.
-    telling: u64,
+    sync_generation: u64,
     /// Runners in the updates from the leader of this term.
-    heard: BTreeSet<Name>,
+    runners_of_term: BTreeSet<Name>,
     /// Whether the leader of this term has sent its complete runner table.
     runner_table_complete: bool,
     documents: BTreeMap<Name, Arc<Document>>,
     runners: BTreeMap<Name, RunnerChange>,
-    neighbours: Vec<PeerEntry>,
+    peer_entries: Vec<PeerEntry>,
     /// Runners that may get no more requests and are released once none is in flight.
     releasing: Vec<Name>,
 }
 
-impl Entry {
+impl EntryControl {
     pub(crate) fn new(shared: Arc<Shared>, incarnation: Incarnation) -> Self {
         Self {
             shared,
@@ -41,27 +41,28 @@
             revision: 0,
             term: 0,
             table_version: 0,
-            told_owned: 0,
-            telling: 0,
-            heard: BTreeSet::new(),
+            owned_acked_generation: 0,
+            sync_generation: 0,
+            runners_of_term: BTreeSet::new(),
             runner_table_complete: false,
             documents: BTreeMap::new(),
             runners: BTreeMap::new(),
-            neighbours: Vec::new(),
+            peer_entries: Vec::new(),
             releasing: Vec::new(),
         }
     }
 
-    /// Returns the state to send to the leader. `way` is the generation of the connection; in
-    /// each generation the owned runners are sent once.
-    pub(crate) fn state(&mut self, leaving: bool, way: u64) -> EntryState {
+    /// Returns the state to send to the leader over the connection with number `generation`.
+    /// The owned runners are sent once for each connection.
+    pub(crate) fn state(&mut self, leaving: bool, generation: u64) -> EntryState {
         if !self.lease.holds(self.shared.clock.now()) {
-            self.lapse();
+            self.stop_routing_to_owned();
         }
         let released_runners = self.take_released();
         let config = &self.shared.config;
-        let owned = if self.told_owned == way { Vec::new() } else { self.owned_specs() };
-        self.telling = way;
+        let owned =
+            if self.owned_acked_generation == generation { Vec::new() } else { self.owned_specs() };
+        self.sync_generation = generation;
         EntryState {
             entry: config.name.clone(),
             incarnation: self.incarnation,
@@ -81,7 +82,7 @@
     /// Stops routing to all owned runners after the lease expired. The leader may have given
     /// them to other entries and does not know which requests are still in flight here.
     /// Routing resumes when the leader sends the runner table again.
-    fn lapse(&mut self) {
+    fn stop_routing_to_owned(&mut self) {
         if self.table_version == 0 {
             return;
         }
@@ -105,16 +106,16 @@
     /// Removes and returns the runners to release that have no more requests in flight.
     fn take_released(&mut self) -> Vec<Name> {
         let mut routing = self.shared.routing();
-        let mut gone = Vec::new();
+        let mut released = Vec::new();
         self.releasing.retain(|name| match routing.router.in_flight(name) {
-            Some(busy) if busy > 0 => true,
+            Some(count) if count > 0 => true,
             _ => {
                 routing.router.remove_runner(name);
-                gone.push(name.clone());
+                released.push(name.clone());
                 false
             }
         });
-        gone
+        released
     }
 
     /// Applies the update that answers a sync sent at `sent`, then renews the lease.
@@ -127,22 +128,22 @@
             log::info!("following the leader of term {}", update.term);
             self.term = update.term;
             self.runner_table_complete = false;
-            self.heard.clear();
+            self.runners_of_term.clear();
         }
-        self.told_owned = self.telling;
-        let mut changed = self.take_documents(update.documents);
+        self.owned_acked_generation = self.sync_generation;
+        let mut changed = self.apply_documents(update.documents);
         self.revision = self.revision.max(update.revision);
         self.table_version = update.table_version;
-        let neighbours =
-            PeerEntry::known(update.entries, &self.neighbours, update.runner_table_complete);
-        changed |= !update.runners.is_empty() || self.neighbours != neighbours;
-        self.neighbours = neighbours;
-        self.take_runners(update.runners);
+        let peer_entries =
+            PeerEntry::known(update.entries, &self.peer_entries, update.runner_table_complete);
+        changed |= !update.runners.is_empty() || self.peer_entries != peer_entries;
+        self.peer_entries = peer_entries;
+        self.apply_runner_changes(update.runners);
         if update.runner_table_complete && !self.runner_table_complete {
-            changed |= self.settle();
+            changed |= self.drop_unlisted_runners();
         }
         if changed {
-            self.publish();
+            self.publish_routing_table();
         }
         self.lease.renew(sent);
         self.shared.set_lease(self.lease.until());
@@ -153,22 +154,26 @@
 
     /// Drops the runners that are missing from the leader's table, once that is complete.
     /// Until then the entries from the previous leader's table are kept as the best estimate.
-    fn settle(&mut self) -> bool {
+    fn drop_unlisted_runners(&mut self) -> bool {
         self.runner_table_complete = true;
-        let gone: Vec<Name> =
-            self.runners.keys().filter(|name| !self.heard.contains(*name)).cloned().collect();
+        let unlisted: Vec<Name> = self
+            .runners
+            .keys()
+            .filter(|name| !self.runners_of_term.contains(*name))
+            .cloned()
+            .collect();
         let mut routing = self.shared.routing();
-        for name in &gone {
+        for name in &unlisted {
             self.runners.remove(name);
             if routing.router.in_flight(name).is_some() {
                 routing.router.stop_routing_to(name);
                 self.releasing.push(name.clone());
             }
         }
-        !gone.is_empty()
+        !unlisted.is_empty()
     }
 
-    fn take_documents(&mut self, documents: Vec<yuccalink_state::document::Accepted>) -> bool {
+    fn apply_documents(&mut self, documents: Vec<yuccalink_state::document::Accepted>) -> bool {
         let mut changed = false;
         for accepted in documents {
             // Revisions only grow, so a reordered update changes nothing.
@@ -188,41 +193,41 @@
         changed
     }
 
-    fn take_runners(&mut self, runners: Vec<RunnerChange>) {
+    fn apply_runner_changes(&mut self, runners: Vec<RunnerChange>) {
         for change in runners {
-            self.route(&change);
-            self.heard.insert(change.spec.name.clone());
+            self.apply_runner_change(&change);
+            self.runners_of_term.insert(change.spec.name.clone());
             self.runners.insert(change.spec.name.clone(), change);
         }
     }
 
-    fn route(&mut self, change: &RunnerChange) {
+    fn apply_runner_change(&mut self, change: &RunnerChange) {
         let now = self.shared.clock.now();
         let name = &change.spec.name;
-        let mine = change.owner.as_ref() == Some(&self.shared.config.name);
+        let is_owner = change.owner.as_ref() == Some(&self.shared.config.name);
         let mut routing = self.shared.routing();
-        let had = routing.router.in_flight(name).is_some();
-        if mine && change.usable {
+        let was_routed = routing.router.in_flight(name).is_some();
+        if is_owner && change.usable {
             self.releasing.retain(|other| other != name);
-            routing.change(now, |router, turns| {
-                if had {
-                    router.update_busy_count(now, name, change.busy, turns);
+            routing.change(now, |router, dequeued| {
+                if was_routed {
+                    router.update_busy_count(now, name, change.busy, dequeued);
                 }
-                router.add_runner(now, change.spec.clone(), change.busy, turns);
+                router.add_runner(now, change.spec.clone(), change.busy, dequeued);
             });
-        } else if had {
+        } else if was_routed {
             routing.router.stop_routing_to(name);
-            if !mine && !self.releasing.contains(name) {
+            if !is_owner && !self.releasing.contains(name) {
                 self.releasing.push(name.clone());
             }
         }
     }
 
-    fn publish(&self) {
+    fn publish_routing_table(&self) {
         let mut owners: HashMap<Box<str>, BTreeMap<Name, Owner>> = HashMap::new();
         for change in self.runners.values().filter(|change| change.usable) {
             let Some(owner) = &change.owner else { continue };
-            let found = self.neighbours.iter().find(|n| n.name == *owner && !n.draining);
+            let found = self.peer_entries.iter().find(|n| n.name == *owner && !n.draining);
             let Some(callers) = found.and_then(|entry| entry.caller_address.parse().ok()) else {
                 continue;
             };
@@ -235,13 +240,13 @@
             owner.slots += change.spec.slots;
         }
         let documents = self.documents.iter();
-        let view = RoutingTable {
+        let table = RoutingTable {
             services: documents.map(|(name, doc)| (name.as_str().into(), doc.clone())).collect(),
             owners: owners
                 .into_iter()
                 .map(|(service, owners)| (service, owners.into_values().collect()))
                 .collect(),
         };
-        self.shared.view.store(Arc::new(view));
+        self.shared.view.store(Arc::new(table));
     }
 }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -12,7 +12,7 @@
 use yuccalink_state::snapshot::Replicated;
 use yuccalink_state::store::Recovered;
 
-enum Job {
+enum DiskOperation {
     Write(Vec<LogWrite>),
     Compact { index: u64, bytes: Vec<u8> },
     Install { index: u64, bytes: Vec<u8> },
@@ -33,7 +33,7 @@
 
 /// Handle of the disk thread.
 pub(crate) struct Journal {
-    jobs: Sender<Job>,
+    operations: Sender<DiskOperation>,
     done: UnboundedReceiver<DiskEvent>,
     thread: JoinHandle<()>,
 }
@@ -45,47 +45,47 @@
         S: Replicated,
     {
         let (store, recovered) = Store::open_as(folder, draw)?;
-        let (jobs, rx) = channel();
+        let (operations, rx) = channel();
         let (tx, done) = unbounded_channel();
         let thread = thread::Builder::new()
             .name("journal".into())
             .spawn(move || run(store, &rx, &tx))
             .map_err(Error::Thread)?;
-        Ok((Self { jobs, done, thread }, recovered))
+        Ok((Self { operations, done, thread }, recovered))
     }
 
     pub(crate) fn write(&self, writes: Vec<LogWrite>) {
-        let _ = self.jobs.send(Job::Write(writes));
+        let _ = self.operations.send(DiskOperation::Write(writes));
     }
 
     pub(crate) fn compact(&self, index: u64, bytes: Vec<u8>) {
-        let _ = self.jobs.send(Job::Compact { index, bytes });
+        let _ = self.operations.send(DiskOperation::Compact { index, bytes });
     }
 
     pub(crate) fn install(&self, index: u64, bytes: Vec<u8>) {
-        let _ = self.jobs.send(Job::Install { index, bytes });
+        let _ = self.operations.send(DiskOperation::Install { index, bytes });
     }
 
-    /// Waits for the next finished job; `None` when the thread has ended.
+    /// Waits for the next finished operation; `None` when the thread has ended.
     pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
-    /// Finishes the queued jobs, ends the thread and releases the folder.
+    /// Finishes the queued operations, ends the thread and releases the folder.
     pub(crate) fn close(self) {
-        drop(self.jobs);
+        drop(self.operations);
         let _ = self.thread.join();
     }
 }
 
-fn run(mut store: Store, jobs: &Receiver<Job>, done: &UnboundedSender<DiskEvent>) {
-    while let Ok(job) = jobs.recv() {
-        let result = match job {
-            Job::Write(writes) => write(&mut store, writes),
-            Job::Compact { index, bytes } => {
+fn run(mut store: Store, operations: &Receiver<DiskOperation>, done: &UnboundedSender<DiskEvent>) {
+    while let Ok(operation) = operations.recv() {
+        let result = match operation {
+            DiskOperation::Write(writes) => write(&mut store, writes),
+            DiskOperation::Compact { index, bytes } => {
                 store.compact(index, &bytes).map(|()| DiskEvent::Compacted { index })
             }
-            Job::Install { index, bytes } => {
+            DiskOperation::Install { index, bytes } => {
                 store.install(index, &bytes).map(|()| DiskEvent::Installed)
             }
         };
@@ -114,7 +114,7 @@
             records.push((entry.term, encode(&entry.payload)?));
         }
         match frames.last_mut() {
-            Some(frame) if follows(frame, write.first) => {
+            Some(frame) if extends_or_overwrites(frame, write.first) => {
                 let keep = usize::try_from(write.first - frame.first).unwrap_or(usize::MAX);
                 frame.records.truncate(keep);
                 frame.records.append(&mut records);
@@ -127,7 +127,7 @@
 }
 
 /// Whether a write at index `first` overwrites part of the frame or continues it.
-fn follows(frame: &LogFrame, first: u64) -> bool {
+fn extends_or_overwrites(frame: &LogFrame, first: u64) -> bool {
     (frame.first..=frame.first + frame.records.len() as u64).contains(&first)
 }
 
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -42,18 +42,18 @@
 use yuccalink_state::{Resources, StateMachine};
 
 /// Limit of commands that wait for the log; further requests are refused as "not run".
-const QUEUE_MAX: usize = 16 * 1024;
+const PROPOSAL_QUEUE_MAX: usize = 16 * 1024;
 /// Longest time that a request waits until a revision is in force at all entries.
-const FORCE_WAIT: Duration = Duration::from_millis(2_000);
+const IN_FORCE_WAIT_MAX: Duration = Duration::from_millis(2_000);
 /// Largest number of tasks in one list response.
-const PAGE_MAX: u32 = 1000;
+const TASK_LIST_MAX: u32 = 1000;
 /// Interval at which all workers with tasks are checked for unconfirmed orders.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 type Reply = oneshot::Sender<LeaderResponse>;
 
 /// Action to take with the outcome of a committed command.
-enum Then {
+enum OnCommit {
     Applied { service: Name, version: u64, reply: Reply },
     Submitted(Reply),
     Cancelled { tasks: Vec<TaskId>, reply: Reply },
@@ -63,13 +63,13 @@
     Request(Reply),
     Done(Reply),
     WorkerGone(Name),
-    FormerRunGone(Name),
+    PreviousIncarnationGone(Name),
 }
 
 /// A request that waits until a revision is in force at all entries.
-struct ForceWaiter {
+struct InForceWaiter {
     revision: Revision,
-    until: Moment,
+    deadline: Moment,
     reply: Reply,
 }
 
@@ -93,30 +93,30 @@
     entries: EntryTable,
     dispatch: Dispatch,
     reconcile: Reconcile,
-    proposed: VecDeque<(Command, Then)>,
+    proposal_queue: VecDeque<(Command, OnCommit)>,
     /// Actions of the batch that was taken for the log and has no log index yet.
-    batch: VecDeque<Then>,
+    awaiting_index: VecDeque<OnCommit>,
     /// Log index and action of each command that is not committed yet.
-    committing: VecDeque<(u64, Then)>,
-    placing: bool,
+    awaiting_commit: VecDeque<(u64, OnCommit)>,
+    placement_pending: bool,
     plan_due: bool,
     /// Workers whose removal was proposed and is not committed yet.
-    going: BTreeSet<Name>,
+    removals_pending: BTreeSet<Name>,
     /// Workers that may have new orders.
-    dirty: BTreeSet<WorkerKey>,
+    dirty_workers: BTreeSet<WorkerKey>,
     /// Tasks that a worker reports but that are not assigned to it; they are to be stopped.
-    strays: BTreeMap<WorkerKey, Vec<(TaskId, Epoch)>>,
+    stray_tasks: BTreeMap<WorkerKey, Vec<(TaskId, Epoch)>>,
     pressure: Pressure,
     /// Throttle orders to send, by worker.
     throttles: BTreeMap<WorkerKey, Vec<Throttle>>,
-    swept: Moment,
-    force: Vec<ForceWaiter>,
+    last_sweep: Moment,
+    in_force_waiters: Vec<InForceWaiter>,
     /// Whether the directory lists all runners; see [`EntryUpdate::runner_table_complete`].
-    settled: bool,
+    runner_table_complete: bool,
     /// Wakes the task that sends orders.
-    orders: Arc<Notify>,
+    order_wake: Arc<Notify>,
     /// Counter that is incremented when an entry update may be due.
-    news: watch::Sender<u64>,
+    update_signal: watch::Sender<u64>,
 }
 
 impl Leader {
@@ -124,7 +124,7 @@
         shared: Arc<Shared>,
         term: u64,
         state: StateMachine,
-        orders: Arc<Notify>,
+        order_wake: Arc<Notify>,
     ) -> Self {
         let clock = shared.clock;
         let started = clock.now();
@@ -138,21 +138,21 @@
             entries: EntryTable::new(started),
             dispatch: Dispatch::new(),
             reconcile: Reconcile::default(),
-            proposed: VecDeque::new(),
-            batch: VecDeque::new(),
-            committing: VecDeque::new(),
-            placing: false,
+            proposal_queue: VecDeque::new(),
+            awaiting_index: VecDeque::new(),
+            awaiting_commit: VecDeque::new(),
+            placement_pending: false,
             plan_due: true,
-            going: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            removals_pending: BTreeSet::new(),
+            dirty_workers: BTreeSet::new(),
+            stray_tasks: BTreeMap::new(),
             pressure: Pressure::default(),
             throttles: BTreeMap::new(),
-            swept: started,
-            force: Vec::new(),
-            settled: false,
-            orders,
-            news: watch::Sender::new(0),
+            last_sweep: started,
+            in_force_waiters: Vec::new(),
+            runner_table_complete: false,
+            order_wake,
+            update_signal: watch::Sender::new(0),
         }
     }
 
@@ -167,115 +167,115 @@
     }
 
     /// Returns a receiver that is notified when an entry update may be due.
-    pub(crate) fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
+        self.update_signal.subscribe()
     }
 
-    fn bump(&self) {
-        self.news.send_modify(|count| *count += 1);
+    fn signal_update(&self) {
+        self.update_signal.send_modify(|count| *count += 1);
     }
 
     // ---- log ----
 
-    fn propose_for<F>(&mut self, command: Command, then: F, reply: Reply)
+    fn propose_request<F>(&mut self, command: Command, on_commit: F, reply: Reply)
     where
-        F: FnOnce(Reply) -> Then,
+        F: FnOnce(Reply) -> OnCommit,
     {
-        if self.proposed.len() >= QUEUE_MAX {
-            let what = "too many commands wait for the log; send the request again later";
-            let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, what)
+        if self.proposal_queue.len() >= PROPOSAL_QUEUE_MAX {
+            let message = "too many commands wait for the log; send the request again later";
+            let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, message)
                 .retry_after(1000);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
-        self.propose(command, then(reply));
+        self.propose(command, on_commit(reply));
     }
 
-    fn propose(&mut self, command: Command, then: Then) {
-        self.proposed.push_back((command, then));
+    fn propose(&mut self, command: Command, on_commit: OnCommit) {
+        self.proposal_queue.push_back((command, on_commit));
     }
 
     /// Takes the next batch of commands for the log; empty while another batch is not committed.
-    pub(crate) fn next_batch(&mut self, most: usize) -> Vec<Command> {
+    pub(crate) fn next_batch(&mut self, max_len: usize) -> Vec<Command> {
         self.plan();
-        if !self.committing.is_empty() {
+        if !self.awaiting_commit.is_empty() {
             return Vec::new();
         }
-        let count = self.proposed.len().min(most);
-        let batch: Vec<_> = self.proposed.drain(..count).collect();
+        let count = self.proposal_queue.len().min(max_len);
+        let batch: Vec<_> = self.proposal_queue.drain(..count).collect();
         let mut commands = Vec::with_capacity(batch.len());
-        for (command, then) in batch {
+        for (command, on_commit) in batch {
             commands.push(command);
-            self.batch.push_back(then);
+            self.awaiting_index.push_back(on_commit);
         }
         commands
     }
 
     /// Records that the batch was appended to the log from index `first` on.
-    pub(crate) fn proposed(&mut self, first: u64) {
-        self.committing.extend((first..).zip(self.batch.drain(..)));
+    pub(crate) fn record_batch_index(&mut self, first: u64) {
+        self.awaiting_commit.extend((first..).zip(self.awaiting_index.drain(..)));
     }
 
     /// Drops the batch, which was not appended to the log. Its requests get the response that
     /// there is no leader.
-    pub(crate) fn not_proposed(&mut self) {
-        self.batch.clear();
-        self.placing = false;
+    pub(crate) fn drop_batch(&mut self) {
+        self.awaiting_index.clear();
+        self.placement_pending = false;
     }
 
     /// Applies a committed command and responds to its request.
-    pub(crate) fn committed(&mut self, index: u64, command: Command) {
+    pub(crate) fn apply_committed(&mut self, index: u64, command: Command) {
         let outcome = self.state.apply(command);
-        if self.committing.front().is_some_and(|(at, _)| *at == index)
-            && let Some((_, then)) = self.committing.pop_front()
+        if self.awaiting_commit.front().is_some_and(|(at, _)| *at == index)
+            && let Some((_, on_commit)) = self.awaiting_commit.pop_front()
         {
-            self.finish(then, outcome);
+            self.handle_outcome(on_commit, outcome);
         }
     }
 
-    fn finish(&mut self, then: Then, outcome: Outcome) {
-        match then {
-            Then::Applied { service, version, reply } => {
+    fn handle_outcome(&mut self, on_commit: OnCommit, outcome: Outcome) {
+        match on_commit {
+            OnCommit::Applied { service, version, reply } => {
                 self.finish_apply(service, version, outcome, reply);
             }
-            Then::Submitted(reply) => {
+            OnCommit::Submitted(reply) => {
                 self.plan_due = true;
-                let _ = reply.send(submitted(outcome));
+                let _ = reply.send(submission_response(outcome));
             }
-            Then::Cancelled { tasks, reply } => self.finish_cancel(&tasks, outcome, reply),
-            Then::Placed(decisions) => self.finish_place(&decisions, &outcome),
-            Then::Announced(reply) => self.finish_announce(&outcome, reply),
-            Then::Reported(reply) => {
+            OnCommit::Cancelled { tasks, reply } => self.finish_cancel(&tasks, outcome, reply),
+            OnCommit::Placed(decisions) => self.finish_place(&decisions, &outcome),
+            OnCommit::Announced(reply) => self.finish_announce(&outcome, reply),
+            OnCommit::Reported(reply) => {
                 self.plan_due = true;
                 if let Some((reply, send_held)) = reply {
-                    let _ = reply.send(LeaderResponse::Welcome(worker_welcome(send_held)));
+                    let _ = reply.send(LeaderResponse::Welcome(worker_heartbeat_reply(send_held)));
                 }
             }
-            Then::Request(reply) => {
-                let answer = match outcome {
+            OnCommit::Request(reply) => {
+                let response = match outcome {
                     Outcome::Request(verdict) => LeaderResponse::Request(verdict),
-                    other => unexpected(&other),
+                    other => unexpected_outcome(&other),
                 };
-                let _ = reply.send(answer);
+                let _ = reply.send(response);
             }
-            Then::Done(reply) => {
+            OnCommit::Done(reply) => {
                 let _ = reply.send(LeaderResponse::Done);
             }
-            Then::WorkerGone(name) => {
+            OnCommit::WorkerGone(name) => {
                 self.directory.drop_worker(&name);
-                self.finish_gone(&name, &outcome);
+                self.finish_worker_removal(&name, &outcome);
             }
-            Then::FormerRunGone(name) => self.finish_gone(&name, &outcome),
+            OnCommit::PreviousIncarnationGone(name) => self.finish_worker_removal(&name, &outcome),
         }
     }
 
     fn finish_apply(&mut self, service: Name, version: u64, outcome: Outcome, reply: Reply) {
-        let answer = match outcome {
+        let response = match outcome {
             Outcome::Accepted { revision, resent } => {
                 if !resent {
                     log::info!("accepted {service} version {version} as revision {revision}");
                     self.plan_due = true;
-                    self.bump();
+                    self.signal_update();
                 }
                 LeaderResponse::Applied(Applied {
                     service,
@@ -287,7 +287,7 @@
                 })
             }
             Outcome::Conflict { version: winner, author, revision } => {
-                let what = format!(
+                let message = format!(
                     "{service} version {winner} by {author} is in force (revision {revision}); get \
                      it, merge your change and apply it as version {}",
                     winner + 1
@@ -295,41 +295,41 @@
                 LeaderResponse::Problem(Problem::new(
                     ProblemKind::Conflict,
                     ExecutionStatus::NotRun,
-                    what,
+                    message,
                 ))
             }
-            other => unexpected(&other),
+            other => unexpected_outcome(&other),
         };
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 
     fn finish_cancel(&mut self, tasks: &[TaskId], outcome: Outcome, reply: Reply) {
         let Outcome::Cancelled(outcomes) = outcome else {
-            let _ = reply.send(unexpected(&outcome));
+            let _ = reply.send(unexpected_outcome(&outcome));
             return;
         };
         for id in tasks {
             if let Some(key) = self.state.task(*id).and_then(Task::worker) {
-                self.dirty.insert(key);
+                self.dirty_workers.insert(key);
             }
         }
-        self.orders.notify_one();
+        self.order_wake.notify_one();
         let done =
             tasks.iter().zip(outcomes).map(|(task, outcome)| Cancelled { task: *task, outcome });
         let _ = reply.send(LeaderResponse::Cancelled(done.collect()));
     }
 
     fn finish_place(&mut self, decisions: &[Decision], outcome: &Outcome) {
-        self.placing = false;
+        self.placement_pending = false;
         let Outcome::Placed(committed) = outcome else { return };
         for placed in committed {
-            self.dirty.insert(placed.worker);
-            let passed = decisions.iter().find(|d| d.task == placed.task);
-            self.log_placement(placed, passed.map_or(0, |d| d.passed_over));
+            self.dirty_workers.insert(placed.worker);
+            let decision = decisions.iter().find(|d| d.task == placed.task);
+            self.log_placement(placed, decision.map_or(0, |d| d.passed_over));
         }
         self.shared.metrics.count("placements", committed.len() as u64);
         self.plan_due |= decisions.len() >= PLAN_MAX;
-        self.orders.notify_one();
+        self.order_wake.notify_one();
     }
 
     fn log_placement(&self, placed: &yuccalink_state::command::Committed, passed_over: usize) {
@@ -350,20 +350,22 @@
 
     fn finish_announce(&mut self, outcome: &Outcome, reply: Reply) {
         self.plan_due = true;
-        let answer = match outcome {
-            Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_welcome(true)),
+        let response = match outcome {
+            Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_heartbeat_reply(true)),
             Outcome::WorkerBusy => {
-                let what = "tasks of its previous incarnation are not released yet; announce again";
-                let problem = Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what);
+                let message =
+                    "tasks of its previous incarnation are not released yet; announce again";
+                let problem =
+                    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, message);
                 LeaderResponse::Problem(problem.retry_after(1000))
             }
-            other => unexpected(other),
+            other => unexpected_outcome(other),
         };
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 
-    fn finish_gone(&mut self, name: &Name, outcome: &Outcome) {
-        self.going.remove(name);
+    fn finish_worker_removal(&mut self, name: &Name, outcome: &Outcome) {
+        self.removals_pending.remove(name);
         self.plan_due = true;
         if let Outcome::Freed(tasks) = outcome {
             let count = tasks.len();
@@ -374,7 +376,7 @@
     }
 
     fn plan(&mut self) {
-        if !self.plan_due || self.placing || self.state.waiting_len() == 0 {
+        if !self.plan_due || self.placement_pending || self.state.waiting_len() == 0 {
             return;
         }
         self.plan_due = false;
@@ -385,35 +387,35 @@
         if plan.decisions.is_empty() {
             return;
         }
-        self.placing = true;
+        self.placement_pending = true;
         let command = Command::Place(plan.placements());
-        self.propose(command, Then::Placed(plan.decisions));
+        self.propose(command, OnCommit::Placed(plan.decisions));
     }
 }
 
-fn runner_welcome() -> HeartbeatReply {
+fn runner_heartbeat_reply() -> HeartbeatReply {
     HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms: None, send_held: false }
 }
 
-fn worker_welcome(send_held: bool) -> HeartbeatReply {
+fn worker_heartbeat_reply(send_held: bool) -> HeartbeatReply {
     let lease_ms = Some(millis(WORKER_LEASE));
     HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms, send_held }
 }
 
-fn busy_problem(target: &TargetSpec, wait: Duration) -> Problem {
-    let what = format!(
+fn previous_incarnation_problem(target: &TargetSpec, wait: Duration) -> Problem {
+    let message = format!(
         "another incarnation of {} may still be alive; announce again when its lease has ended",
         target.name()
     );
-    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what)
+    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, message)
         .retry_after(millis(wait).max(1))
 }
 
-fn not_found(what: String) -> LeaderResponse {
-    LeaderResponse::Problem(Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what))
+fn not_found(message: String) -> LeaderResponse {
+    LeaderResponse::Problem(Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message))
 }
 
-fn unexpected(outcome: &Outcome) -> LeaderResponse {
+fn unexpected_outcome(outcome: &Outcome) -> LeaderResponse {
     log::error!("unexpected outcome of a command: {outcome:?}; please report this");
     LeaderResponse::Problem(Problem::new(
         ProblemKind::NotServing,
@@ -422,7 +424,7 @@
     ))
 }
 
-fn submitted(outcome: Outcome) -> LeaderResponse {
+fn submission_response(outcome: Outcome) -> LeaderResponse {
     match outcome {
         Outcome::Submitted { first, count, resent } => {
             LeaderResponse::Submitted(Submitted { first, count, resent })
@@ -433,7 +435,7 @@
         Outcome::Unknown(Missing::Kind(name)) => not_found(format!(
             "the document has no kind of task {name}; add a [[task]] with that name"
         )),
-        other => unexpected(&other),
+        other => unexpected_outcome(&other),
     }
 }
 
@@ -441,7 +443,7 @@
 pub(crate) fn unacceptable_document(
     faults: &yuccalink_protocol::fields::ValidationErrors,
 ) -> Problem {
-    let what = "the document has faults; correct them and apply it again";
-    Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what)
+    let message = "the document has faults; correct them and apply it again";
+    Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, message)
         .with_faults(faults.0.iter().map(|fault| fault.to_string().into()).collect())
 }
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -12,16 +12,16 @@
 
 impl Leader {
     /// Processes an entry's report. The response to the report renews the entry's lease.
-    pub(crate) fn hear(&mut self, state: &EntryState) {
+    pub(crate) fn handle_entry_report(&mut self, state: &EntryState) {
         let now = self.clock.now();
         if state.leaving {
             log::info!("entry {} has stopped", state.entry);
             self.entries.leave(&state.entry);
             self.directory.tick(now, &self.entries);
-            self.bump();
+            self.signal_update();
             return;
         }
-        let hello = EntryReport {
+        let report = EntryReport {
             name: state.entry.clone(),
             incarnation: state.incarnation,
             caller_address: state.caller_address.clone(),
@@ -30,10 +30,10 @@
             draining: state.draining,
         };
         let known = self.entries.get(&state.entry);
-        let news = known.is_none_or(|entry| {
+        let changed = known.is_none_or(|entry| {
             entry.draining != state.draining || entry.incarnation != state.incarnation
         });
-        if self.entries.record_report(now, &hello) {
+        if self.entries.record_report(now, &report) {
             log::info!("entry {} was restarted", state.entry);
             self.directory.owner_restarted(now, &state.entry);
         }
@@ -43,40 +43,40 @@
         for name in &state.released_runners {
             self.directory.confirm_release(name, &state.entry);
         }
-        if news || !state.owned.is_empty() || !state.released_runners.is_empty() {
+        if changed || !state.owned.is_empty() || !state.released_runners.is_empty() {
             self.directory.tick(now, &self.entries);
-            self.bump();
+            self.signal_update();
         }
-        self.answer_in_force();
+        self.answer_in_force_waiters();
     }
 
     /// Builds the update for an entry; the flag tells whether it contains anything new.
-    pub(crate) fn news_for(&self, state: &EntryState) -> (EntryUpdate, bool) {
+    pub(crate) fn entry_update(&self, state: &EntryState) -> (EntryUpdate, bool) {
         let same_term = state.term == self.term;
         let table_version = if same_term { state.table_version } else { 0 };
         let (documents, revision) = self.documents_after(state.acked_revision);
-        let (runners, upto) = self.directory.changes(table_version, RUNNERS_MAX);
-        let any = !same_term
+        let (runners, up_to) = self.directory.changes(table_version, RUNNERS_MAX);
+        let has_changes = !same_term
             || self.state.revision().0 > state.acked_revision
-            || (self.settled && !state.runner_table_complete)
+            || (self.runner_table_complete && !state.runner_table_complete)
             || self.directory.version() > table_version;
-        let complete = revision == self.state.revision().0 && upto == self.directory.version();
+        let complete = revision == self.state.revision().0 && up_to == self.directory.version();
         let runners = runners.into_iter().map(|change| RunnerChange {
             spec: change.spec,
             usable: change.usable,
             busy: change.busy,
             owner: change.owner,
         });
-        let news = EntryUpdate {
+        let update = EntryUpdate {
             term: self.term,
             revision,
             documents,
-            table_version: upto,
+            table_version: up_to,
             runners: runners.collect(),
-            entries: self.neighbours(),
-            runner_table_complete: self.settled && complete,
+            entries: self.peer_entries(),
+            runner_table_complete: self.runner_table_complete && complete,
         };
-        (news, any)
+        (update, has_changes)
     }
 
     /// Returns the documents accepted after `revision`, oldest first and limited to
@@ -90,16 +90,16 @@
             bytes += accepted.text.len();
             bytes <= DOCUMENTS_BYTES || bytes == accepted.text.len()
         };
-        let told: Vec<Accepted> = new.iter().take_while(fits).map(|a| Accepted::clone(a)).collect();
-        let upto = match told.len() < new.len() {
-            true => told.last().map_or(revision, |last| last.revision.0),
+        let sent: Vec<Accepted> = new.iter().take_while(fits).map(|a| Accepted::clone(a)).collect();
+        let up_to = match sent.len() < new.len() {
+            true => sent.last().map_or(revision, |last| last.revision.0),
             false => self.state.revision().0,
         };
-        (told, upto)
+        (sent, up_to)
     }
 
     /// Lists the entries that may hold a lease.
-    pub(super) fn neighbours(&self) -> Vec<PeerEntry> {
+    pub(super) fn peer_entries(&self) -> Vec<PeerEntry> {
         let now = self.clock.now();
         let alive = self.entries.iter().filter(|(_, entry)| entry.may_hold_lease(now));
         alive
--- a/crates/daemon/src/leader/orders.rs
+++ b/crates/daemon/src/leader/orders.rs
@@ -7,12 +7,12 @@
     pub(crate) fn orders_due(&mut self, busy: &BTreeSet<WorkerKey>) -> Vec<OrderBatch> {
         let now = self.clock.now();
         let ready: Vec<WorkerKey> =
-            self.dirty.iter().copied().filter(|key| !busy.contains(key)).collect();
+            self.dirty_workers.iter().copied().filter(|key| !busy.contains(key)).collect();
         let mut batches = Vec::new();
         for key in ready {
-            self.dirty.remove(&key);
+            self.dirty_workers.remove(&key);
             let mut due = self.dispatch.due(now, &self.state, key);
-            for (task, epoch) in self.strays.remove(&key).unwrap_or_default() {
+            for (task, epoch) in self.stray_tasks.remove(&key).unwrap_or_default() {
                 due.push(DueOrder { task, epoch, order: Order::Stop });
             }
             // A lost throttle order is not resent: the next heartbeat produces it again.
@@ -28,8 +28,8 @@
                 address: worker.address.clone(),
                 orders: due
                     .iter()
-                    .filter_map(|due| self.order(due))
-                    .chain(throttles.iter().map(throttle))
+                    .filter_map(|due| self.build_order(due))
+                    .chain(throttles.iter().map(throttle_order))
                     .collect(),
                 due,
             });
@@ -37,11 +37,11 @@
         batches
     }
 
-    pub(super) fn order(&self, due: &DueOrder) -> Option<OrderTask> {
-        let held = ReportedTask { task: due.task, epoch: due.epoch };
+    pub(super) fn build_order(&self, due: &DueOrder) -> Option<OrderTask> {
+        let assignment = ReportedTask { task: due.task, epoch: due.epoch };
         match due.order {
-            Order::Stop => Some(OrderTask::Stop(held)),
-            Order::Checkpoint => Some(OrderTask::Checkpoint(held)),
+            Order::Stop => Some(OrderTask::Stop(assignment)),
+            Order::Checkpoint => Some(OrderTask::Checkpoint(assignment)),
             Order::Start => {
                 let task = self.state.task(due.task)?;
                 let kind = self.state.kind_of(task);
@@ -61,14 +61,14 @@
     }
 
     /// Records that orders could not be delivered: they are due again at the next sweep.
-    pub(crate) fn orders_failed(&mut self, due: &[DueOrder]) {
+    pub(crate) fn mark_orders_failed(&mut self, due: &[DueOrder]) {
         for due in due {
             self.dispatch.failed(due);
         }
     }
 }
 
-fn throttle(throttle: &Throttle) -> OrderTask {
+fn throttle_order(throttle: &Throttle) -> OrderTask {
     OrderTask::Throttle {
         task: throttle.task,
         epoch: throttle.epoch,
--- a/crates/daemon/src/leader/requests.rs
+++ b/crates/daemon/src/leader/requests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Leader {
-    pub(crate) fn ask(&mut self, ask: LeaderRequest, reply: Reply) {
-        let answer = match ask {
+    pub(crate) fn handle_request(&mut self, request: LeaderRequest, reply: Reply) {
+        let response = match request {
             LeaderRequest::Apply { text, author } => return self.apply(text, author, reply),
             LeaderRequest::InForce { revision } => {
                 return self.wait_in_force(Revision(revision), reply);
@@ -17,10 +17,14 @@
                 return self.leave(name, incarnation, reply);
             }
             LeaderRequest::RequestBegin(begin) => {
-                return self.propose_for(Command::RequestBegin(begin), Then::Request, reply);
+                return self.propose_request(
+                    Command::RequestBegin(begin),
+                    OnCommit::Request,
+                    reply,
+                );
             }
             LeaderRequest::RequestEnd(end) => {
-                return self.propose_for(Command::RequestEnd(end), Then::Done, reply);
+                return self.propose_request(Command::RequestEnd(end), OnCommit::Done, reply);
             }
             LeaderRequest::Services => {
                 let all = self.state.services();
@@ -42,7 +46,7 @@
             // The replica answers these itself, as it knows the log and the members.
             LeaderRequest::Status | LeaderRequest::Snapshot => LeaderResponse::Problem(no_leader()),
         };
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 
     pub(super) fn apply(&mut self, text: Box<str>, author: Box<str>, reply: Reply) {
@@ -57,26 +61,26 @@
         let version = document.version;
         let digest = document::digest(&text);
         let command = Command::Apply(Box::new(Apply { document, text, digest, author }));
-        let then = |reply| Then::Applied { service, version, reply };
-        self.propose_for(command, then, reply);
+        let on_commit = |reply| OnCommit::Applied { service, version, reply };
+        self.propose_request(command, on_commit, reply);
     }
 
     pub(super) fn wait_in_force(&mut self, revision: Revision, reply: Reply) {
-        let until = self.clock.now() + FORCE_WAIT;
-        self.force.push(ForceWaiter { revision, until, reply });
-        self.answer_in_force();
+        let deadline = self.clock.now() + IN_FORCE_WAIT_MAX;
+        self.in_force_waiters.push(InForceWaiter { revision, deadline, reply });
+        self.answer_in_force_waiters();
     }
 
-    pub(super) fn answer_in_force(&mut self) {
+    pub(super) fn answer_in_force_waiters(&mut self) {
         let now = self.clock.now();
-        for waiter in std::mem::take(&mut self.force) {
-            let state = self.entries.rollout_status(now, waiter.revision);
-            let everywhere = state == RolloutStatus::Everywhere;
-            if !everywhere && now < waiter.until {
-                self.force.push(waiter);
+        for waiter in std::mem::take(&mut self.in_force_waiters) {
+            let rollout = self.entries.rollout_status(now, waiter.revision);
+            let everywhere = rollout == RolloutStatus::Everywhere;
+            if !everywhere && now < waiter.deadline {
+                self.in_force_waiters.push(waiter);
                 continue;
             }
-            let waiting_for = match state {
+            let waiting_for = match rollout {
                 RolloutStatus::Not(names) => names.into(),
                 RolloutStatus::Everywhere | RolloutStatus::LeaderTooNew => Vec::new(),
             };
@@ -85,7 +89,7 @@
     }
 
     pub(super) fn submit(&mut self, key: Box<str>, tasks: SubmitTasks, reply: Reply) {
-        if let Some(problem) = self.unacceptable(&tasks) {
+        if let Some(problem) = self.submission_problem(&tasks) {
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
@@ -98,12 +102,12 @@
             payload: tasks.payload,
             at_ms: unix_ms(),
         });
-        self.propose_for(command, Then::Submitted, reply);
+        self.propose_request(command, OnCommit::Submitted, reply);
     }
 
-    pub(super) fn unacceptable(&self, tasks: &SubmitTasks) -> Option<Problem> {
-        let refuse = |what: String| {
-            Some(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what))
+    pub(super) fn submission_problem(&self, tasks: &SubmitTasks) -> Option<Problem> {
+        let refuse = |message: String| {
+            Some(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, message))
         };
         if tasks.count == 0 || tasks.count > SUBMIT_MAX {
             return refuse(format!(
@@ -127,55 +131,57 @@
 
     pub(super) fn cancel(&mut self, tasks: Vec<TaskId>, reply: Reply) {
         if tasks.len() > LIST_MAX {
-            let what =
+            let message =
                 format!("at most {LIST_MAX} tasks can be cancelled at once; send several parts");
-            let problem = Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what);
+            let problem = Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, message);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
         let command = Command::Cancel(tasks.clone().into());
-        self.propose_for(command, |reply| Then::Cancelled { tasks, reply }, reply);
+        self.propose_request(command, |reply| OnCommit::Cancelled { tasks, reply }, reply);
     }
 
     pub(super) fn announce(&mut self, target: TargetSpec, busy: u32, reply: Reply) {
         let now = self.clock.now();
-        let new_run = self
+        let new_incarnation = self
             .directory
             .get(target.name())
             .is_none_or(|known| known.spec.incarnation() != target.incarnation());
         if let Some(wait) = self.previous_incarnation(&target, now) {
-            let _ = reply.send(LeaderResponse::Problem(busy_problem(&target, wait)));
+            let _ =
+                reply.send(LeaderResponse::Problem(previous_incarnation_problem(&target, wait)));
             return;
         }
         match self.directory.announce(now, target.clone(), busy) {
             HeartbeatOutcome::PreviousIncarnationAlive(wait) => {
-                let _ = reply.send(LeaderResponse::Problem(busy_problem(&target, wait)));
+                let _ = reply
+                    .send(LeaderResponse::Problem(previous_incarnation_problem(&target, wait)));
                 return;
             }
             HeartbeatOutcome::Noted | HeartbeatOutcome::AnnounceAgain => {}
         }
-        if new_run {
+        if new_incarnation {
             log::info!("target {} announced itself at {}", target.name(), target.address());
         }
         self.directory.tick(now, &self.entries);
-        self.bump();
+        self.signal_update();
         match target {
             TargetSpec::Runner(_) => {
-                let _ = reply.send(LeaderResponse::Welcome(runner_welcome()));
+                let _ = reply.send(LeaderResponse::Welcome(runner_heartbeat_reply()));
             }
             TargetSpec::Worker(spec) => {
                 let known = self.state.worker(&spec.name);
                 if known.is_some_and(|(_, w)| w.spec == spec && w.phase == WorkerPhase::Live) {
-                    let _ = reply.send(LeaderResponse::Welcome(worker_welcome(true)));
+                    let _ = reply.send(LeaderResponse::Welcome(worker_heartbeat_reply(true)));
                     return;
                 }
-                if let Some(former) = workers::previous_incarnation(&self.state, &spec) {
+                if let Some(previous) = workers::previous_incarnation(&self.state, &spec) {
                     let name = spec.name.clone();
-                    let gone = Command::WorkerGone(name.clone(), former);
-                    self.propose(gone, Then::FormerRunGone(name));
+                    let removal = Command::WorkerGone(name.clone(), previous);
+                    self.propose(removal, OnCommit::PreviousIncarnationGone(name));
                 }
                 let command = Command::WorkerUp(Box::new(spec));
-                self.propose_for(command, Then::Announced, reply);
+                self.propose_request(command, OnCommit::Announced, reply);
             }
         }
     }
@@ -203,40 +209,42 @@
             Usage { busy: beat.busy, millicores: beat.millicores, memory_mib: beat.memory_mib };
         let before = self.directory.version();
         if self.directory.heartbeat(now, name, beat.incarnation, usage) != HeartbeatOutcome::Noted {
-            let what = format!("this incarnation of target {name} is not known; announce it first");
-            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
+            let message =
+                format!("this incarnation of target {name} is not known; announce it first");
+            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
         if self.directory.version() != before {
-            self.bump();
+            self.signal_update();
         }
         let is_worker = matches!(
             self.directory.get(name).map(|target| &target.spec),
             Some(TargetSpec::Worker(_))
         );
         if !is_worker {
-            let _ = reply.send(LeaderResponse::Welcome(runner_welcome()));
+            let _ = reply.send(LeaderResponse::Welcome(runner_heartbeat_reply()));
             return;
         }
-        self.worker_beat(name, beat, reply);
+        self.worker_heartbeat(name, beat, reply);
     }
 
-    pub(super) fn worker_beat(&mut self, name: &Name, beat: Heartbeat, reply: Reply) {
+    pub(super) fn worker_heartbeat(&mut self, name: &Name, beat: Heartbeat, reply: Reply) {
         let known = self.state.worker(name).filter(|(_, w)| {
             w.spec.incarnation == beat.incarnation && w.phase != WorkerPhase::Gone
         });
         let Some((key, _)) = known else {
             // The worker was given up: its tasks may already run on other workers.
-            let what = format!("worker {name} was given up; stop its tasks and announce it again");
-            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what);
+            let message =
+                format!("worker {name} was given up; stop its tasks and announce it again");
+            let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         };
-        self.relieve(key, beat.millicores);
+        self.update_throttles(key, beat.millicores);
         // The worker is asked for a list of its tasks as long as the digests differ.
         // A lasting difference then shows in two lists in a row.
-        let send_held = beat.held_digest != self.digest_of(key);
+        let send_held = beat.held_digest != self.confirmed_digest(key);
         let differences = match &beat.held {
             Some(held) => {
                 let held: Vec<_> = held.iter().map(|held| (held.task, held.epoch)).collect();
@@ -249,27 +257,27 @@
                 "worker {name} reports {} tasks that are not assigned to it",
                 differences.stray.len()
             );
-            self.strays.insert(key, differences.stray);
-            self.dirty.insert(key);
-            self.orders.notify_one();
+            self.stray_tasks.insert(key, differences.stray);
+            self.dirty_workers.insert(key);
+            self.order_wake.notify_one();
         }
         let lost = differences.lost.into_iter();
         let lost = lost.map(|(task, epoch)| TaskReport { task, epoch, event: TaskEvent::Stopped });
         let reports: Box<[TaskReport]> = beat.reports.into_iter().chain(lost).collect();
         if reports.is_empty() {
-            let _ = reply.send(LeaderResponse::Welcome(worker_welcome(send_held)));
+            let _ = reply.send(LeaderResponse::Welcome(worker_heartbeat_reply(send_held)));
             return;
         }
-        let then = |reply| Then::Reported(Some((reply, send_held)));
-        self.propose_for(Command::Report(reports), then, reply);
+        let on_commit = |reply| OnCommit::Reported(Some((reply, send_held)));
+        self.propose_request(Command::Report(reports), on_commit, reply);
     }
 
     /// Throttles batch tasks on a worker whose latency-critical tasks need more CPU.
-    fn relieve(&mut self, worker: WorkerKey, used_millicores: u64) {
-        let (throttles, turn) = self.pressure.note(&self.state, worker, used_millicores);
-        if let Some(turn) = turn {
+    fn update_throttles(&mut self, worker: WorkerKey, used_millicores: u64) {
+        let (throttles, change) = self.pressure.note(&self.state, worker, used_millicores);
+        if let Some(change) = change {
             let name = &self.state.worker_at(worker).spec.name;
-            let line = match turn {
+            let line = match change {
                 PressureChange::Pressed => format!(
                     "worker {name} uses {used_millicores} millicores and runs latency-critical \
                      tasks: throttling {} batch tasks",
@@ -281,13 +289,13 @@
         }
         if !throttles.is_empty() {
             self.throttles.insert(worker, throttles);
-            self.dirty.insert(worker);
-            self.orders.notify_one();
+            self.dirty_workers.insert(worker);
+            self.order_wake.notify_one();
         }
     }
 
     /// Computes the digest of the tasks that are assigned to a worker and that it confirmed.
-    fn digest_of(&self, worker: WorkerKey) -> u32 {
+    fn confirmed_digest(&self, worker: WorkerKey) -> u32 {
         let confirmed = self
             .state
             .tasks_on_worker(worker)
@@ -296,32 +304,32 @@
     }
 
     /// Proposes the task reports in a worker's response to orders.
-    pub(crate) fn reported(&mut self, reports: Vec<TaskReport>) {
+    pub(crate) fn record_reports(&mut self, reports: Vec<TaskReport>) {
         if !reports.is_empty() {
-            self.propose(Command::Report(reports.into()), Then::Reported(None));
+            self.propose(Command::Report(reports.into()), OnCommit::Reported(None));
         }
     }
 
-    pub(super) fn leave(&mut self, name: Name, run: Incarnation, reply: Reply) {
+    pub(super) fn leave(&mut self, name: Name, incarnation: Incarnation, reply: Reply) {
         let now = self.clock.now();
-        if self.directory.leave(&name, run) != HeartbeatOutcome::Noted {
-            let what = format!("this incarnation of target {name} is not known");
-            let _ = reply.send(not_found(what));
+        if self.directory.leave(&name, incarnation) != HeartbeatOutcome::Noted {
+            let message = format!("this incarnation of target {name} is not known");
+            let _ = reply.send(not_found(message));
             return;
         }
         log::info!("target {name} leaves");
         self.directory.tick(now, &self.entries);
-        self.bump();
+        self.signal_update();
         if self.state.worker(&name).is_some() {
-            let command = Command::WorkerLeaving(name, run);
-            self.propose_for(command, Then::Done, reply);
+            let command = Command::WorkerLeaving(name, incarnation);
+            self.propose_request(command, OnCommit::Done, reply);
         } else {
             let _ = reply.send(LeaderResponse::Done);
         }
     }
 
     pub(super) fn tasks(&self, filter: &TaskFilter) -> Vec<yuccalink_protocol::api::TaskView> {
-        let limit = filter.limit.clamp(1, PAGE_MAX) as usize;
+        let limit = filter.limit.clamp(1, TASK_LIST_MAX) as usize;
         let of_service = |task: &&Task| {
             let service = &self.state.service_at(task.service).accepted.document.service;
             filter.service.as_ref().is_none_or(|want| want == service)
--- a/crates/daemon/src/leader/time.rs
+++ b/crates/daemon/src/leader/time.rs
@@ -13,38 +13,43 @@
             self.shared.decisions.note(format!("runner {name} is routed to by entry {owner}"));
         }
         if self.directory.version() != before {
-            self.bump();
+            self.signal_update();
         }
-        if !self.settled && !self.entries.earlier_leases_may_run(now) {
-            self.settled = true;
-            self.bump();
+        if !self.runner_table_complete && !self.entries.earlier_leases_may_run(now) {
+            self.runner_table_complete = true;
+            self.signal_update();
         }
         self.entries.tidy(now);
         self.give_up_workers(now);
-        self.answer_in_force();
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        self.answer_in_force_waiters();
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.dispatch.tidy(&self.state);
-            self.dirty.extend(self.state.workers().filter(|(_, w)| w.tasks > 0).map(|(k, _)| k));
+            self.dirty_workers
+                .extend(self.state.workers().filter(|(_, w)| w.tasks > 0).map(|(k, _)| k));
             self.plan_due |= self.state.waiting_len() > 0;
-            self.orders.notify_one();
-            self.gauges();
+            self.order_wake.notify_one();
+            self.update_gauges();
         }
     }
 
-    pub(super) fn gauges(&self) {
+    pub(super) fn update_gauges(&self) {
         let metrics = &self.shared.metrics;
         metrics.gauge("tasks_waiting", self.state.waiting_len() as u64);
         metrics.gauge("ledger_bytes", self.state.ledger().bytes() as u64);
     }
 
     pub(super) fn give_up_workers(&mut self, now: Moment) {
-        for (name, run) in workers::expired_workers(&self.state, &self.directory, self.started, now)
+        for (name, incarnation) in
+            workers::expired_workers(&self.state, &self.directory, self.started, now)
         {
-            if !self.going.insert(name.clone()) {
+            if !self.removals_pending.insert(name.clone()) {
                 continue;
             }
-            self.propose(Command::WorkerGone(name.clone(), run), Then::WorkerGone(name));
+            self.propose(
+                Command::WorkerGone(name.clone(), incarnation),
+                OnCommit::WorkerGone(name),
+            );
         }
     }
 }
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -21,7 +21,7 @@
 use yuccalink_transport::rpc;
 
 /// Time that the leader waits for a change before it responds with an empty update.
-pub(crate) const HOLD: Duration = Duration::from_millis(500);
+pub(crate) const UPDATE_HOLD_MAX: Duration = Duration::from_millis(500);
 /// Timeout of one call, after which it fails.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Largest number of requests in one call.
@@ -29,7 +29,7 @@
 /// Bytes of request bodies in one call; a larger request is sent in a call of its own.
 const BATCH_BYTES: usize = 4 * 1024 * 1024;
 /// Largest number of concurrent calls to the leader.
-const CALLS_MAX: usize = 4;
+const CONCURRENT_CALLS_MAX: usize = 4;
 /// Longest pause after the first failed call; it doubles with each failure up to
 /// [`BACKOFF_MAX`].
 const BACKOFF_MIN: Duration = Duration::from_millis(20);
@@ -89,21 +89,21 @@
 
 /// Response of another daemon to `hello` on a new connection.
 #[derive(Clone, Debug)]
-pub(crate) struct Greeting {
+pub(crate) struct HelloResponse {
     pub(crate) replica: u64,
     pub(crate) empty: bool,
-    pub(crate) leads: bool,
+    pub(crate) is_leader: bool,
     pub(crate) leader: Option<Name>,
 }
 
 /// Sends `hello` over a new connection and checks the protocol version.
-pub(crate) async fn greet(
+pub(crate) async fn send_hello(
     shared: &Shared,
     incarnation: Incarnation,
-    link: &rpc::RpcConnection,
-) -> Result<Greeting, CallError> {
+    connection: &rpc::RpcConnection,
+) -> Result<HelloResponse, CallError> {
     let call = async {
-        let mut call = link.peer.hello_request();
+        let mut call = connection.peer.hello_request();
         let mut hello = call.get().init_hello();
         hello.set_version(peer::VERSION);
         hello.set_entry(shared.config.name.as_str());
@@ -114,10 +114,10 @@
             return Err(CallError::Version(welcome.get_version()));
         }
         let leader = welcome.get_leader()?.to_str().unwrap_or_default();
-        Ok(Greeting {
+        Ok(HelloResponse {
             replica: welcome.get_replica(),
             empty: welcome.get_empty(),
-            leads: welcome.get_leads(),
+            is_leader: welcome.get_leads(),
             leader: Name::new(leader).ok(),
         })
     };
@@ -125,10 +125,10 @@
 }
 
 /// A request that waits for a response until its deadline.
-struct Waiting {
-    ask: LeaderRequest,
+struct PendingRequest {
+    request: LeaderRequest,
     reply: tokio::sync::oneshot::Sender<LeaderResponse>,
-    until: Instant,
+    deadline: Instant,
 }
 
 /// Sends requests to the current leader, in this process or over RPC.
@@ -136,16 +136,16 @@
     shared: Arc<Shared>,
     incarnation: Incarnation,
     replica: Option<Rc<RefCell<Replica>>>,
-    remote: RefCell<Option<Rc<rpc::RpcConnection>>>,
-    connecting: tokio::sync::Mutex<()>,
+    connection: RefCell<Option<Rc<rpc::RpcConnection>>>,
+    connect_lock: tokio::sync::Mutex<()>,
     next_voter: Cell<usize>,
     /// Incremented with every new connection to a leader and whenever this daemon becomes
     /// leader or ceases to be.
     generation: Cell<u64>,
-    local: Cell<bool>,
-    outbox: RefCell<VecDeque<Waiting>>,
-    wake: Notify,
-    seed: Cell<u64>,
+    was_leader: Cell<bool>,
+    queue: RefCell<VecDeque<PendingRequest>>,
+    queue_wake: Notify,
+    backoff_seed: Cell<u64>,
 }
 
 impl LeaderClient {
@@ -158,14 +158,14 @@
             shared,
             incarnation,
             replica,
-            remote: RefCell::default(),
-            connecting: tokio::sync::Mutex::default(),
+            connection: RefCell::default(),
+            connect_lock: tokio::sync::Mutex::default(),
             next_voter: Cell::new(0),
             generation: Cell::new(1),
-            local: Cell::new(false),
-            outbox: RefCell::default(),
-            wake: Notify::new(),
-            seed: Cell::new(incarnation.0),
+            was_leader: Cell::new(false),
+            queue: RefCell::default(),
+            queue_wake: Notify::new(),
+            backoff_seed: Cell::new(incarnation.0),
         }
     }
 
@@ -175,29 +175,29 @@
         self.generation.get()
     }
 
-    fn leads(&self) -> bool {
-        let leads = self.replica.as_ref().is_some_and(|r| r.borrow_mut().leader().is_some());
-        if leads != self.local.replace(leads) {
+    fn is_leader(&self) -> bool {
+        let is_leader = self.replica.as_ref().is_some_and(|r| r.borrow_mut().leader().is_some());
+        if is_leader != self.was_leader.replace(is_leader) {
             self.generation.set(self.generation.get() + 1);
         }
-        leads
+        is_leader
     }
 
     /// Connects to the leader unless this daemon leads or is already connected.
-    pub(crate) async fn prepare(&self) -> Result<(), CallError> {
-        if self.leads() { Ok(()) } else { self.remote().await.map(drop) }
+    pub(crate) async fn ensure_connected(&self) -> Result<(), CallError> {
+        if self.is_leader() { Ok(()) } else { self.connect().await.map(drop) }
     }
 
     /// Sends this entry's state to the leader and waits for an update.
     pub(crate) async fn sync(&self, state: &EntryState) -> Result<EntryUpdate, CallError> {
-        if self.leads()
+        if self.is_leader()
             && let Some(replica) = &self.replica
         {
-            return news(replica, state).await.ok_or(CallError::NoLeader);
+            return wait_for_update(replica, state).await.ok_or(CallError::NoLeader);
         }
-        let link = self.remote().await?;
+        let connection = self.connect().await?;
         let call = async {
-            let mut call = link.peer.sync_request();
+            let mut call = connection.peer.sync_request();
             state.fill(call.get().init_state())?;
             let response = call.send().promise.await?;
             Ok(EntryUpdate::read(response.get()?.get_news()?)?)
@@ -205,7 +205,7 @@
         // Calls to a partitioned leader hang without an error, so only the timeout ends them.
         let result = timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
         if result.is_err() {
-            self.drop_remote(&link);
+            self.drop_connection(&connection);
         }
         result
     }
@@ -217,147 +217,149 @@
         address: &str,
         id: ReplicaId,
     ) -> Result<(), CallError> {
-        let link = self.remote().await?;
-        let call = crate::voters::ask_to_join(&link, name, address, id);
+        let connection = self.connect().await?;
+        let call = crate::voters::request_join(&connection, name, address, id);
         let result = timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
         if result.is_err() {
-            self.drop_remote(&link);
+            self.drop_connection(&connection);
         }
         result
     }
 
-    async fn remote(&self) -> Result<Rc<rpc::RpcConnection>, CallError> {
-        let _one_at_a_time = self.connecting.lock().await;
-        if let Some(link) = &*self.remote.borrow() {
-            return Ok(link.clone());
+    async fn connect(&self) -> Result<Rc<rpc::RpcConnection>, CallError> {
+        let _one_at_a_time = self.connect_lock.lock().await;
+        if let Some(connection) = &*self.connection.borrow() {
+            return Ok(connection.clone());
         }
-        let link = Rc::new(self.find_leader().await?);
+        let connection = Rc::new(self.find_leader().await?);
         self.generation.set(self.generation.get() + 1);
-        *self.remote.borrow_mut() = Some(link.clone());
-        Ok(link)
+        *self.connection.borrow_mut() = Some(connection.clone());
+        Ok(connection)
     }
 
     /// Tries the voters in turn, first the one that another voter names as the leader.
     async fn find_leader(&self) -> Result<rpc::RpcConnection, CallError> {
         let voters = &self.shared.config.voters;
-        let own = &self.shared.config.name;
+        let own_name = &self.shared.config.name;
         let hint = self.replica.as_ref().and_then(|replica| replica.borrow().leader_name());
-        let mut hint = hint.filter(|name| name != own);
-        let mut last = CallError::NoLeader;
+        let mut hint = hint.filter(|name| name != own_name);
+        let mut last_error = CallError::NoLeader;
         for _ in 0..voters.len() {
-            let turn = self.next_voter.get();
+            let index = self.next_voter.get();
             let hinted = hint.take().and_then(|name| voters.iter().find(|v| v.name == name));
-            let voter = hinted.or_else(|| voters.get(turn % voters.len()));
+            let voter = hinted.or_else(|| voters.get(index % voters.len()));
             let Some(voter) = voter else { break };
             if hinted.is_none() {
-                self.next_voter.set(turn.wrapping_add(1));
+                self.next_voter.set(index.wrapping_add(1));
             }
-            if voter.name == *own {
+            if voter.name == *own_name {
                 continue;
             }
             match self.try_voter(voter.address).await {
-                Ok((link, Greeting { leads: true, .. })) => return Ok(link),
-                Ok((_, greeting)) => hint = greeting.leader.filter(|name| name != own),
-                Err(error) => last = error,
+                Ok((connection, HelloResponse { is_leader: true, .. })) => return Ok(connection),
+                Ok((_, response)) => hint = response.leader.filter(|name| name != own_name),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn try_voter(
         &self,
-        at: std::net::SocketAddr,
-    ) -> Result<(rpc::RpcConnection, Greeting), CallError> {
-        let link = rpc::connect(at, &self.shared.keys).await.map_err(CallError::Connect)?;
-        let greeting = greet(&self.shared, self.incarnation, &link).await?;
-        Ok((link, greeting))
+        address: std::net::SocketAddr,
+    ) -> Result<(rpc::RpcConnection, HelloResponse), CallError> {
+        let connection =
+            rpc::connect(address, &self.shared.keys).await.map_err(CallError::Connect)?;
+        let response = send_hello(&self.shared, self.incarnation, &connection).await?;
+        Ok((connection, response))
     }
 
     /// Drops a failed connection unless it was already replaced by a new one.
-    fn drop_remote(&self, failed: &Rc<rpc::RpcConnection>) {
-        let mut link = self.remote.borrow_mut();
-        if link.as_ref().is_some_and(|current| Rc::ptr_eq(current, failed)) {
-            *link = None;
+    fn drop_connection(&self, failed: &Rc<rpc::RpcConnection>) {
+        let mut connection = self.connection.borrow_mut();
+        if connection.as_ref().is_some_and(|current| Rc::ptr_eq(current, failed)) {
+            *connection = None;
         }
     }
 
     /// Forwards requests from the channel to the leader until the channel is closed.
-    pub(crate) async fn carry(self: Rc<Self>, mut rx: mpsc::Receiver<ToLeader>) {
-        let feeder = self.clone();
-        tokio::task::spawn_local(async move { feeder.feed().await });
-        while let Some(ToLeader { ask, reply }) = rx.recv().await {
-            let until = Instant::now() + ASK_TIMEOUT;
-            if let Some(waiting) = self.ask_local(Waiting { ask, reply, until }) {
-                self.outbox.borrow_mut().push_back(waiting);
-                self.wake.notify_one();
+    pub(crate) async fn forward_requests(self: Rc<Self>, mut rx: mpsc::Receiver<ToLeader>) {
+        let sender = self.clone();
+        tokio::task::spawn_local(async move { sender.send_batches().await });
+        while let Some(ToLeader { ask: request, reply }) = rx.recv().await {
+            let deadline = Instant::now() + ASK_TIMEOUT;
+            if let Some(pending) = self.handle_locally(PendingRequest { request, reply, deadline })
+            {
+                self.queue.borrow_mut().push_back(pending);
+                self.queue_wake.notify_one();
             }
         }
     }
 
     /// Hands a request to the leader in this process; returns it if this daemon does not lead.
-    fn ask_local(&self, waiting: Waiting) -> Option<Waiting> {
-        let Some(replica) = &self.replica else { return Some(waiting) };
-        if !self.leads() {
-            return Some(waiting);
+    fn handle_locally(&self, pending: PendingRequest) -> Option<PendingRequest> {
+        let Some(replica) = &self.replica else { return Some(pending) };
+        if !self.is_leader() {
+            return Some(pending);
         }
-        let Waiting { ask, reply, until } = waiting;
-        match replica.borrow_mut().ask(ask, reply) {
+        let PendingRequest { request, reply, deadline } = pending;
+        match replica.borrow_mut().handle_request(request, reply) {
             Ok(()) => None,
-            Err((ask, reply)) => Some(Waiting { ask, reply, until }),
+            Err((request, reply)) => Some(PendingRequest { request, reply, deadline }),
         }
     }
 
-    async fn feed(self: Rc<Self>) {
-        let slots = Arc::new(Semaphore::new(CALLS_MAX));
+    async fn send_batches(self: Rc<Self>) {
+        let slots = Arc::new(Semaphore::new(CONCURRENT_CALLS_MAX));
         loop {
             let Ok(slot) = slots.clone().acquire_owned().await else { return };
             let batch = self.next_batch().await;
-            let link = self.clone();
+            let client = self.clone();
             tokio::task::spawn_local(async move {
-                link.ask_batch(batch).await;
+                client.send_batch(batch).await;
                 drop(slot);
             });
         }
     }
 
-    async fn next_batch(&self) -> Vec<Waiting> {
+    async fn next_batch(&self) -> Vec<PendingRequest> {
         loop {
             let mut batch = Vec::new();
             {
-                let mut outbox = self.outbox.borrow_mut();
+                let mut queue = self.queue.borrow_mut();
                 let mut bytes = 0;
-                while let Some(next) = outbox.front() {
-                    bytes += body_size(&next.ask);
+                while let Some(next) = queue.front() {
+                    bytes += body_size(&next.request);
                     if batch.len() == BATCH_MAX || (bytes > BATCH_BYTES && !batch.is_empty()) {
                         break;
                     }
-                    batch.extend(outbox.pop_front());
+                    batch.extend(queue.pop_front());
                 }
             }
             if !batch.is_empty() {
                 return batch;
             }
-            self.wake.notified().await;
+            self.queue_wake.notified().await;
         }
     }
 
-    async fn ask_batch(&self, batch: Vec<Waiting>) {
-        let seed = self.seed.get().wrapping_add(1);
-        self.seed.set(seed);
+    async fn send_batch(&self, batch: Vec<PendingRequest>) {
+        let seed = self.backoff_seed.get().wrapping_add(1);
+        self.backoff_seed.set(seed);
         let mut backoff = Backoff::new(seed);
         let mut batch = batch;
         loop {
             let now = Instant::now();
-            batch.retain(|waiting| waiting.until > now && !waiting.reply.is_closed());
+            batch.retain(|pending| pending.deadline > now && !pending.reply.is_closed());
             // This daemon may have become the leader since the last attempt.
-            batch = batch.into_iter().filter_map(|waiting| self.ask_local(waiting)).collect();
+            batch = batch.into_iter().filter_map(|pending| self.handle_locally(pending)).collect();
             if batch.is_empty() {
                 return;
             }
-            match self.call(&batch).await {
+            match self.call_leader(&batch).await {
                 Ok(answers) if answers.len() == batch.len() => {
-                    for (waiting, answer) in batch.into_iter().zip(answers) {
-                        let _ = waiting.reply.send(answer);
+                    for (pending, answer) in batch.into_iter().zip(answers) {
+                        let _ = pending.reply.send(answer);
                     }
                     return;
                 }
@@ -367,17 +369,17 @@
                         batch.len(),
                         answers.len()
                     );
-                    for waiting in batch {
-                        let _ = waiting.reply.send(LeaderResponse::Problem(no_leader()));
+                    for pending in batch {
+                        let _ = pending.reply.send(LeaderResponse::Problem(no_leader()));
                     }
                     return;
                 }
                 Err(CallError::Message(peer::BadMessage::TooLarge(size))) => {
-                    let what = format!("{size} bytes are too much at once; send it in parts");
-                    for waiting in batch {
+                    let message = format!("{size} bytes are too much at once; send it in parts");
+                    for pending in batch {
                         let problem =
-                            Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, &*what);
-                        let _ = waiting.reply.send(LeaderResponse::Problem(problem));
+                            Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, &*message);
+                        let _ = pending.reply.send(LeaderResponse::Problem(problem));
                     }
                     return;
                 }
@@ -389,12 +391,15 @@
         }
     }
 
-    async fn call(&self, batch: &[Waiting]) -> Result<Vec<LeaderResponse>, CallError> {
-        let link = self.remote().await?;
+    async fn call_leader(
+        &self,
+        batch: &[PendingRequest],
+    ) -> Result<Vec<LeaderResponse>, CallError> {
+        let connection = self.connect().await?;
         let call = async {
-            let mut call = link.peer.ask_request();
-            let asks: Vec<_> = batch.iter().map(|waiting| &waiting.ask).collect();
-            peer::fill_parts(call.get().init_asks(peer::count(&asks)), &asks)?;
+            let mut call = connection.peer.ask_request();
+            let requests: Vec<_> = batch.iter().map(|pending| &pending.request).collect();
+            peer::fill_parts(call.get().init_asks(peer::count(&requests)), &requests)?;
             let response = call.send().promise.await?;
             Ok(peer::read_parts(response.get()?.get_answers()?)?)
         };
@@ -402,47 +407,48 @@
         if let Err(error) = &result
             && !matches!(error, CallError::Message(_))
         {
-            self.drop_remote(&link);
+            self.drop_connection(&connection);
         }
         result
     }
 }
 
-fn body_size(ask: &LeaderRequest) -> usize {
+fn body_size(request: &LeaderRequest) -> usize {
     use yuccalink_state::ledger::RequestOutcome;
-    const SMALL: usize = 256;
-    match ask {
+    const ITEM_BYTES: usize = 256;
+    match request {
         LeaderRequest::Apply { text, .. } => text.len(),
         LeaderRequest::RequestEnd(end) => match &end.ended {
-            RequestOutcome::Answered(answer) => answer.body.len() + SMALL,
+            RequestOutcome::Answered(answer) => answer.body.len() + ITEM_BYTES,
             RequestOutcome::AnsweredTooLarge | RequestOutcome::NotRun | RequestOutcome::Unknown => {
-                SMALL
+                ITEM_BYTES
             }
         },
         LeaderRequest::Heartbeat { beat, .. } => {
-            (beat.held.as_ref().map_or(0, Vec::len) + beat.reports.len()) * SMALL + SMALL
+            (beat.held.as_ref().map_or(0, Vec::len) + beat.reports.len()) * ITEM_BYTES + ITEM_BYTES
         }
-        _ => SMALL,
+        _ => ITEM_BYTES,
     }
 }
 
-/// Handles `sync` on the leader: waits for a change, at most [`HOLD`], and returns the update.
-/// Returns `None` when this replica does not lead or stops leading meanwhile.
-pub(crate) async fn news(
+/// Handles `sync` on the leader: waits for a change, at most [`UPDATE_HOLD_MAX`], and
+/// returns the update. Returns `None` when this replica does not lead or stops leading
+/// meanwhile.
+pub(crate) async fn wait_for_update(
     replica: &Rc<RefCell<Replica>>,
     state: &EntryState,
 ) -> Option<EntryUpdate> {
-    if !replica.borrow_mut().hear(state) {
+    if !replica.borrow_mut().handle_entry_report(state) {
         return None;
     }
-    let mut changes = replica.borrow_mut().leader()?.watch();
-    let until = Instant::now() + HOLD;
+    let mut changes = replica.borrow_mut().leader()?.subscribe();
+    let deadline = Instant::now() + UPDATE_HOLD_MAX;
     loop {
         changes.mark_unchanged();
-        let (news, any) = replica.borrow_mut().news_for(state)?;
-        let left = until.saturating_duration_since(Instant::now());
-        if any || left.is_zero() {
-            return Some(news);
+        let (update, has_changes) = replica.borrow_mut().entry_update(state)?;
+        let left = deadline.saturating_duration_since(Instant::now());
+        if has_changes || left.is_zero() {
+            return Some(update);
         }
         // The channel closes when this replica stops leading.
         if let Ok(Err(_)) = timeout(left, changes.changed()).await {
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -27,15 +27,15 @@
     }
 
     fn replica(&self) -> Result<&Rc<RefCell<Replica>>, capnp::Error> {
-        self.replica.as_ref().ok_or_else(does_not_lead)
+        self.replica.as_ref().ok_or_else(not_leader_error)
     }
 }
 
-fn does_not_lead() -> capnp::Error {
+fn not_leader_error() -> capnp::Error {
     capnp::Error::failed("this daemon does not lead; ask another voter".to_string())
 }
 
-fn failed(error: &impl ToString) -> capnp::Error {
+fn rpc_error(error: &impl ToString) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
 
@@ -71,21 +71,21 @@
         mut results: schema::AskResults,
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
-        let asks: Vec<LeaderRequest> =
-            peer::read_parts(params.get()?.get_asks()?).map_err(|e| failed(&e))?;
-        let mut pending = Vec::with_capacity(asks.len());
-        for ask in asks {
-            let (reply, answer) = oneshot::channel();
-            replica.borrow_mut().ask(ask, reply).map_err(|_| does_not_lead())?;
-            pending.push(answer);
+        let requests: Vec<LeaderRequest> =
+            peer::read_parts(params.get()?.get_asks()?).map_err(|e| rpc_error(&e))?;
+        let mut pending = Vec::with_capacity(requests.len());
+        for request in requests {
+            let (reply, response) = oneshot::channel();
+            replica.borrow_mut().handle_request(request, reply).map_err(|_| not_leader_error())?;
+            pending.push(response);
         }
-        let mut answers: Vec<LeaderResponse> = Vec::with_capacity(pending.len());
-        for answer in pending {
+        let mut responses: Vec<LeaderResponse> = Vec::with_capacity(pending.len());
+        for response in pending {
             // This replica stopped leading: the calling daemon finds the new leader and retries.
-            answers.push(answer.await.map_err(|_| does_not_lead())?);
+            responses.push(response.await.map_err(|_| not_leader_error())?);
         }
-        let list = results.get().init_answers(peer::count(&answers));
-        peer::fill_parts(list, &answers).map_err(|e| failed(&e))
+        let list = results.get().init_answers(peer::count(&responses));
+        peer::fill_parts(list, &responses).map_err(|e| rpc_error(&e))
     }
 
     async fn sync(
@@ -94,9 +94,10 @@
         mut results: schema::SyncResults,
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
-        let state = EntryState::read(params.get()?.get_state()?).map_err(|e| failed(&e))?;
-        let news = leader_client::news(replica, &state).await.ok_or_else(does_not_lead)?;
-        news.fill(results.get().init_news()).map_err(|e| failed(&e))
+        let state = EntryState::read(params.get()?.get_state()?).map_err(|e| rpc_error(&e))?;
+        let update =
+            leader_client::wait_for_update(replica, &state).await.ok_or_else(not_leader_error)?;
+        update.fill(results.get().init_news()).map_err(|e| rpc_error(&e))
     }
 
     async fn raft(
@@ -106,9 +107,9 @@
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
         let params = params.get()?;
-        let from = Name::new(params.get_from()?.to_str()?).map_err(|e| failed(&e))?;
+        let from = Name::new(params.get_from()?.to_str()?).map_err(|e| rpc_error(&e))?;
         let messages: Vec<Envelope> =
-            peer::read_parts(params.get_messages()?).map_err(|e| failed(&e))?;
+            peer::read_parts(params.get_messages()?).map_err(|e| rpc_error(&e))?;
         for envelope in messages {
             replica.borrow_mut().step(&from, envelope);
         }
@@ -122,16 +123,16 @@
     ) -> Result<(), capnp::Error> {
         let replica = self.replica()?;
         let params = params.get()?;
-        let name = Name::new(params.get_name()?.to_str()?).map_err(|e| failed(&e))?;
+        let name = Name::new(params.get_name()?.to_str()?).map_err(|e| rpc_error(&e))?;
         if !self.voters.contains(&name) {
-            let what = format!("{name} is not among this daemon's --voters; add it there first");
-            return Err(capnp::Error::failed(what));
+            let message = format!("{name} is not among this daemon's --voters; add it there first");
+            return Err(capnp::Error::failed(message));
         }
         let address = params.get_address()?.to_str()?.into();
         let member = Member { id: ReplicaId(params.get_replica()), name, address };
         match replica.borrow_mut().join(member) {
             true => Ok(()),
-            false => Err(does_not_lead()),
+            false => Err(not_leader_error()),
         }
     }
 }
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -33,9 +33,9 @@
 const SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
 /// Time without a message from a voter's old disk after which a replica with a new disk may
 /// replace it.
-const REPLACE_AFTER: Duration = Duration::from_secs(3);
+const OLD_DISK_SILENCE_MIN: Duration = Duration::from_secs(3);
 /// Time after which a request to join expires if it is not repeated.
-const JOIN_FORGET: Duration = Duration::from_secs(30);
+const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(30);
 /// Largest number of commands in one proposal.
 const BATCH_MAX: usize = 1024;
 
@@ -49,9 +49,9 @@
 type Reply = oneshot::Sender<LeaderResponse>;
 
 /// A replica that asked to join, and when it last asked.
-struct Joining {
+struct JoinRequest {
     member: Member,
-    asked: Moment,
+    requested_at: Moment,
 }
 
 pub(crate) struct Replica {
@@ -62,24 +62,24 @@
     leader: Option<Leader>,
     applied: u64,
     writes: Vec<LogWrite>,
-    install: Option<(SnapshotMeta, Vec<u8>)>,
+    pending_install: Option<(SnapshotMeta, Vec<u8>)>,
     /// Messages to be sent once the write with this sequence number is durable.
-    held: VecDeque<(u64, Envelope)>,
+    held_messages: VecDeque<(u64, Envelope)>,
     /// Sequence number of the last durable write.
-    written: u64,
+    durable_seq: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
-    joining: BTreeMap<ReplicaId, Joining>,
+    join_requests: BTreeMap<ReplicaId, JoinRequest>,
     /// Daemon name of each replica that sent a message, as it gave it.
-    names: BTreeMap<ReplicaId, Name>,
-    counts: LogCounters,
+    sender_names: BTreeMap<ReplicaId, Name>,
+    log_counters: LogCounters,
     /// Log counters at the last snapshot.
-    snapshot_at: LogCounters,
+    snapshot_counters: LogCounters,
     /// Wakes the task that passes work to the disk thread.
-    pub(crate) work: Arc<Notify>,
+    pub(crate) disk_wake: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
-    pub(crate) sends: Arc<Notify>,
+    pub(crate) message_wake: Arc<Notify>,
     /// Wakes the task that sends orders to workers.
-    pub(crate) orders: Arc<Notify>,
+    pub(crate) order_wake: Arc<Notify>,
 }
 
 impl Replica {
@@ -105,17 +105,17 @@
             leader: None,
             applied: meta.index,
             writes: Vec::new(),
-            install: None,
-            held: VecDeque::new(),
-            written: 0,
+            pending_install: None,
+            held_messages: VecDeque::new(),
+            durable_seq: 0,
             outboxes: BTreeMap::new(),
-            joining: BTreeMap::new(),
-            names: BTreeMap::new(),
-            counts: LogCounters::default(),
-            snapshot_at: LogCounters::default(),
-            work: Arc::default(),
-            sends: Arc::default(),
-            orders: Arc::default(),
+            join_requests: BTreeMap::new(),
+            sender_names: BTreeMap::new(),
+            log_counters: LogCounters::default(),
+            snapshot_counters: LogCounters::default(),
+            disk_wake: Arc::default(),
+            message_wake: Arc::default(),
+            order_wake: Arc::default(),
         })
     }
 
@@ -138,7 +138,7 @@
         log::info!("bootstrapping a new system with the voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
-        self.pump();
+        self.process_output();
     }
 
     /// Returns the leader while this replica holds the leader lease, so that no other
@@ -158,40 +158,40 @@
     }
 
     /// Hands a request to the leader; returns it if this replica does not lead.
-    pub(crate) fn ask(
+    pub(crate) fn handle_request(
         &mut self,
-        ask: LeaderRequest,
+        request: LeaderRequest,
         reply: Reply,
     ) -> Result<(), (LeaderRequest, Reply)> {
-        let Some(leader) = self.leader() else { return Err((ask, reply)) };
-        match ask {
-            LeaderRequest::Snapshot => drop(reply.send(self.saved())),
-            LeaderRequest::Status => drop(reply.send(self.status())),
-            ask => leader.ask(ask, reply),
+        let Some(leader) = self.leader() else { return Err((request, reply)) };
+        match request {
+            LeaderRequest::Snapshot => drop(reply.send(self.snapshot_response())),
+            LeaderRequest::Status => drop(reply.send(self.status_response())),
+            request => leader.handle_request(request, reply),
         }
         self.propose();
         Ok(())
     }
 
-    fn status(&self) -> LeaderResponse {
+    fn status_response(&self) -> LeaderResponse {
         let Some(leader) = &self.leader else { return LeaderResponse::Problem(no_leader()) };
         let status: Status = leader.status(self.log_view(), self.member_views());
         LeaderResponse::Status(Box::new(status))
     }
 
     /// Processes an entry's report; returns false if this replica does not lead.
-    pub(crate) fn hear(&mut self, state: &EntryState) -> bool {
+    pub(crate) fn handle_entry_report(&mut self, state: &EntryState) -> bool {
         let Some(leader) = self.leader() else { return false };
-        leader.hear(state);
+        leader.handle_entry_report(state);
         self.propose();
         true
     }
 
-    pub(crate) fn news_for(&mut self, state: &EntryState) -> Option<(EntryUpdate, bool)> {
-        self.leader().map(|leader| leader.news_for(state))
+    pub(crate) fn entry_update(&mut self, state: &EntryState) -> Option<(EntryUpdate, bool)> {
+        self.leader().map(|leader| leader.entry_update(state))
     }
 
-    fn saved(&self) -> LeaderResponse {
+    fn snapshot_response(&self) -> LeaderResponse {
         match self.encode_snapshot() {
             Some((_, bytes)) => LeaderResponse::Snapshot(bytes.into()),
             None => LeaderResponse::Problem(no_leader()),
@@ -201,9 +201,9 @@
     fn log_view(&self) -> LogView {
         LogView {
             last: self.raft.last(),
-            syncs: self.counts.syncs,
-            records: self.counts.records,
-            bytes: self.counts.bytes,
+            syncs: self.log_counters.syncs,
+            records: self.log_counters.records,
+            bytes: self.log_counters.bytes,
         }
     }
 
@@ -230,11 +230,11 @@
     // ---- consensus ----
 
     pub(crate) fn step(&mut self, from: &Name, envelope: Envelope) {
-        if self.names.get(&envelope.from) != Some(from) {
-            self.names.insert(envelope.from, from.clone());
+        if self.sender_names.get(&envelope.from) != Some(from) {
+            self.sender_names.insert(envelope.from, from.clone());
         }
         self.raft.step(self.shared.clock.now(), envelope);
-        self.pump();
+        self.process_output();
     }
 
     pub(crate) fn tick(&mut self) {
@@ -243,7 +243,7 @@
         if let Some(leader) = self.leader() {
             leader.tick();
         }
-        self.repair(now);
+        self.advance_joins(now);
         self.propose();
     }
 
@@ -257,30 +257,30 @@
                     commands.iter().map(|c| store::encode(c).map(Into::into)).collect();
                 let now = self.shared.clock.now();
                 match encoded.map(|bytes| self.raft.propose(now, bytes)) {
-                    Ok(Ok(first)) => leader.proposed(first),
-                    Ok(Err(why)) => {
-                        log::debug!("the proposal was refused: {why}");
-                        leader.not_proposed();
+                    Ok(Ok(first)) => leader.record_batch_index(first),
+                    Ok(Err(error)) => {
+                        log::debug!("the proposal was refused: {error}");
+                        leader.drop_batch();
                     }
                     Err(error) => {
                         log::error!("a command cannot be encoded: {error}");
-                        leader.not_proposed();
+                        leader.drop_batch();
                     }
                 }
             }
         }
-        self.pump();
+        self.process_output();
     }
 
     /// Processes the output of the consensus: writes, messages, committed entries, role changes.
-    fn pump(&mut self) {
+    fn process_output(&mut self) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
             self.writes.extend(output.persist);
-            self.held.extend(output.messages);
+            self.held_messages.extend(output.messages);
             if output.install.is_some() {
-                self.install = output.install;
+                self.pending_install = output.install;
             }
             for (index, entry) in output.committed {
                 self.apply(index, &entry);
@@ -293,9 +293,9 @@
                 break;
             }
         }
-        self.release();
-        if !self.writes.is_empty() || self.install.is_some() {
-            self.work.notify_one();
+        self.release_messages();
+        if !self.writes.is_empty() || self.pending_install.is_some() {
+            self.disk_wake.notify_one();
         }
     }
 
@@ -312,7 +312,7 @@
             }
         };
         if let Some(leader) = &mut self.leader {
-            leader.committed(index, command);
+            leader.apply_committed(index, command);
         } else if let Some(state) = &mut self.state {
             state.apply(command);
         }
@@ -330,17 +330,17 @@
         {
             log::info!("leading in term {} from record {}", self.raft.term(), self.applied);
             let shared = self.shared.clone();
-            let leader = Leader::new(shared, self.raft.term(), state, self.orders.clone());
+            let leader = Leader::new(shared, self.raft.term(), state, self.order_wake.clone());
             self.leader = Some(leader);
         }
     }
 
     /// Queues the messages whose preceding writes are durable for sending.
-    fn release(&mut self) {
+    fn release_messages(&mut self) {
         let mut any = false;
         let mut later = VecDeque::new();
-        for (seq, envelope) in std::mem::take(&mut self.held) {
-            if seq > self.written {
+        for (seq, envelope) in std::mem::take(&mut self.held_messages) {
+            if seq > self.durable_seq {
                 later.push_back((seq, envelope));
                 continue;
             }
@@ -351,36 +351,36 @@
             }
             outbox.push_back(envelope);
         }
-        self.held = later;
+        self.held_messages = later;
         if any {
-            self.sends.notify_one();
+            self.message_wake.notify_one();
         }
     }
 
     /// Takes the messages to send now, by replica.
-    pub(crate) fn outgoing(&mut self) -> Vec<(ReplicaId, Vec<Envelope>)> {
+    pub(crate) fn take_messages(&mut self) -> Vec<(ReplicaId, Vec<Envelope>)> {
         let all = std::mem::take(&mut self.outboxes);
         all.into_iter().map(|(to, messages)| (to, messages.into())).collect()
     }
 
     /// Returns the daemon name of a replica, from the members or else from its own messages.
-    pub(crate) fn name_of(&self, id: ReplicaId) -> Option<Name> {
+    pub(crate) fn daemon_name(&self, id: ReplicaId) -> Option<Name> {
         let known = self.raft.members().get(id).map(|member| member.name.clone());
-        known.or_else(|| self.names.get(&id).cloned())
+        known.or_else(|| self.sender_names.get(&id).cloned())
     }
 }
 
 /// Passes work to the disk thread until told to stop.
-pub(crate) async fn feed(
+pub(crate) async fn run_disk_tasks(
     replica: std::rc::Rc<std::cell::RefCell<Replica>>,
     mut journal: Journal,
     mut stop: tokio::sync::watch::Receiver<bool>,
     failed: oneshot::Sender<yuccalink_state::Error>,
 ) {
-    let wake = replica.borrow().work.clone();
+    let wake = replica.borrow().disk_wake.clone();
     loop {
-        let work = replica.borrow_mut().next_work();
-        match work {
+        let task = replica.borrow_mut().next_disk_task();
+        match task {
             Some(DiskTask::Write(writes)) => journal.write(writes),
             Some(DiskTask::Install { index, bytes }) => journal.install(index, bytes),
             Some(DiskTask::Compact { index, bytes }) => journal.compact(index, bytes),
@@ -398,7 +398,7 @@
                 let _ = failed.send(error);
                 return;
             }
-            Some(done) => replica.borrow_mut().did(&done),
+            Some(event) => replica.borrow_mut().handle_disk_event(&event),
             None => return,
         }
     }
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -4,33 +4,33 @@
 
 impl Replica {
     /// Returns the next operation for the disk thread, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
+    pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
         if !self.writes.is_empty() {
             return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
         }
-        if let Some((meta, bytes)) = &self.install {
+        if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
         self.snapshot_due()
     }
 
     /// Handles the completion of a disk operation.
-    pub(crate) fn did(&mut self, done: &DiskEvent) {
-        match done {
+    pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent) {
+        match event {
             DiskEvent::Written { seq, counts } => {
-                self.written = *seq;
-                self.counts = *counts;
+                self.durable_seq = *seq;
+                self.log_counters = *counts;
                 self.raft.persisted(*seq, self.shared.clock.now());
             }
             DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
-            DiskEvent::Installed => self.installed(),
+            DiskEvent::Installed => self.finish_install(),
             DiskEvent::Failed(_) => {}
         }
         self.propose();
     }
 
-    pub(super) fn installed(&mut self) {
-        let Some((meta, bytes)) = self.install.take() else { return };
+    pub(super) fn finish_install(&mut self) {
+        let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
                 log::info!("installed the leader's snapshot of record {}", meta.index);
@@ -65,12 +65,12 @@
     }
 
     pub(super) fn snapshot_due(&mut self) -> Option<DiskTask> {
-        let records = self.counts.records - self.snapshot_at.records;
-        let bytes = self.counts.bytes - self.snapshot_at.bytes;
+        let records = self.log_counters.records - self.snapshot_counters.records;
+        let bytes = self.log_counters.bytes - self.snapshot_counters.bytes;
         if records < SNAPSHOT_RECORDS && bytes < SNAPSHOT_BYTES {
             return None;
         }
-        self.snapshot_at = self.counts;
+        self.snapshot_counters = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
@@ -79,15 +79,15 @@
         if let Some((meta, bytes)) = self.encode_snapshot() {
             log::info!("sending replica {to} a snapshot of record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
-            self.pump();
+            self.process_output();
         }
     }
 
     /// Asks another voter to take over the leadership before a planned stop.
     pub(crate) fn transfer_leadership(&mut self) -> bool {
-        let asked = self.raft.transfer_leadership();
-        self.pump();
-        asked
+        let started = self.raft.transfer_leadership();
+        self.process_output();
+        started
     }
 
     /// Whether this replica is the leader, with or without a lease.
--- a/crates/daemon/src/voters.rs
+++ b/crates/daemon/src/voters.rs
@@ -1,7 +1,7 @@
 //! Connections to the other voters: Raft messages, bootstrap of a new system, and joining an
 //! existing one with an empty disk.
 
-use crate::leader_client::{CALL_TIMEOUT, CallError, Greeting, LeaderClient, greet};
+use crate::leader_client::{CALL_TIMEOUT, CallError, HelloResponse, LeaderClient, send_hello};
 use crate::replica::Replica;
 use crate::shared::Shared;
 use std::cell::RefCell;
@@ -17,25 +17,25 @@
 use yuccalink_transport::rpc;
 
 /// Pause before the other voters are asked again whether a system exists.
-const AGAIN: Duration = Duration::from_millis(200);
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before a replica that is not yet a voter repeats its request to join.
-const JOIN_AGAIN: Duration = Duration::from_secs(2);
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Largest number of concurrent calls to one voter; further messages are dropped.
-const CALLS_MAX: usize = 4;
+const CONCURRENT_CALLS_MAX: usize = 4;
 /// Bytes of messages in one call; a larger message is sent in a call of its own.
 const CALL_BYTES: usize = 2 * 1024 * 1024;
 
 /// Connections to the other voters, over which Raft messages are sent.
-pub(crate) struct Voters {
+pub(crate) struct VoterConnections {
     shared: Arc<Shared>,
     incarnation: Incarnation,
     replica: Rc<RefCell<Replica>>,
-    links: RefCell<BTreeMap<SocketAddr, Rc<rpc::RpcConnection>>>,
-    busy: RefCell<BTreeMap<ReplicaId, usize>>,
+    connections: RefCell<BTreeMap<SocketAddr, Rc<rpc::RpcConnection>>>,
+    calls_in_flight: RefCell<BTreeMap<ReplicaId, usize>>,
     connecting: RefCell<BTreeSet<SocketAddr>>,
 }
 
-impl Voters {
+impl VoterConnections {
     pub(crate) fn new(
         shared: Arc<Shared>,
         incarnation: Incarnation,
@@ -45,22 +45,22 @@
             shared,
             incarnation,
             replica,
-            links: RefCell::default(),
-            busy: RefCell::default(),
+            connections: RefCell::default(),
+            calls_in_flight: RefCell::default(),
             connecting: RefCell::default(),
         }
     }
 
     /// Sends Raft messages for ever. Messages that cannot be sent are dropped, as Raft
     /// repeats those that it still needs.
-    pub(crate) async fn send(self: Rc<Self>) {
-        let wake = self.replica.borrow().sends.clone();
+    pub(crate) async fn send_messages(self: Rc<Self>) {
+        let wake = self.replica.borrow().message_wake.clone();
         loop {
             wake.notified().await;
-            let outgoing = self.replica.borrow_mut().outgoing();
+            let outgoing = self.replica.borrow_mut().take_messages();
             for (to, messages) in outgoing {
                 let Some(address) = self.address(to) else { continue };
-                for part in parts(messages) {
+                for part in split_messages(messages) {
                     self.clone().send_part(to, address, part);
                 }
             }
@@ -68,27 +68,31 @@
     }
 
     fn send_part(self: Rc<Self>, to: ReplicaId, address: SocketAddr, messages: Vec<Envelope>) {
-        let Some(link) = self.links.borrow().get(&address).cloned() else {
+        let Some(connection) = self.connections.borrow().get(&address).cloned() else {
             self.connect(address);
             return;
         };
-        let mut busy = self.busy.borrow_mut();
-        let calls = busy.entry(to).or_default();
-        if *calls >= CALLS_MAX {
+        let mut calls_in_flight = self.calls_in_flight.borrow_mut();
+        let calls = calls_in_flight.entry(to).or_default();
+        if *calls >= CONCURRENT_CALLS_MAX {
             return;
         }
         *calls += 1;
         let this = self.clone();
         tokio::task::spawn_local(async move {
-            let sent =
-                timeout(CALL_TIMEOUT, call(&link, &this.shared.config.name, &messages)).await;
-            if let Some(calls) = this.busy.borrow_mut().get_mut(&to) {
+            let sent = timeout(
+                CALL_TIMEOUT,
+                send_raft_messages(&connection, &this.shared.config.name, &messages),
+            )
+            .await;
+            if let Some(calls) = this.calls_in_flight.borrow_mut().get_mut(&to) {
                 *calls -= 1;
             }
             if !matches!(sent, Ok(Ok(()))) {
-                let mut links = this.links.borrow_mut();
-                if links.get(&address).is_some_and(|current| Rc::ptr_eq(current, &link)) {
-                    links.remove(&address);
+                let mut connections = this.connections.borrow_mut();
+                if connections.get(&address).is_some_and(|current| Rc::ptr_eq(current, &connection))
+                {
+                    connections.remove(&address);
                 }
             }
         });
@@ -99,10 +103,10 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            if let Ok(link) = rpc::connect(address, &self.shared.keys).await
-                && greet(&self.shared, self.incarnation, &link).await.is_ok()
+            if let Ok(connection) = rpc::connect(address, &self.shared.keys).await
+                && send_hello(&self.shared, self.incarnation, &connection).await.is_ok()
             {
-                self.links.borrow_mut().insert(address, Rc::new(link));
+                self.connections.borrow_mut().insert(address, Rc::new(connection));
             }
             self.connecting.borrow_mut().remove(&address);
         });
@@ -110,86 +114,87 @@
 
     /// Returns the address of a replica according to this daemon's settings.
     fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let name = self.replica.borrow().name_of(id)?;
+        let name = self.replica.borrow().daemon_name(id)?;
         let voters = &self.shared.config.voters;
         voters.iter().find(|voter| voter.name == name).map(|voter| voter.address)
     }
 
-    fn own(&self) -> Member {
+    fn own_member(&self) -> Member {
         let config = &self.shared.config;
-        let set = config.voters.iter().find(|voter| voter.name == config.name);
-        let address = set.map_or(config.peer, |voter| voter.address);
+        let configured = config.voters.iter().find(|voter| voter.name == config.name);
+        let address = configured.map_or(config.peer, |voter| voter.address);
         let id = self.replica.borrow().id();
         Member { id, name: config.name.clone(), address: address.to_string().into() }
     }
 
     /// Makes this replica a voter: bootstraps a new system if the disks of all voters are
     /// empty, and otherwise joins the existing one.
-    pub(crate) async fn settle(self: Rc<Self>, link: Rc<LeaderClient>) {
+    pub(crate) async fn become_voter(self: Rc<Self>, leader_client: Rc<LeaderClient>) {
         let config = &self.shared.config;
         if config.voters.len() <= 1 {
             if self.replica.borrow().is_empty() {
-                let own = self.own();
+                let own = self.own_member();
                 self.replica.borrow_mut().bootstrap(vec![own]);
             }
             return;
         }
         while !self.replica.borrow().is_voter() {
             let empty = self.replica.borrow().is_empty();
-            let others = if empty { self.ask_others().await } else { Others::Founded };
-            match others {
-                Others::AllEmpty(others) if config.voters[0].name == config.name => {
-                    let members = std::iter::once(self.own()).chain(others).collect();
+            let system = if empty { self.query_voters().await } else { SystemState::Bootstrapped };
+            match system {
+                SystemState::AllEmpty(members) if config.voters[0].name == config.name => {
+                    let members = std::iter::once(self.own_member()).chain(members).collect();
                     self.replica.borrow_mut().bootstrap(members);
                 }
                 // Only the first voter of the list bootstraps; the others wait for its messages.
-                Others::AllEmpty(_) | Others::Unknown => sleep(AGAIN).await,
-                Others::Founded => {
-                    if let Err(error) = self.join(&link).await {
+                SystemState::AllEmpty(_) | SystemState::Unknown => sleep(QUERY_INTERVAL).await,
+                SystemState::Bootstrapped => {
+                    if let Err(error) = self.join(&leader_client).await {
                         log::info!("cannot join yet: {error}; trying again");
                     }
-                    sleep(JOIN_AGAIN).await;
+                    sleep(JOIN_RETRY_INTERVAL).await;
                 }
             }
         }
         log::info!("this replica is a voter");
     }
 
-    async fn ask_others(&self) -> Others {
+    async fn query_voters(&self) -> SystemState {
         let config = &self.shared.config;
         let mut members = Vec::new();
         for voter in config.voters.iter().filter(|voter| voter.name != config.name) {
-            let Ok(greeting) = self.greeting(voter.address).await else { return Others::Unknown };
-            if !greeting.empty {
-                return Others::Founded;
+            let Ok(response) = self.hello(voter.address).await else { return SystemState::Unknown };
+            if !response.empty {
+                return SystemState::Bootstrapped;
             }
             let address = voter.address.to_string().into();
-            let id = ReplicaId(greeting.replica);
+            let id = ReplicaId(response.replica);
             members.push(Member { id, name: voter.name.clone(), address });
         }
-        Others::AllEmpty(members)
+        SystemState::AllEmpty(members)
     }
 
-    async fn greeting(&self, address: SocketAddr) -> Result<Greeting, CallError> {
-        let link = rpc::connect(address, &self.shared.keys).await.map_err(CallError::Connect)?;
-        greet(&self.shared, self.incarnation, &link).await
+    async fn hello(&self, address: SocketAddr) -> Result<HelloResponse, CallError> {
+        let connection =
+            rpc::connect(address, &self.shared.keys).await.map_err(CallError::Connect)?;
+        send_hello(&self.shared, self.incarnation, &connection).await
     }
 
-    async fn join(&self, link: &LeaderClient) -> Result<(), CallError> {
-        let Member { id, name, address } = self.own();
-        link.join(&name, &address, id).await
+    async fn join(&self, leader_client: &LeaderClient) -> Result<(), CallError> {
+        let Member { id, name, address } = self.own_member();
+        leader_client.join(&name, &address, id).await
     }
 }
 
 /// Whether the other voters belong to a system already.
-enum Others {
+enum SystemState {
     AllEmpty(Vec<Member>),
-    Founded,
+    Bootstrapped,
     Unknown,
 }
 
 /// Splits messages into calls of at most [`CALL_BYTES`], in order.
-fn parts(messages: Vec<Envelope>) -> Vec<Vec<Envelope>> {
+fn split_messages(messages: Vec<Envelope>) -> Vec<Vec<Envelope>> {
     let mut parts: Vec<Vec<Envelope>> = Vec::new();
     let mut bytes = usize::MAX;
     for message in messages {
@@ -206,12 +211,12 @@
     parts
 }
 
-async fn call(
-    link: &rpc::RpcConnection,
+async fn send_raft_messages(
+    connection: &rpc::RpcConnection,
     own: &Name,
     messages: &[Envelope],
 ) -> Result<(), CallError> {
-    let mut call = link.peer.raft_request();
+    let mut call = connection.peer.raft_request();
     let mut params = call.get();
     params.set_from(own.as_str());
     peer::fill_parts(params.init_messages(peer::count(messages)), messages)?;
@@ -219,14 +224,14 @@
     Ok(())
 }
 
-/// Asks a leader over `link` to add a replica to the voters.
-pub(crate) async fn ask_to_join(
-    link: &rpc::RpcConnection,
+/// Asks a leader over `connection` to add a replica to the voters.
+pub(crate) async fn request_join(
+    connection: &rpc::RpcConnection,
     name: &Name,
     address: &str,
     id: ReplicaId,
 ) -> Result<(), CallError> {
-    let mut call = link.peer.join_request();
+    let mut call = connection.peer.join_request();
     let mut params = call.get();
     params.set_name(name.as_str());
     params.set_address(address);
