--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the state to send to the leader over the connection with number `generation`.
-    /// The owned runners are sent once for each connection.
+    /// The owned runners are included until the leader has acknowledged them on that connection.
     pub(crate) fn state(&mut self, leaving: bool, generation: u64) -> EntryState {
         if !self.lease.holds(self.shared.clock.now()) {
             self.stop_routing_to_owned();
@@ -201,6 +201,7 @@
         }
     }
 
+    /// Starts or stops routing to a runner after a change of its owner or usability.
     fn apply_runner_change(&mut self, change: &RunnerChange) {
         let now = self.shared.clock.now();
         let name = &change.spec.name;
@@ -223,6 +224,7 @@
         }
     }
 
+    /// Replaces the routing table that the traffic threads read.
     fn publish_routing_table(&self) {
         let mut owners: HashMap<Box<str>, BTreeMap<Name, Owner>> = HashMap::new();
         for change in self.runners.values().filter(|change| change.usable) {
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -54,11 +54,20 @@
 
 /// Action to take with the outcome of a committed command.
 enum OnCommit {
-    Applied { service: Name, version: u64, reply: Reply },
+    Applied {
+        service: Name,
+        version: u64,
+        reply: Reply,
+    },
     Submitted(Reply),
-    Cancelled { tasks: Vec<TaskId>, reply: Reply },
+    Cancelled {
+        tasks: Vec<TaskId>,
+        reply: Reply,
+    },
     Placed(Vec<Decision>),
     Announced(Reply),
+    /// Task reports, with the heartbeat to answer, if any, and whether the response asks for
+    /// the worker's list of tasks.
     Reported(Option<(Reply, bool)>),
     Request(Reply),
     Done(Reply),
@@ -98,7 +107,9 @@
     awaiting_index: VecDeque<OnCommit>,
     /// Log index and action of each command that is not committed yet.
     awaiting_commit: VecDeque<(u64, OnCommit)>,
+    /// Whether a placement was proposed and is not committed yet.
     placement_pending: bool,
+    /// Whether waiting tasks may have become placeable since the last plan.
     plan_due: bool,
     /// Workers whose removal was proposed and is not committed yet.
     removals_pending: BTreeSet<Name>,
@@ -177,6 +188,7 @@
 
     // ---- log ----
 
+    /// Proposes a command for a request, or refuses the request when the queue is full.
     fn propose_request<F>(&mut self, command: Command, on_commit: F, reply: Reply)
     where
         F: FnOnce(Reply) -> OnCommit,
@@ -375,6 +387,7 @@
         }
     }
 
+    /// Plans placements of the waiting tasks and proposes them.
     fn plan(&mut self) {
         if !self.plan_due || self.placement_pending || self.state.waiting_len() == 0 {
             return;
--- a/crates/daemon/src/leader/requests.rs
+++ b/crates/daemon/src/leader/requests.rs
@@ -71,6 +71,8 @@
         self.answer_in_force_waiters();
     }
 
+    /// Responds to the waiting requests whose revision is in force at all entries or whose
+    /// deadline has passed.
     pub(super) fn answer_in_force_waiters(&mut self) {
         let now = self.clock.now();
         for waiter in std::mem::take(&mut self.in_force_waiters) {
@@ -105,6 +107,7 @@
         self.propose_request(command, OnCommit::Submitted, reply);
     }
 
+    /// Returns the reason to refuse a submission; `None` if it is acceptable.
     pub(super) fn submission_problem(&self, tasks: &SubmitTasks) -> Option<Problem> {
         let refuse = |message: String| {
             Some(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, message))
@@ -317,7 +320,7 @@
             let _ = reply.send(not_found(message));
             return;
         }
-        log::info!("target {name} leaves");
+        log::info!("target {name} is leaving");
         self.directory.tick(now, &self.entries);
         self.signal_update();
         if self.state.worker(&name).is_some() {
--- a/crates/daemon/src/leader/time.rs
+++ b/crates/daemon/src/leader/time.rs
@@ -39,6 +39,7 @@
         metrics.gauge("ledger_bytes", self.state.ledger().bytes() as u64);
     }
 
+    /// Proposes the removal of workers whose leases have expired.
     pub(super) fn give_up_workers(&mut self, now: Moment) {
         for (name, incarnation) in
             workers::expired_workers(&self.state, &self.directory, self.started, now)
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -1,6 +1,6 @@
 //! Client of the leader: calls it directly while this daemon leads, and over RPC
-//! otherwise. Failed calls are retried until the caller's deadline; all requests are
-//! idempotent.
+//! otherwise. Failed calls are retried until the caller gives up or its deadline passes; all
+//! requests are idempotent.
 
 use crate::replica::Replica;
 use crate::shared::{ASK_TIMEOUT, Shared, ToLeader, no_leader};
@@ -22,7 +22,7 @@
 
 /// Time that the leader waits for a change before it responds with an empty update.
 pub(crate) const UPDATE_HOLD_MAX: Duration = Duration::from_millis(500);
-/// Timeout of one call, after which it fails.
+/// Timeout of a `hello`, `sync`, `join` or Raft call, after which the call fails.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Largest number of requests in one call.
 const BATCH_MAX: usize = 256;
@@ -138,10 +138,12 @@
     replica: Option<Rc<RefCell<Replica>>>,
     connection: RefCell<Option<Rc<rpc::RpcConnection>>>,
     connect_lock: tokio::sync::Mutex<()>,
+    /// Index of the voter to try next; it is taken modulo the number of voters.
     next_voter: Cell<usize>,
     /// Incremented with every new connection to a leader and whenever this daemon becomes
     /// leader or ceases to be.
     generation: Cell<u64>,
+    /// Result of the last check whether this daemon leads.
     was_leader: Cell<bool>,
     queue: RefCell<VecDeque<PendingRequest>>,
     queue_wake: Notify,
@@ -413,8 +415,10 @@
     }
 }
 
+/// Estimates the encoded size of a request, in bytes.
 fn body_size(request: &LeaderRequest) -> usize {
     use yuccalink_state::ledger::RequestOutcome;
+    // Estimated size of a small request, and of each task or report in a heartbeat.
     const ITEM_BYTES: usize = 256;
     match request {
         LeaderRequest::Apply { text, .. } => text.len(),
