--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -359,17 +359,17 @@
                 return;
             }
             match self.call_leader(&batch).await {
-                Ok(answers) if answers.len() == batch.len() => {
-                    for (pending, answer) in batch.into_iter().zip(answers) {
-                        let _ = pending.reply.send(answer);
+                Ok(responses) if responses.len() == batch.len() => {
+                    for (pending, response) in batch.into_iter().zip(responses) {
+                        let _ = pending.reply.send(response);
                     }
                     return;
                 }
-                Ok(answers) => {
+                Ok(responses) => {
                     log::error!(
                         "{} requests got {} responses from the leader",
                         batch.len(),
-                        answers.len()
+                        responses.len()
                     );
                     for pending in batch {
                         let _ = pending.reply.send(LeaderResponse::Problem(no_leader()));
