--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,5 +1,5 @@
-//! The entry's side of control: applies what the leader tells, keeps the view
-//! of the traffic threads and the lease that lets this entry serve.
+//! Control state of this entry: applies the leader's updates, publishes the routing table of
+//! the traffic threads, and keeps the lease without which this entry must not serve.
 
 use crate::shared::{Owner, RoutingTable, Shared};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -10,27 +10,29 @@
 use yuccalink_state::document::Document;
 use yuccalink_state::id::{Incarnation, Name};
 
-pub(crate) struct Entry {
+pub(crate) struct EntryControl {
     shared: Arc<Shared>,
     incarnation: Incarnation,
     lease: ConfigLease,
     revision: u64,
     term: u64,
     table_version: u64,
-    /// The way over which the leader was last told what is owned here.
-    told_owned: u64,
-    telling: u64,
-    /// Runners that the leader of this term has told of.
-    heard: BTreeSet<Name>,
-    /// Whether this leader's table is complete.
+    /// Connection generation in which the leader last acknowledged the owned runners.
+    owned_acked_generation: u64,
+    /// Connection generation of the last sync.
+    sync_generation: u64,
+    /// Runners in the updates from the leader of this term.
+    runners_of_term: BTreeSet<Name>,
+    /// Whether the leader of this term has sent its complete runner table.
     runner_table_complete: bool,
     documents: BTreeMap<Name, Arc<Document>>,
     runners: BTreeMap<Name, RunnerChange>,
-    neighbours: Vec<PeerEntry>,
+    peer_entries: Vec<PeerEntry>,
+    /// Runners that may get no more requests and are released once none is in flight.
     releasing: Vec<Name>,
 }
 
-impl Entry {
+impl EntryControl {
     pub(crate) fn new(shared: Arc<Shared>, incarnation: Incarnation) -> Self {
         Self {
             shared,
@@ -39,26 +41,28 @@
             revision: 0,
             term: 0,
             table_version: 0,
-            told_owned: 0,
-            telling: 0,
-            heard: BTreeSet::new(),
+            owned_acked_generation: 0,
+            sync_generation: 0,
+            runners_of_term: BTreeSet::new(),
             runner_table_complete: false,
             documents: BTreeMap::new(),
             runners: BTreeMap::new(),
-            neighbours: Vec::new(),
+            peer_entries: Vec::new(),
             releasing: Vec::new(),
         }
     }
 
-    /// What to tell the leader now; `way` changes with every new way to one.
-    pub(crate) fn state(&mut self, leaving: bool, way: u64) -> EntryState {
+    /// Returns the state to send to the leader over the connection with number `generation`.
+    /// The owned runners are included until the leader has acknowledged them on that connection.
+    pub(crate) fn state(&mut self, leaving: bool, generation: u64) -> EntryState {
         if !self.lease.holds(self.shared.clock.now()) {
-            self.lapse();
+            self.stop_routing_to_owned();
         }
         let released_runners = self.take_released();
         let config = &self.shared.config;
-        let owned = if self.told_owned == way { Vec::new() } else { self.owned_specs() };
-        self.telling = way;
+        let owned =
+            if self.owned_acked_generation == generation { Vec::new() } else { self.owned_specs() };
+        self.sync_generation = generation;
         EntryState {
             entry: config.name.clone(),
             incarnation: self.incarnation,
@@ -75,10 +79,10 @@
         }
     }
 
-    /// The lease ran out: the leader may have given this entry's runners to
-    /// others, and knows nothing of what is still in flight here. Nothing new is
-    /// sent to them until the leader says anew what is this entry's.
-    fn lapse(&mut self) {
+    /// Stops routing to all owned runners after the lease expired. The leader may have given
+    /// them to other entries and does not know which requests are still in flight here.
+    /// Routing resumes when the leader sends the runner table again.
+    fn stop_routing_to_owned(&mut self) {
         if self.table_version == 0 {
             return;
         }
@@ -99,25 +103,24 @@
         owned.map(|runner| runner.spec.clone()).collect()
     }
 
-    /// Runners that another entry shall have and that hold nothing of ours any more.
+    /// Removes and returns the runners to release that have no more requests in flight.
     fn take_released(&mut self) -> Vec<Name> {
         let mut routing = self.shared.routing();
-        let mut gone = Vec::new();
+        let mut released = Vec::new();
         self.releasing.retain(|name| match routing.router.in_flight(name) {
-            Some(busy) if busy > 0 => true,
+            Some(count) if count > 0 => true,
             _ => {
                 routing.router.remove_runner(name);
-                gone.push(name.clone());
+                released.push(name.clone());
                 false
             }
         });
-        gone
+        released
     }
 
-    /// Takes in news that answer a request sent at `sent`, then renews the lease.
+    /// Applies the update that answers a sync sent at `sent`, then renews the lease.
     pub(crate) fn apply(&mut self, update: EntryUpdate, sent: Moment) {
-        // A late answer of an earlier leader must not bring back what a later one
-        // has replaced.
+        // A late update from an earlier leader must not undo those of its successor.
         if update.term < self.term {
             return;
         }
@@ -125,22 +128,22 @@
             log::info!("following the leader of term {}", update.term);
             self.term = update.term;
             self.runner_table_complete = false;
-            self.heard.clear();
+            self.runners_of_term.clear();
         }
-        self.told_owned = self.telling;
-        let mut changed = self.take_documents(update.documents);
+        self.owned_acked_generation = self.sync_generation;
+        let mut changed = self.apply_documents(update.documents);
         self.revision = self.revision.max(update.revision);
         self.table_version = update.table_version;
-        let neighbours =
-            PeerEntry::known(update.entries, &self.neighbours, update.runner_table_complete);
-        changed |= !update.runners.is_empty() || self.neighbours != neighbours;
-        self.neighbours = neighbours;
-        self.take_runners(update.runners);
+        let peer_entries =
+            PeerEntry::known(update.entries, &self.peer_entries, update.runner_table_complete);
+        changed |= !update.runners.is_empty() || self.peer_entries != peer_entries;
+        self.peer_entries = peer_entries;
+        self.apply_runner_changes(update.runners);
         if update.runner_table_complete && !self.runner_table_complete {
-            changed |= self.settle();
+            changed |= self.drop_unlisted_runners();
         }
         if changed {
-            self.publish();
+            self.publish_routing_table();
         }
         self.lease.renew(sent);
         self.shared.set_lease(self.lease.until());
@@ -149,27 +152,31 @@
         }
     }
 
-    /// The leader's table is complete now: what it does not know any more is gone.
-    /// Until then the table of the leader before it is the better guess.
-    fn settle(&mut self) -> bool {
+    /// Drops the runners that are missing from the leader's table, once that is complete.
+    /// Until then the entries from the previous leader's table are kept as the best estimate.
+    fn drop_unlisted_runners(&mut self) -> bool {
         self.runner_table_complete = true;
-        let gone: Vec<Name> =
-            self.runners.keys().filter(|name| !self.heard.contains(*name)).cloned().collect();
+        let unlisted: Vec<Name> = self
+            .runners
+            .keys()
+            .filter(|name| !self.runners_of_term.contains(*name))
+            .cloned()
+            .collect();
         let mut routing = self.shared.routing();
-        for name in &gone {
+        for name in &unlisted {
             self.runners.remove(name);
             if routing.router.in_flight(name).is_some() {
                 routing.router.stop_routing_to(name);
                 self.releasing.push(name.clone());
             }
         }
-        !gone.is_empty()
+        !unlisted.is_empty()
     }
 
-    fn take_documents(&mut self, documents: Vec<yuccalink_state::document::Accepted>) -> bool {
+    fn apply_documents(&mut self, documents: Vec<yuccalink_state::document::Accepted>) -> bool {
         let mut changed = false;
         for accepted in documents {
-            // Revisions only grow: an answer that was overtaken changes nothing.
+            // Revisions only grow, so a reordered update changes nothing.
             if accepted.revision.0 <= self.revision {
                 continue;
             }
@@ -186,41 +193,43 @@
         changed
     }
 
-    fn take_runners(&mut self, runners: Vec<RunnerChange>) {
+    fn apply_runner_changes(&mut self, runners: Vec<RunnerChange>) {
         for change in runners {
-            self.route(&change);
-            self.heard.insert(change.spec.name.clone());
+            self.apply_runner_change(&change);
+            self.runners_of_term.insert(change.spec.name.clone());
             self.runners.insert(change.spec.name.clone(), change);
         }
     }
 
-    fn route(&mut self, change: &RunnerChange) {
+    /// Starts or stops routing to a runner after a change of its owner or usability.
+    fn apply_runner_change(&mut self, change: &RunnerChange) {
         let now = self.shared.clock.now();
         let name = &change.spec.name;
-        let mine = change.owner.as_ref() == Some(&self.shared.config.name);
+        let is_owner = change.owner.as_ref() == Some(&self.shared.config.name);
         let mut routing = self.shared.routing();
-        let had = routing.router.in_flight(name).is_some();
-        if mine && change.usable {
+        let was_routed = routing.router.in_flight(name).is_some();
+        if is_owner && change.usable {
             self.releasing.retain(|other| other != name);
-            routing.change(now, |router, turns| {
-                if had {
-                    router.update_busy_count(now, name, change.busy, turns);
+            routing.change(now, |router, dequeued| {
+                if was_routed {
+                    router.update_busy_count(now, name, change.busy, dequeued);
                 }
-                router.add_runner(now, change.spec.clone(), change.busy, turns);
+                router.add_runner(now, change.spec.clone(), change.busy, dequeued);
             });
-        } else if had {
+        } else if was_routed {
             routing.router.stop_routing_to(name);
-            if !mine && !self.releasing.contains(name) {
+            if !is_owner && !self.releasing.contains(name) {
                 self.releasing.push(name.clone());
             }
         }
     }
 
-    fn publish(&self) {
+    /// Replaces the routing table that the traffic threads read.
+    fn publish_routing_table(&self) {
         let mut owners: HashMap<Box<str>, BTreeMap<Name, Owner>> = HashMap::new();
         for change in self.runners.values().filter(|change| change.usable) {
             let Some(owner) = &change.owner else { continue };
-            let found = self.neighbours.iter().find(|n| n.name == *owner && !n.draining);
+            let found = self.peer_entries.iter().find(|n| n.name == *owner && !n.draining);
             let Some(callers) = found.and_then(|entry| entry.caller_address.parse().ok()) else {
                 continue;
             };
@@ -233,13 +242,13 @@
             owner.slots += change.spec.slots;
         }
         let documents = self.documents.iter();
-        let view = RoutingTable {
+        let table = RoutingTable {
             services: documents.map(|(name, doc)| (name.as_str().into(), doc.clone())).collect(),
             owners: owners
                 .into_iter()
                 .map(|(service, owners)| (service, owners.into_values().collect()))
                 .collect(),
         };
-        self.shared.view.store(Arc::new(view));
+        self.shared.view.store(Arc::new(table));
     }
 }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -1,5 +1,5 @@
-//! The disk thread: writes and syncs while the control thread goes on, so that
-//! all that gathers during one sync shares the next.
+//! The disk thread: writes and syncs without blocking the control thread. All writes that
+//! arrive during one sync share the next one.
 
 use crate::error::{Error, Result};
 use std::path::Path;
@@ -12,28 +12,28 @@
 use yuccalink_state::snapshot::Replicated;
 use yuccalink_state::store::Recovered;
 
-enum Job {
+enum DiskOperation {
     Write(Vec<LogWrite>),
     Compact { index: u64, bytes: Vec<u8> },
     Install { index: u64, bytes: Vec<u8> },
 }
 
-/// What the disk thread did.
+/// Completion of an operation of the disk thread.
 #[derive(Debug)]
 pub(crate) enum DiskEvent {
-    /// All writes up to this number are durable.
+    /// All writes up to this sequence number are durable.
     Written { seq: u64, counts: LogCounters },
-    /// The snapshot of this record is in place.
+    /// The snapshot of this record is stored and the log compacted.
     Compacted { index: u64 },
-    /// The snapshot that came from the leader is in place.
+    /// The snapshot from the leader is stored.
     Installed,
-    /// The disk failed; what is on it is not known.
+    /// The disk failed; it is unknown which writes reached it.
     Failed(yuccalink_state::Error),
 }
 
 /// Handle of the disk thread.
 pub(crate) struct Journal {
-    jobs: Sender<Job>,
+    operations: Sender<DiskOperation>,
     done: UnboundedReceiver<DiskEvent>,
     thread: JoinHandle<()>,
 }
@@ -45,47 +45,47 @@
         S: Replicated,
     {
         let (store, recovered) = Store::open_as(folder, draw)?;
-        let (jobs, rx) = channel();
+        let (operations, rx) = channel();
         let (tx, done) = unbounded_channel();
         let thread = thread::Builder::new()
             .name("journal".into())
             .spawn(move || run(store, &rx, &tx))
             .map_err(Error::Thread)?;
-        Ok((Self { jobs, done, thread }, recovered))
+        Ok((Self { operations, done, thread }, recovered))
     }
 
     pub(crate) fn write(&self, writes: Vec<LogWrite>) {
-        let _ = self.jobs.send(Job::Write(writes));
+        let _ = self.operations.send(DiskOperation::Write(writes));
     }
 
     pub(crate) fn compact(&self, index: u64, bytes: Vec<u8>) {
-        let _ = self.jobs.send(Job::Compact { index, bytes });
+        let _ = self.operations.send(DiskOperation::Compact { index, bytes });
     }
 
     pub(crate) fn install(&self, index: u64, bytes: Vec<u8>) {
-        let _ = self.jobs.send(Job::Install { index, bytes });
+        let _ = self.operations.send(DiskOperation::Install { index, bytes });
     }
 
-    /// The next finished job; `None` when the thread is gone.
+    /// Waits for the next finished operation; `None` when the thread has ended.
     pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
-    /// Finishes what was asked and releases the folder.
+    /// Finishes the queued operations, ends the thread and releases the folder.
     pub(crate) fn close(self) {
-        drop(self.jobs);
+        drop(self.operations);
         let _ = self.thread.join();
     }
 }
 
-fn run(mut store: Store, jobs: &Receiver<Job>, done: &UnboundedSender<DiskEvent>) {
-    while let Ok(job) = jobs.recv() {
-        let result = match job {
-            Job::Write(writes) => write(&mut store, writes),
-            Job::Compact { index, bytes } => {
+fn run(mut store: Store, operations: &Receiver<DiskOperation>, done: &UnboundedSender<DiskEvent>) {
+    while let Ok(operation) = operations.recv() {
+        let result = match operation {
+            DiskOperation::Write(writes) => write(&mut store, writes),
+            DiskOperation::Compact { index, bytes } => {
                 store.compact(index, &bytes).map(|()| DiskEvent::Compacted { index })
             }
-            Job::Install { index, bytes } => {
+            DiskOperation::Install { index, bytes } => {
                 store.install(index, &bytes).map(|()| DiskEvent::Installed)
             }
         };
@@ -104,7 +104,7 @@
     Ok(DiskEvent::Written { seq, counts: store.counts() })
 }
 
-/// Makes one frame, and so one sync, of all writes that follow on each other.
+/// Merges consecutive writes into one frame, so that they need one sync.
 fn merge(writes: Vec<LogWrite>) -> yuccalink_state::Result<Vec<LogFrame>> {
     let mut frames: Vec<LogFrame> = Vec::new();
     for write in writes {
@@ -114,7 +114,7 @@
             records.push((entry.term, encode(&entry.payload)?));
         }
         match frames.last_mut() {
-            Some(frame) if follows(frame, write.first) => {
+            Some(frame) if extends_or_overwrites(frame, write.first) => {
                 let keep = usize::try_from(write.first - frame.first).unwrap_or(usize::MAX);
                 frame.records.truncate(keep);
                 frame.records.append(&mut records);
@@ -126,7 +126,8 @@
     Ok(frames)
 }
 
-fn follows(frame: &LogFrame, first: u64) -> bool {
+/// Whether a write at index `first` overwrites part of the frame or continues it.
+fn extends_or_overwrites(frame: &LogFrame, first: u64) -> bool {
     (frame.first..=frame.first + frame.records.len() as u64).contains(&first)
 }
 
@@ -134,7 +135,7 @@
     TermAndVote { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
 }
 
-/// The hard state as the consensus knows it.
+/// Converts a stored term and vote to the hard state of the consensus.
 pub(crate) fn from_hard(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
@@ -148,7 +149,7 @@
     })
 }
 
-/// An entry as the log kept it.
+/// Decodes a stored log record.
 pub(crate) fn to_entry(
     record: &Record,
 ) -> std::result::Result<LogEntry, yuccalink_protocol::peer::BadMessage> {
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -1,39 +1,39 @@
-//! What a replica asks of its disk, and what it makes of the answers.
+//! Disk work of a replica: writes, snapshots and their completion. Also leadership transfer.
 
 use super::*;
 
 impl Replica {
-    /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
+    /// Returns the next operation for the disk thread, writes first.
+    pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
         if !self.writes.is_empty() {
             return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
         }
-        if let Some((meta, bytes)) = &self.install {
+        if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
         self.snapshot_due()
     }
 
-    /// The disk has done something.
-    pub(crate) fn did(&mut self, done: &DiskEvent) {
-        match done {
+    /// Handles the completion of a disk operation.
+    pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent) {
+        match event {
             DiskEvent::Written { seq, counts } => {
-                self.written = *seq;
-                self.counts = *counts;
+                self.durable_seq = *seq;
+                self.log_counters = *counts;
                 self.raft.persisted(*seq, self.shared.clock.now());
             }
             DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
-            DiskEvent::Installed => self.installed(),
+            DiskEvent::Installed => self.finish_install(),
             DiskEvent::Failed(_) => {}
         }
         self.propose();
     }
 
-    pub(super) fn installed(&mut self) {
-        let Some((meta, bytes)) = self.install.take() else { return };
+    pub(super) fn finish_install(&mut self) {
+        let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
-                log::info!("took over the leader's state up to record {}", meta.index);
+                log::info!("installed the leader's snapshot of record {}", meta.index);
                 self.state = Some(found.state);
                 self.applied = meta.index;
                 self.raft.installed(Some(meta));
@@ -58,36 +58,36 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("no snapshot: {error}");
+                log::error!("the snapshot cannot be encoded: {error}");
                 None
             }
         }
     }
 
     pub(super) fn snapshot_due(&mut self) -> Option<DiskTask> {
-        let records = self.counts.records - self.snapshot_at.records;
-        let bytes = self.counts.bytes - self.snapshot_at.bytes;
+        let records = self.log_counters.records - self.snapshot_counters.records;
+        let bytes = self.log_counters.bytes - self.snapshot_counters.bytes;
         if records < SNAPSHOT_RECORDS && bytes < SNAPSHOT_BYTES {
             return None;
         }
-        self.snapshot_at = self.counts;
+        self.snapshot_counters = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
 
     pub(super) fn offer_snapshot(&mut self, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} the state up to record {}", meta.index);
+            log::info!("sending replica {to} a snapshot of record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
-            self.pump();
+            self.process_output();
         }
     }
 
-    /// Before a planned stop: lets another voter lead at once.
+    /// Asks another voter to take over the leadership before a planned stop.
     pub(crate) fn transfer_leadership(&mut self) -> bool {
-        let asked = self.raft.transfer_leadership();
-        self.pump();
-        asked
+        let started = self.raft.transfer_leadership();
+        self.process_output();
+        started
     }
 
     /// Whether this replica is the leader, with or without a lease.
