--- a/crates/daemon/src/cell.rs
+++ b/crates/daemon/src/cell.rs
@@ -12,6 +12,7 @@
 mod external;
 mod frame;
 mod http;
+mod membership;
 mod metrics;
 mod native;
 mod node;
@@ -20,7 +21,6 @@
 pub mod policy;
 mod replica;
 mod run;
-mod seats;
 
 pub use adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest, SeedSource};
 pub use config::{CellConfig, CellConfigBuilder};
--- a/crates/daemon/src/cell/adapter.rs
+++ b/crates/daemon/src/cell/adapter.rs
@@ -43,7 +43,7 @@
     }
 
     /// A redirect of a request for `path` to another process.
-    pub(crate) fn elsewhere(to: SocketAddr, path: &str) -> Self {
+    pub(crate) fn redirect(to: SocketAddr, path: &str) -> Self {
         let location = format!("http://{to}{path}").into();
         Self { status: 307, location: Some(location), ..Self::default() }
     }
@@ -64,7 +64,7 @@
     fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
     /// The response to an answer.
-    fn reply(&self, answer: CellResponse) -> ApiResponse;
+    fn reply(&self, response: CellResponse) -> ApiResponse;
 
     /// The request for a call to a service outside; none where there is no such
     /// service.
--- a/crates/daemon/src/cell/config.rs
+++ b/crates/daemon/src/cell/config.rs
@@ -87,15 +87,15 @@
 
     /// Where other processes connect.
     #[must_use]
-    pub fn peer(mut self, at: SocketAddr) -> Self {
-        self.0.peer = at;
+    pub fn peer(mut self, address: SocketAddr) -> Self {
+        self.0.peer = address;
         self
     }
 
     /// Where other processes reach it, behind a forwarder.
     #[must_use]
-    pub fn peer_advertised(mut self, at: SocketAddr) -> Self {
-        self.0.peer_advertised = Some(at);
+    pub fn peer_advertised(mut self, address: SocketAddr) -> Self {
+        self.0.peer_advertised = Some(address);
         self
     }
 
@@ -108,29 +108,29 @@
 
     /// Where callers connect.
     #[must_use]
-    pub fn callers(mut self, at: SocketAddr) -> Self {
-        self.0.callers = Some(at);
+    pub fn callers(mut self, address: SocketAddr) -> Self {
+        self.0.callers = Some(address);
         self
     }
 
     /// Where the balancer asks whether this process is ready.
     #[must_use]
-    pub fn ready(mut self, at: SocketAddr) -> Self {
-        self.0.ready = Some(at);
+    pub fn ready(mut self, address: SocketAddr) -> Self {
+        self.0.ready = Some(address);
         self
     }
 
     /// Where runners and operators connect.
     #[must_use]
-    pub fn control(mut self, at: SocketAddr) -> Self {
-        self.0.control = Some(at);
+    pub fn control(mut self, address: SocketAddr) -> Self {
+        self.0.control = Some(address);
         self
     }
 
     /// Where counters and histograms are read.
     #[must_use]
-    pub fn metrics(mut self, at: SocketAddr) -> Self {
-        self.0.metrics = Some(at);
+    pub fn metrics(mut self, address: SocketAddr) -> Self {
+        self.0.metrics = Some(address);
         self
     }
 
@@ -150,8 +150,8 @@
 
     /// Whether the cell is new, so that its first seed with a disk may found it.
     #[must_use]
-    pub fn bootstrap(mut self, found: bool) -> Self {
-        self.0.bootstrap = found;
+    pub fn bootstrap(mut self, allowed: bool) -> Self {
+        self.0.bootstrap = allowed;
         self
     }
 
@@ -185,8 +185,8 @@
 
     /// Connections of callers, runners and operators that are held at once.
     #[must_use]
-    pub fn connections_max(mut self, most: usize) -> Self {
-        self.0.connections_max = most;
+    pub fn connections_max(mut self, max: usize) -> Self {
+        self.0.connections_max = max;
         self
     }
 
@@ -196,16 +196,22 @@
     /// [`Error::Setting`] naming the setting and the remedy.
     pub fn build(self) -> Result<CellConfig> {
         let config = self.0;
-        let bad = |flag, what: &str| Err(Error::Setting { flag, what: what.into() });
-        let alone = config.seeds.is_empty();
-        if alone && config.data.is_none() {
-            return bad("data", "a cell of one process needs a data folder; name one, or seeds");
+        let invalid = |flag, what: &str| Err(Error::Setting { flag, what: what.into() });
+        let is_single = config.seeds.is_empty();
+        if is_single && config.data.is_none() {
+            return invalid(
+                "data",
+                "a cell of one process needs a data folder; name one, or seeds",
+            );
         }
         if config.callers.is_none() && config.control.is_none() {
-            return bad("callers", "the process would serve nobody; name an address to listen on");
+            return invalid(
+                "callers",
+                "the process would serve nobody; name an address to listen on",
+            );
         }
         if config.connections_max == 0 {
-            return bad("connections-max", "nobody could connect; allow one at least");
+            return invalid("connections-max", "nobody could connect; allow one at least");
         }
         Ok(config)
     }
--- a/crates/daemon/src/cell/connections.rs
+++ b/crates/daemon/src/cell/connections.rs
@@ -8,56 +8,56 @@
 
 /// Connections that are being told at once that there are too many; further ones are closed
 /// without a word.
-const TURNED_AWAY_MAX: usize = 64;
+const REJECTING_MAX: usize = 64;
 /// Between lines on connections that were turned away.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
 /// Counts the connections of a process.
 #[derive(Debug)]
-pub(crate) struct Connections {
-    most: usize,
+pub(crate) struct ConnectionLimiter {
+    max: usize,
     open: Cell<usize>,
-    being_told: Cell<usize>,
-    turned_away: Cell<u64>,
-    told_at: Cell<Option<Instant>>,
+    rejecting: Cell<usize>,
+    rejected_total: Cell<u64>,
+    logged_at: Cell<Option<Instant>>,
 }
 
 /// What a new connection may do.
 #[derive(Debug)]
 pub(crate) enum Admission {
     /// Its requests are answered.
-    Served(Held),
+    Served(ConnectionPermit),
     /// Its first request is told that there are too many.
-    Refused(Held),
+    Rejected(ConnectionPermit),
     /// It is closed at once.
     Closed,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum PermitKind {
     Served,
-    Refused,
+    Rejected,
 }
 
 /// Counts one connection until dropped.
 #[derive(Debug)]
-pub(crate) struct Held(Rc<Connections>, Kind);
+pub(crate) struct ConnectionPermit(Rc<ConnectionLimiter>, PermitKind);
 
-impl Drop for Held {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let count = self.0.count(self.1);
-        count.set(count.get() - 1);
+        let counter = self.0.counter(self.1);
+        counter.set(counter.get() - 1);
     }
 }
 
-impl Connections {
-    pub(crate) fn new(most: usize) -> Rc<Self> {
+impl ConnectionLimiter {
+    pub(crate) fn new(max: usize) -> Rc<Self> {
         Rc::new(Self {
-            most,
+            max,
             open: Cell::new(0),
-            being_told: Cell::new(0),
-            turned_away: Cell::new(0),
-            told_at: Cell::new(None),
+            rejecting: Cell::new(0),
+            rejected_total: Cell::new(0),
+            logged_at: Cell::new(None),
         })
     }
 
@@ -67,56 +67,56 @@
     }
 
     /// Those that were turned away since the process began.
-    pub(crate) fn turned_away(&self) -> u64 {
-        self.turned_away.get()
+    pub(crate) fn rejected_total(&self) -> u64 {
+        self.rejected_total.get()
     }
 
     /// Counts a new connection.
     pub(crate) fn admit(self: &Rc<Self>) -> Admission {
-        if self.open.get() < self.most {
-            return Admission::Served(self.hold(Kind::Served));
+        if self.open.get() < self.max {
+            return Admission::Served(self.permit(PermitKind::Served));
         }
-        self.turned_away.set(self.turned_away.get() + 1);
-        self.tell();
-        match self.being_told.get() < TURNED_AWAY_MAX {
-            true => Admission::Refused(self.hold(Kind::Refused)),
+        self.rejected_total.set(self.rejected_total.get() + 1);
+        self.log_rejections();
+        match self.rejecting.get() < REJECTING_MAX {
+            true => Admission::Rejected(self.permit(PermitKind::Rejected)),
             false => Admission::Closed,
         }
     }
 
     /// What a connection is told that is turned away.
-    pub(crate) fn refusal(&self) -> String {
+    pub(crate) fn rejection_message(&self) -> String {
         format!(
             "this process holds {} connections and takes no more: come back, or go to another \
              entry; its operator can raise --connections-max and the limit of open files",
-            self.most
+            self.max
         )
     }
 
-    fn hold(self: &Rc<Self>, kind: Kind) -> Held {
-        let count = self.count(kind);
-        count.set(count.get() + 1);
-        Held(self.clone(), kind)
+    fn permit(self: &Rc<Self>, kind: PermitKind) -> ConnectionPermit {
+        let counter = self.counter(kind);
+        counter.set(counter.get() + 1);
+        ConnectionPermit(self.clone(), kind)
     }
 
-    fn count(&self, kind: Kind) -> &Cell<usize> {
+    fn counter(&self, kind: PermitKind) -> &Cell<usize> {
         match kind {
-            Kind::Served => &self.open,
-            Kind::Refused => &self.being_told,
+            PermitKind::Served => &self.open,
+            PermitKind::Rejected => &self.rejecting,
         }
     }
 
-    fn tell(&self) {
+    fn log_rejections(&self) {
         let now = Instant::now();
-        if self.told_at.get().is_some_and(|at| now - at < TELL_EVERY) {
+        if self.logged_at.get().is_some_and(|at| now - at < TELL_EVERY) {
             return;
         }
-        self.told_at.set(Some(now));
+        self.logged_at.set(Some(now));
         log::warn!(
             "connections={} of {}: turned away {} since the start",
             self.open.get(),
-            self.most,
-            self.turned_away.get()
+            self.max,
+            self.rejected_total.get()
         );
     }
 }
--- a/crates/daemon/src/cell/disk.rs
+++ b/crates/daemon/src/cell/disk.rs
@@ -1,6 +1,6 @@
 //! Feeds the disk thread of a replica.
 
-use crate::cell::node::Shared;
+use crate::cell::node::SharedNode;
 use crate::journal::{DiskEvent, Journal};
 use yuccalink_coordination::raft::LogWrite;
 
@@ -12,11 +12,11 @@
 }
 
 /// Feeds the disk thread until the disk fails or the process stops.
-pub(crate) async fn feed(node: Shared, mut journal: Journal) {
+pub(crate) async fn run(node: SharedNode, mut journal: Journal) {
     let wake = node.disk_wake();
     loop {
-        let work = node.with(|node| node.replica.as_mut().and_then(|r| r.next_work()));
-        match work {
+        let task = node.with(|node| node.replica.as_mut().and_then(|r| r.next_disk_task()));
+        match task {
             Some(DiskTask::Write(writes)) => journal.write(writes),
             Some(DiskTask::Install { index, bytes }) => journal.install(index, bytes),
             Some(DiskTask::Compact { index, bytes }) => journal.compact(index, bytes),
@@ -32,7 +32,7 @@
                 log::error!("the disk failed: {error}");
                 return node.fail(error);
             }
-            Some(done) => node.disk_did(&done),
+            Some(event) => node.handle_disk_event(&event),
             None => return,
         }
     }
--- a/crates/daemon/src/cell/external.rs
+++ b/crates/daemon/src/cell/external.rs
@@ -1,7 +1,7 @@
 //! Calls to services outside the cell, on behalf of the leader.
 
 use crate::cell::adapter::{ApiAdapter, ExternalRequest};
-use crate::cell::node::Shared;
+use crate::cell::node::SharedNode;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Request;
@@ -14,13 +14,13 @@
 use yuccalink_coordination::jobs::external::{ExternalCall, ExternalCallId, ExternalReply};
 
 /// Longest wait for a whole answer; an order that got none may have been carried out.
-const ANSWER_MAX: Duration = Duration::from_millis(2_200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// Largest answer in bytes: a page of the list of machines.
-const BODY_MAX: usize = 1024 * 1024;
+const BODY_MAX_BYTES: usize = 1024 * 1024;
 
 /// Why a call got no answer.
 #[derive(Debug, displaydoc::Display)]
-enum Unanswered {
+enum ExternalCallError {
     /// no connection: {0}
     Connect(std::io::Error),
     /// {0}
@@ -30,50 +30,50 @@
     /// the answer cannot be read: {0}
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// no answer in time
-    Late,
+    TimedOut,
 }
 
 /// Makes one call and tells the leader what came of it.
 pub(crate) async fn perform(
-    node: Shared,
+    node: SharedNode,
     adapter: Rc<dyn ApiAdapter>,
     id: ExternalCallId,
     call: ExternalCall,
 ) {
-    let told = match adapter.request(&call) {
+    let reply = match adapter.request(&call) {
         None => ExternalReply::Refused,
-        Some(outgoing) => match timeout(ANSWER_MAX, exchange(outgoing)).await {
+        Some(request) => match timeout(RESPONSE_TIMEOUT, send_request(request)).await {
             Ok(Ok((status, body))) => adapter.decode_reply(&call, status, &body),
-            Ok(Err(why)) => unanswered(&call, &why),
-            Err(_) => unanswered(&call, &Unanswered::Late),
+            Ok(Err(error)) => retry_later(&call, &error),
+            Err(_) => retry_later(&call, &ExternalCallError::TimedOut),
         },
     };
-    node.handle_external_reply(id, told);
+    node.handle_external_reply(id, reply);
 }
 
-fn unanswered(call: &ExternalCall, why: &Unanswered) -> ExternalReply {
-    log::warn!("call={call:?} unanswered: {why}");
+fn retry_later(call: &ExternalCall, error: &ExternalCallError) -> ExternalReply {
+    log::warn!("call={call:?} unanswered: {error}");
     ExternalReply::Later
 }
 
-async fn exchange(outgoing: ExternalRequest) -> Result<(u16, Bytes), Unanswered> {
-    let stream = TcpStream::connect(outgoing.to).await.map_err(Unanswered::Connect)?;
+async fn send_request(request: ExternalRequest) -> Result<(u16, Bytes), ExternalCallError> {
+    let stream = TcpStream::connect(request.to).await.map_err(ExternalCallError::Connect)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(Unanswered::Http)?;
-    let running = tokio::task::spawn_local(connection);
+        .map_err(ExternalCallError::Http)?;
+    let connection_task = tokio::task::spawn_local(connection);
     let mut req = Request::builder()
-        .method(outgoing.method)
-        .uri(&*outgoing.path)
-        .header(HOST, outgoing.to.to_string())
+        .method(request.method)
+        .uri(&*request.path)
+        .header(HOST, request.to.to_string())
         .header(CONTENT_TYPE, "application/json");
-    for (name, value) in &outgoing.headers {
+    for (name, value) in &request.headers {
         req = req.header(*name, &**value);
     }
-    let req = req.body(Full::new(Bytes::from(outgoing.body))).map_err(Unanswered::Request)?;
-    let response = sender.send_request(req).await.map_err(Unanswered::Http)?;
+    let req = req.body(Full::new(Bytes::from(request.body))).map_err(ExternalCallError::Request)?;
+    let response = sender.send_request(req).await.map_err(ExternalCallError::Http)?;
     let status = response.status().as_u16();
-    let body = Limited::new(response.into_body(), BODY_MAX).collect().await;
-    running.abort();
-    Ok((status, body.map_err(Unanswered::Body)?.to_bytes()))
+    let body = Limited::new(response.into_body(), BODY_MAX_BYTES).collect().await;
+    connection_task.abort();
+    Ok((status, body.map_err(ExternalCallError::Body)?.to_bytes()))
 }
--- a/crates/daemon/src/cell/frame.rs
+++ b/crates/daemon/src/cell/frame.rs
@@ -8,8 +8,8 @@
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
 
 /// Largest frame in bytes: a chunk of a snapshot or a batch of entries, with room.
-pub(crate) const FRAME_MAX: usize = 16 * 1024 * 1024;
-const HEAD: usize = 4;
+pub(crate) const FRAME_MAX_BYTES: usize = 16 * 1024 * 1024;
+const HEADER_BYTES: usize = 4;
 
 /// One message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -18,29 +18,40 @@
     Hello(NodeInfo),
     /// Answer to it.
     Welcome {
-        me: NodeInfo,
-        lead: Option<LeaderInfo>,
+        #[serde(rename = "me")]
+        sender: NodeInfo,
+        #[serde(rename = "lead")]
+        leader: Option<LeaderInfo>,
         /// Disks that the sender has heard itself.
         disks: Vec<NodeInfo>,
         /// Whom the first seed, having no disk, lets found the cell.
-        founder: Option<ReplicaId>,
+        #[serde(rename = "founder")]
+        bootstrapper: Option<ReplicaId>,
     },
     /// Messages of the consensus.
     Raft(Vec<Envelope>),
     /// To the leader.
-    Ask { id: u64, ask: CellRequest },
+    Ask {
+        id: u64,
+        #[serde(rename = "ask")]
+        request: CellRequest,
+    },
     /// Back.
-    Answer { id: u64, answer: CellResponse },
+    Answer {
+        id: u64,
+        #[serde(rename = "answer")]
+        response: CellResponse,
+    },
 }
 
 /// Appends a frame to `buf`.
-pub(crate) fn encode(frame: &PeerMessage, buf: &mut Vec<u8>) {
-    let body = match postcard::to_stdvec(frame) {
+pub(crate) fn encode(message: &PeerMessage, buf: &mut Vec<u8>) {
+    let body = match postcard::to_stdvec(message) {
         Ok(body) => body,
         Err(error) => return log::error!("a message to another daemon is dropped: {error}"),
     };
     match u32::try_from(body.len()) {
-        Ok(size) if body.len() <= FRAME_MAX => {
+        Ok(size) if body.len() <= FRAME_MAX_BYTES => {
             buf.extend_from_slice(&size.to_le_bytes());
             buf.extend_from_slice(&body);
         }
@@ -49,57 +60,59 @@
 }
 
 /// Reads frames from a connection.
-pub(crate) struct Reader<R> {
-    from: R,
+pub(crate) struct FrameReader<R> {
+    source: R,
     buf: Vec<u8>,
-    start: usize,
+    consumed: usize,
 }
 
 /// What one read asks for at least.
-const READ: usize = 16 * 1024;
+const READ_MIN_BYTES: usize = 16 * 1024;
 
-impl<R> Reader<R>
+impl<R> FrameReader<R>
 where
     R: AsyncRead + Unpin,
 {
-    pub(crate) fn new(from: R) -> Self {
-        Self { from, buf: Vec::new(), start: 0 }
+    pub(crate) fn new(source: R) -> Self {
+        Self { source, buf: Vec::new(), consumed: 0 }
     }
 
     /// The next frame; cancelling the call loses nothing.
     pub(crate) async fn next(&mut self) -> io::Result<PeerMessage> {
         loop {
-            if let Some(frame) = self.take()? {
-                return Ok(frame);
+            if let Some(message) = self.take_frame()? {
+                return Ok(message);
             }
-            if self.start > 0 {
-                self.buf.drain(..self.start);
-                self.start = 0;
+            if self.consumed > 0 {
+                self.buf.drain(..self.consumed);
+                self.consumed = 0;
             }
-            self.buf.reserve(READ);
-            if self.from.read_buf(&mut self.buf).await? == 0 {
+            self.buf.reserve(READ_MIN_BYTES);
+            if self.source.read_buf(&mut self.buf).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
     }
 
-    fn take(&mut self) -> io::Result<Option<PeerMessage>> {
-        let waiting = &self.buf[self.start..];
-        let Some((head, rest)) = waiting.split_first_chunk::<HEAD>() else { return Ok(None) };
-        let size = u32::from_le_bytes(*head) as usize;
-        if size > FRAME_MAX {
+    fn take_frame(&mut self) -> io::Result<Option<PeerMessage>> {
+        let unread = &self.buf[self.consumed..];
+        let Some((header, rest)) = unread.split_first_chunk::<HEADER_BYTES>() else {
+            return Ok(None);
+        };
+        let size = u32::from_le_bytes(*header) as usize;
+        if size > FRAME_MAX_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "a frame is too large"));
         }
         let Some(bytes) = rest.get(..size) else { return Ok(None) };
-        let frame = postcard::from_bytes(bytes)
+        let message = postcard::from_bytes(bytes)
             .map_err(|e| io::Error::new(io::ErrorKind::InvalidData, e))?;
-        self.start += HEAD + size;
-        if self.start == self.buf.len() {
+        self.consumed += HEADER_BYTES + size;
+        if self.consumed == self.buf.len() {
             self.buf.clear();
-            self.start = 0;
+            self.consumed = 0;
             // A rare large message must not keep its memory for ever.
-            self.buf.shrink_to(READ);
+            self.buf.shrink_to(READ_MIN_BYTES);
         }
-        Ok(Some(frame))
+        Ok(Some(message))
     }
 }
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -1,9 +1,9 @@
 //! HTTP for callers, runners, operators and the balancer.
 
 use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse};
-use crate::cell::connections::{Admission, Connections, Held};
+use crate::cell::connections::{Admission, ConnectionLimiter, ConnectionPermit};
 use crate::cell::native;
-use crate::cell::node::{PassOn, Shared};
+use crate::cell::node::{LeaderRoute, SharedNode};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming as Body;
@@ -22,32 +22,32 @@
 
 /// Longest wait for the leader on behalf of a caller: callers wait for 3 s, and
 /// another entry may do better.
-const CALLER_BUDGET: Duration = Duration::from_millis(2_000);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A runner drops an answer that comes later than a second.
-const CONTROL_BUDGET: Duration = Duration::from_millis(900);
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(900);
 /// A change set of 1,400 queues takes its time on a slow link.
-const LARGE_BUDGET: Duration = Duration::from_millis(2_500);
+const LARGE_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Largest body of a caller, in bytes.
-const CALLER_BODY_MAX: usize = 256 * 1024;
+const CALLER_BODY_MAX_BYTES: usize = 256 * 1024;
 /// Largest body of a runner or operator, in bytes: 10,000 queues.
-const CONTROL_BODY_MAX: usize = 4 * 1024 * 1024;
+const CONTROL_BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
 /// Longest wait for a request's head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest wait for a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest head, in bytes.
-const HEAD_MAX: usize = 16 * 1024;
+const HEADER_MAX_BYTES: usize = 16 * 1024;
 /// When to come back to a process that holds all the connections it may, in milliseconds.
-const TOO_MANY_MS: u64 = 1_000;
+const REJECTED_RETRY_AFTER_MS: u64 = 1_000;
 /// Pause after a failed accept, as when no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Where operators ask a process of itself, whatever dialect its cell speaks.
-const STATUS: &str = "/v1/status";
+const STATUS_PATH: &str = "/v1/status";
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Port {
+pub(crate) enum Endpoint {
     Callers,
     Control,
     Ready,
@@ -55,10 +55,10 @@
 }
 
 /// What all connections share.
-pub(crate) struct Site {
-    pub(crate) node: Shared,
+pub(crate) struct HttpContext {
+    pub(crate) node: SharedNode,
     pub(crate) adapter: Rc<dyn ApiAdapter>,
-    pub(crate) connections: Rc<Connections>,
+    pub(crate) connections: Rc<ConnectionLimiter>,
     /// Requests being answered.
     pub(crate) in_flight: Cell<usize>,
     /// True once connections are to be closed after their answer.
@@ -66,8 +66,8 @@
 }
 
 /// Accepts connections until told to close.
-pub(crate) async fn serve(site: Rc<Site>, port: Port, listener: TcpListener) {
-    let mut closing = site.closing.clone();
+pub(crate) async fn serve(context: Rc<HttpContext>, endpoint: Endpoint, listener: TcpListener) {
+    let mut closing = context.closing.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -75,53 +75,71 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                if let Some(admitted) = admit(&site, port) {
-                    tokio::task::spawn_local(connection(site.clone(), port, stream, admitted));
+                if let Some(admitted) = admit(&context, endpoint) {
+                    tokio::task::spawn_local(serve_connection(
+                        context.clone(),
+                        endpoint,
+                        stream,
+                        admitted,
+                    ));
                 }
             }
             Err(error) => {
-                log::warn!("cannot accept a connection for {port:?}: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("cannot accept a connection for {endpoint:?}: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// A connection that was taken; it counts until this is dropped.
-struct Admitted {
+struct AdmittedConnection {
     /// Its first request is only told that there are too many.
-    refused: bool,
-    _held: Option<Held>,
+    rejected: bool,
+    _permit: Option<ConnectionPermit>,
 }
 
 /// The balancer and readers of metrics are few, and are to be answered most of all by a
 /// process that is full.
-fn admit(site: &Site, port: Port) -> Option<Admitted> {
-    match port {
-        Port::Ready | Port::Metrics => Some(Admitted { refused: false, _held: None }),
-        Port::Callers | Port::Control => match site.connections.admit() {
-            Admission::Served(held) => Some(Admitted { refused: false, _held: Some(held) }),
-            Admission::Refused(held) => Some(Admitted { refused: true, _held: Some(held) }),
+fn admit(context: &HttpContext, endpoint: Endpoint) -> Option<AdmittedConnection> {
+    match endpoint {
+        Endpoint::Ready | Endpoint::Metrics => {
+            Some(AdmittedConnection { rejected: false, _permit: None })
+        }
+        Endpoint::Callers | Endpoint::Control => match context.connections.admit() {
+            Admission::Served(permit) => {
+                Some(AdmittedConnection { rejected: false, _permit: Some(permit) })
+            }
+            Admission::Rejected(permit) => {
+                Some(AdmittedConnection { rejected: true, _permit: Some(permit) })
+            }
             Admission::Closed => None,
         },
     }
 }
 
-async fn connection(site: Rc<Site>, port: Port, stream: TcpStream, admitted: Admitted) {
+async fn serve_connection(
+    context: Rc<HttpContext>,
+    endpoint: Endpoint,
+    stream: TcpStream,
+    admitted: AdmittedConnection,
+) {
     let _ = stream.set_nodelay(true);
-    let mut closing = site.closing.clone();
-    let refused = admitted.refused;
+    let mut closing = context.closing.clone();
+    let rejected = admitted.rejected;
     let service = service_fn(move |req| {
-        let site = site.clone();
+        let context = context.clone();
         async move {
-            Ok::<_, Infallible>(match refused {
-                true => too_many(&site),
-                false => respond(site, port, req).await,
+            Ok::<_, Infallible>(match rejected {
+                true => reject(&context),
+                false => respond(context, endpoint, req).await,
             })
         }
     });
     let mut http = hyper::server::conn::http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(HEAD_MAX);
+    http.timer(TokioTimer::new())
+        .header_read_timeout(HEADER_TIMEOUT)
+        .max_buf_size(HEADER_MAX_BYTES);
     let connection = http.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let result = tokio::select! {
@@ -132,79 +150,89 @@
         }
     };
     if let Err(error) = result {
-        log::debug!("a connection for {port:?} has ended: {error}");
+        log::debug!("a connection for {endpoint:?} has ended: {error}");
     }
 }
 
-async fn respond(site: Rc<Site>, port: Port, req: Request<Body>) -> Response<Full<Bytes>> {
-    site.in_flight.set(site.in_flight.get() + 1);
-    let mut response = match port {
-        Port::Ready => plain(if site.node.is_ready() { 200 } else { 503 }),
-        Port::Metrics => metrics(&site),
-        Port::Control if req.method() == Method::GET && req.uri().path() == STATUS => {
-            render(native::json(200, &site.node.with(|node| node.status())))
+async fn respond(
+    context: Rc<HttpContext>,
+    endpoint: Endpoint,
+    req: Request<Body>,
+) -> Response<Full<Bytes>> {
+    context.in_flight.set(context.in_flight.get() + 1);
+    let mut response = match endpoint {
+        Endpoint::Ready => empty_response(if context.node.is_ready() { 200 } else { 503 }),
+        Endpoint::Metrics => render_metrics(&context),
+        Endpoint::Control if req.method() == Method::GET && req.uri().path() == STATUS_PATH => {
+            to_http(native::json(200, &context.node.with(|node| node.status())))
         }
-        Port::Callers | Port::Control => exchange(&site, port, req).await,
+        Endpoint::Callers | Endpoint::Control => handle_request(&context, endpoint, req).await,
     };
-    if site.node.is_draining() {
+    if context.node.is_draining() {
         // The next request of this connection is for a process that stays.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    site.in_flight.set(site.in_flight.get() - 1);
+    context.in_flight.set(context.in_flight.get() - 1);
     response
 }
 
-async fn exchange(site: &Site, port: Port, req: Request<Body>) -> Response<Full<Bytes>> {
-    let began = Instant::now();
+async fn handle_request(
+    context: &HttpContext,
+    endpoint: Endpoint,
+    req: Request<Body>,
+) -> Response<Full<Bytes>> {
+    let started = Instant::now();
     let (head, body) = req.into_parts();
-    let most = if port == Port::Callers { CALLER_BODY_MAX } else { CONTROL_BODY_MAX };
-    let body = match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, most).collect()).await {
-        Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(error)) => {
-            log::info!("method={} path={} unread: {error}", head.method, head.uri.path());
-            return plain(413);
-        }
-        Err(_) => return plain(408),
-    };
+    let max_bytes =
+        if endpoint == Endpoint::Callers { CALLER_BODY_MAX_BYTES } else { CONTROL_BODY_MAX_BYTES };
+    let body =
+        match tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
+            Ok(Ok(body)) => body.to_bytes(),
+            Ok(Err(error)) => {
+                log::info!("method={} path={} unread: {error}", head.method, head.uri.path());
+                return empty_response(413);
+            }
+            Err(_) => return empty_response(408),
+        };
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let path = head.uri.path();
-    let incoming = ApiRequest { method: head.method.as_str(), path, host, body: &body };
-    let asked = match port {
-        Port::Callers => site.adapter.caller(incoming),
-        _ => site.adapter.control(incoming),
+    let api_request = ApiRequest { method: head.method.as_str(), path, host, body: &body };
+    let parsed = match endpoint {
+        Endpoint::Callers => context.adapter.caller(api_request),
+        _ => context.adapter.control(api_request),
     };
-    let concerns_change = matches!(asked, Ok(CellRequest::Change(_) | CellRequest::Document));
-    let reply = match asked {
+    let concerns_change = matches!(parsed, Ok(CellRequest::Change(_) | CellRequest::Document));
+    let reply = match parsed {
         Err(reply) => {
             log::info!("method={} path={path} status={} by itself", head.method, reply.status);
             reply
         }
-        Ok(ask) => {
+        Ok(request) => {
             // Callers do not follow redirects.
-            let (pass_on, budget) = match (port, PassOn::of_size(body.len())) {
-                (Port::Callers, _) => (PassOn::Yes, CALLER_BUDGET),
-                (_, PassOn::Yes) => (PassOn::Yes, CONTROL_BUDGET),
-                (_, PassOn::No) => (PassOn::No, LARGE_BUDGET),
+            let (route, time_limit) = match (endpoint, LeaderRoute::for_body_size(body.len())) {
+                (Endpoint::Callers, _) => (LeaderRoute::Forward, CALLER_TIMEOUT),
+                (_, LeaderRoute::Forward) => (LeaderRoute::Forward, CONTROL_TIMEOUT),
+                (_, LeaderRoute::Redirect) => (LeaderRoute::Redirect, LARGE_REQUEST_TIMEOUT),
             };
-            match site.node.ask(ask, pass_on, budget).await {
-                CellResponse::AskLeader { control } => ApiResponse::elsewhere(control, path),
+            match context.node.request_leader(request, route, time_limit).await {
+                CellResponse::AskLeader { control } => ApiResponse::redirect(control, path),
                 CellResponse::Orders(mut orders) => {
-                    orders.report_to = site.node.takes_reports_at();
-                    site.adapter.reply(CellResponse::Orders(orders))
+                    orders.report_to = context.node.report_address();
+                    context.adapter.reply(CellResponse::Orders(orders))
                 }
-                answer => site.adapter.reply(answer),
+                response => context.adapter.reply(response),
             }
         }
     };
-    let took = began.elapsed();
-    site.node.with(|node| {
-        node.metrics.responded(reply.status);
-        match port {
-            Port::Callers => node.metrics.callers.add(took),
-            _ => node.metrics.control.add(took),
+    let took = started.elapsed();
+    context.node.with(|node| {
+        node.metrics.record_status(reply.status);
+        match endpoint {
+            Endpoint::Callers => node.metrics.callers.record(took),
+            _ => node.metrics.control.record(took),
         }
         if concerns_change {
-            node.metrics.changes.add(took);
+            node.metrics.changes.record(took);
         }
     });
     if reply.status >= 500 || reply.status == 429 || concerns_change {
@@ -217,33 +245,33 @@
             reply.location.as_deref().unwrap_or("here")
         );
     }
-    render(reply)
+    to_http(reply)
 }
 
 /// The answer on a connection beyond those that are served: nothing was done.
-fn too_many(site: &Site) -> Response<Full<Bytes>> {
-    let mut reply = native::problem(503, &site.connections.refusal());
-    reply.retry_after_ms = Some(TOO_MANY_MS);
-    let mut response = render(reply);
+fn reject(context: &HttpContext) -> Response<Full<Bytes>> {
+    let mut reply = native::problem(503, &context.connections.rejection_message());
+    reply.retry_after_ms = Some(REJECTED_RETRY_AFTER_MS);
+    let mut response = to_http(reply);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn metrics(site: &Site) -> Response<Full<Bytes>> {
-    let text = site.node.with(|node| {
+fn render_metrics(context: &HttpContext) -> Response<Full<Bytes>> {
+    let text = context.node.with(|node| {
         let now = node.now();
         let version = node.change_version();
         let leader = node.replica.as_mut().and_then(|replica| replica.leader(now.at));
-        node.metrics.text(leader.as_deref(), version, &site.connections)
+        node.metrics.render(leader.as_deref(), version, &context.connections)
     });
     Response::new(Full::new(Bytes::from(text)))
 }
 
-fn plain(status: u16) -> Response<Full<Bytes>> {
-    render(ApiResponse::empty(status))
+fn empty_response(status: u16) -> Response<Full<Bytes>> {
+    to_http(ApiResponse::empty(status))
 }
 
-fn render(reply: ApiResponse) -> Response<Full<Bytes>> {
+fn to_http(reply: ApiResponse) -> Response<Full<Bytes>> {
     let has_body = !reply.body.is_empty();
     let mut response = Response::new(Full::new(reply.body));
     *response.status_mut() =
--- a/crates/daemon/src/cell/seats.rs
+++ b/crates/daemon/src/cell/membership.rs
@@ -1,24 +1,24 @@
 //! Founds the cell where that is this process's part, and keeps the voters right
 //! while it leads.
 
-use crate::cell::node::{Node, Shared};
+use crate::cell::node::{Node, SharedNode};
 use std::time::Duration;
 use yuccalink_coordination::peer_table::member_of;
 use yuccalink_coordination::raft::{Members, ReplicaId};
 use yuccalink_coordination::voters::{self, MembershipView};
 
 /// How often the voters are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs until the process ends.
-pub(crate) async fn keep(node: Shared) {
-    let mut looks = tokio::time::interval(LOOK);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+pub(crate) async fn run(node: SharedNode) {
+    let mut interval = tokio::time::interval(CHECK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        interval.tick().await;
         node.with(|node| {
             bootstrap(node);
-            settle(node);
+            update_voters(node);
         });
         node.tick();
     }
@@ -38,7 +38,7 @@
     }
 }
 
-fn settle(node: &mut Node) {
+fn update_voters(node: &mut Node) {
     let now = node.now();
     let disks = node.peer_table.candidates(now.at);
     let wanted = voters::wanted(node.cfg.tolerated_disk_losses);
@@ -48,14 +48,14 @@
     }
     let members = replica.raft.members().clone();
     let ids: Vec<ReplicaId> = members.all().map(|member| member.id).collect();
-    let silent = ids.iter().filter_map(|id| Some((*id, replica.silent(now.at, *id)?))).collect();
+    let silent = ids.iter().filter_map(|id| Some((*id, replica.silence(now.at, *id)?))).collect();
     let caught_up = ids.into_iter().filter(|id| replica.raft.is_caught_up(*id)).collect();
     let own = replica.raft.id();
     let view = MembershipView { members, own, disks, silent, caught_up };
     if let Some((members, why)) = voters::next(&view, wanted) {
         match replica.raft.change_members(now.at, members) {
             Ok(()) => log::info!("members: {why}"),
-            Err(not) => log::info!("members: {why}: {not}"),
+            Err(error) => log::info!("members: {why}: {error}"),
         }
     }
 }
--- a/crates/daemon/src/cell/metrics.rs
+++ b/crates/daemon/src/cell/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and latency histograms of one process, as text.
 
-use crate::cell::connections::Connections;
+use crate::cell::connections::ConnectionLimiter;
 use std::fmt::Write;
 use std::time::Duration;
 use yuccalink_coordination::jobs::Leader;
@@ -17,7 +17,7 @@
 }
 
 impl Histogram {
-    pub(crate) fn add(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let ms = took.as_millis();
         if let Some(at) = BOUNDS_MS.iter().position(|bound| ms <= u128::from(*bound)) {
             self.buckets[at] += 1;
@@ -27,10 +27,10 @@
     }
 
     fn write(&self, name: &str, f: &mut String) {
-        let mut upto = 0;
+        let mut cumulative = 0;
         for (bound, count) in BOUNDS_MS.iter().zip(self.buckets) {
-            upto += count;
-            let _ = writeln!(f, "{name}_ms_bucket{{le=\"{bound}\"}} {upto}");
+            cumulative += count;
+            let _ = writeln!(f, "{name}_ms_bucket{{le=\"{bound}\"}} {cumulative}");
         }
         let _ = writeln!(f, "{name}_ms_bucket{{le=\"+Inf\"}} {}", self.count);
         let _ = writeln!(f, "{name}_ms_sum {}", self.sum.as_millis());
@@ -48,7 +48,7 @@
     /// Requests that read or change the change set.
     pub(crate) changes: Histogram,
     /// Connections to other processes that were lost, or could not be made.
-    pub(crate) links_lost: u64,
+    pub(crate) connections_lost: u64,
     /// Leaders that were no longer believed in.
     pub(crate) leaders_lost: u64,
     /// Responses by their hundreds: 2xx, 3xx, 4xx, 5xx.
@@ -56,7 +56,7 @@
 }
 
 impl Metrics {
-    pub(crate) fn responded(&mut self, status: u16) {
+    pub(crate) fn record_status(&mut self, status: u16) {
         let class = usize::from(status / 100).saturating_sub(2);
         if let Some(count) = self.statuses.get_mut(class) {
             *count += 1;
@@ -64,11 +64,11 @@
     }
 
     /// The text that is served.
-    pub(crate) fn text(
+    pub(crate) fn render(
         &self,
         leader: Option<&Leader>,
         change_version: Option<u64>,
-        connections: &Connections,
+        connections: &ConnectionLimiter,
     ) -> String {
         let mut f = String::new();
         for (class, count) in self.statuses.iter().enumerate() {
@@ -79,8 +79,8 @@
         self.control.write("yuccalink_control", &mut f);
         self.changes.write("yuccalink_changes", &mut f);
         let _ = writeln!(f, "yuccalink_connections {}", connections.open());
-        let _ = writeln!(f, "yuccalink_connections_turned_away {}", connections.turned_away());
-        let _ = writeln!(f, "yuccalink_links_lost {}", self.links_lost);
+        let _ = writeln!(f, "yuccalink_connections_turned_away {}", connections.rejected_total());
+        let _ = writeln!(f, "yuccalink_links_lost {}", self.connections_lost);
         let _ = writeln!(f, "yuccalink_leaders_lost {}", self.leaders_lost);
         if let Some(version) = change_version {
             let _ = writeln!(f, "yuccalink_change_version {version}");
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    fn reply(&self, answer: CellResponse) -> ApiResponse {
-        match answer {
+    fn reply(&self, response: CellResponse) -> ApiResponse {
+        match response {
             CellResponse::Orders(orders) => json(200, &*orders),
             CellResponse::Invalid(what) => problem(400, &what),
             other => common_response(other),
@@ -130,12 +130,12 @@
 }
 
 /// The responses that any JSON interface gives in the same way.
-pub fn common_response(answer: CellResponse) -> ApiResponse {
+pub fn common_response(response: CellResponse) -> ApiResponse {
     let later = |status, after_ms| ApiResponse {
         retry_after_ms: Some(after_ms),
         ..ApiResponse::empty(status)
     };
-    match answer {
+    match response {
         CellResponse::Accepted | CellResponse::Ok => ApiResponse::empty(200),
         CellResponse::State(state) => json(200, &StateView { state, reason: None }),
         CellResponse::Failed(reason) => {
--- a/crates/daemon/src/cell/node.rs
+++ b/crates/daemon/src/cell/node.rs
@@ -27,33 +27,33 @@
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
 
 /// Pause before a process asks again who leads.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Longest wait for one answer of the leader before another way is tried. A commit
 /// takes 15 ms, or 400 ms with a disk that is 25 times as slow as usual.
-const TRY: Duration = Duration::from_millis(900);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Without a leader for this long, requests are refused at once: an election takes
 /// one second, and what takes longer is not over soon.
-const HOPELESS_AFTER: Duration = Duration::from_millis(1_500);
+const LEADERLESS_REFUSE_AFTER: Duration = Duration::from_millis(1_500);
 /// When to come back then, in milliseconds.
-const COME_BACK_MS: u64 = 2_000;
+const LEADERLESS_RETRY_AFTER_MS: u64 = 2_000;
 
 /// Largest request or answer of an operator that is passed on between an entry and the
 /// leader, in bytes: 0.13 s of a link of 2 Mbit/s, on which everything else waits meanwhile.
-const PASSED_ON_MAX: usize = 32 * 1024;
+const FORWARD_MAX_BYTES: usize = 32 * 1024;
 
 /// Whether a request may be passed on to the leader, or its sender is to go there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PassOn {
-    Yes,
-    No,
+pub(crate) enum LeaderRoute {
+    Forward,
+    Redirect,
 }
 
-impl PassOn {
+impl LeaderRoute {
     /// For a request with a body of `size` bytes.
-    pub(crate) fn of_size(size: usize) -> Self {
-        match size <= PASSED_ON_MAX {
-            true => Self::Yes,
-            false => Self::No,
+    pub(crate) fn for_body_size(size: usize) -> Self {
+        match size <= FORWARD_MAX_BYTES {
+            true => Self::Forward,
+            false => Self::Redirect,
         }
     }
 }
@@ -80,27 +80,27 @@
     clock: BootClock,
     pub(crate) peer_table: PeerTable,
     pub(crate) replica: Option<Replica>,
-    links: HashMap<SocketAddr, PeerConnection>,
-    waiting: HashMap<RequestToken, oneshot::Sender<CellResponse>>,
+    connections: HashMap<SocketAddr, PeerConnection>,
+    pending_responses: HashMap<RequestToken, oneshot::Sender<CellResponse>>,
     next_token: u64,
     /// When a leader was last known.
-    led_at: Moment,
+    leader_known_at: Moment,
     pub(crate) metrics: Metrics,
     adapter: Rc<dyn ApiAdapter>,
 }
 
 /// Handle of the state; one thread uses it, and never across an await.
 #[derive(Clone)]
-pub(crate) struct Shared(Rc<Inner>);
+pub(crate) struct SharedNode(Rc<SharedInner>);
 
-struct Inner {
+struct SharedInner {
     node: RefCell<Node>,
     disk_wake: Arc<Notify>,
     draining: Cell<bool>,
     failed: watch::Sender<Option<Arc<yuccalink_state::Error>>>,
 }
 
-impl Shared {
+impl SharedNode {
     pub(crate) fn new(
         cfg: CellConfig,
         clock: BootClock,
@@ -114,14 +114,14 @@
             clock,
             peer_table,
             replica,
-            links: HashMap::new(),
-            waiting: HashMap::new(),
+            connections: HashMap::new(),
+            pending_responses: HashMap::new(),
             next_token: 0,
-            led_at: clock.now(),
+            leader_known_at: clock.now(),
             metrics: Metrics::default(),
             adapter,
         };
-        Self(Rc::new(Inner {
+        Self(Rc::new(SharedInner {
             node: RefCell::new(node),
             disk_wake: Arc::default(),
             draining: Cell::new(false),
@@ -162,7 +162,7 @@
     }
 
     /// Works on the replica, then carries out what follows from it.
-    fn drive<F>(&self, f: F)
+    fn update_replica<F>(&self, f: F)
     where
         F: FnOnce(&mut Replica, Now),
     {
@@ -176,16 +176,16 @@
     }
 
     pub(crate) fn tick(&self) {
-        self.drive(Replica::tick);
+        self.update_replica(Replica::tick);
         self.with(|node| node.tick(self));
     }
 
-    pub(crate) fn disk_did(&self, done: &DiskEvent) {
-        self.drive(|replica, now| replica.did(now, done));
+    pub(crate) fn handle_disk_event(&self, event: &DiskEvent) {
+        self.update_replica(|replica, now| replica.handle_disk_event(now, event));
     }
 
-    pub(crate) fn step(&self, envelopes: Vec<Envelope>) {
-        self.drive(|replica, now| {
+    pub(crate) fn handle_raft_messages(&self, envelopes: Vec<Envelope>) {
+        self.update_replica(|replica, now| {
             for envelope in envelopes {
                 replica.step(now, envelope);
             }
@@ -193,61 +193,64 @@
     }
 
     /// A service outside has answered a call of the leader's.
-    pub(crate) fn handle_external_reply(&self, id: ExternalCallId, told: ExternalReply) {
-        self.drive(|replica, now| {
+    pub(crate) fn handle_external_reply(&self, id: ExternalCallId, reply: ExternalReply) {
+        self.update_replica(|replica, now| {
             if let Some(leader) = replica.leader(now.at) {
-                leader.handle_external_reply(now, id, told);
+                leader.handle_external_reply(now, id, reply);
             }
             replica.propose(now);
         });
     }
 
     /// A process that this one has greeted answers.
-    pub(crate) fn welcomed(
+    pub(crate) fn handle_welcome(
         &self,
         from: SocketAddr,
-        me: NodeInfo,
-        lead: Option<LeaderInfo>,
+        sender: NodeInfo,
+        leader: Option<LeaderInfo>,
         disks: &[NodeInfo],
-        founder: Option<ReplicaId>,
+        bootstrapper: Option<ReplicaId>,
     ) {
         self.with(|node| {
             let now = node.clock.now();
-            node.peer_table.record_peer(me, now);
+            node.peer_table.record_peer(sender, now);
             for disk in disks {
                 node.peer_table.record_reported_peer(disk, now);
             }
-            node.peer_table.record_bootstrapper(founder, from);
-            if let Some(lead) = lead {
-                node.peer_table.record_leader(lead, from, now);
+            node.peer_table.record_bootstrapper(bootstrapper, from);
+            if let Some(leader) = leader {
+                node.peer_table.record_leader(leader, from, now);
             }
         });
     }
 
     /// Another process greets this one.
-    pub(crate) fn greeted(&self, info: NodeInfo) -> PeerMessage {
+    pub(crate) fn handle_hello(&self, info: NodeInfo) -> PeerMessage {
         self.with(|node| {
             let now = node.clock.now();
             node.peer_table.record_peer(info, now);
             PeerMessage::Welcome {
-                me: node.info(),
-                lead: node.known_lead(),
+                sender: node.info(),
+                leader: node.known_leader(),
                 disks: node.peer_table.disks(now),
-                founder: node.peer_table.designated(),
+                bootstrapper: node.peer_table.designated(),
             }
         })
     }
 
     /// Asks the leader's part of this process; `None` where it does not lead.
-    pub(crate) fn ask_here(&self, ask: CellRequest) -> Option<oneshot::Receiver<CellResponse>> {
+    pub(crate) fn request_local_leader(
+        &self,
+        request: CellRequest,
+    ) -> Option<oneshot::Receiver<CellResponse>> {
         self.with(|node| {
             let now = node.now();
             let token = RequestToken(node.next_token);
             let leader = node.replica.as_mut()?.leader(now.at)?;
-            leader.handle_request(now, token, ask);
+            leader.handle_request(now, token, request);
             node.next_token += 1;
             let (tx, rx) = oneshot::channel();
-            node.waiting.insert(token, tx);
+            node.pending_responses.insert(token, tx);
             if let Some(replica) = &mut node.replica {
                 replica.propose(now);
             }
@@ -257,69 +260,69 @@
     }
 
     /// Asks whichever process leads, for at most `budget`.
-    pub(crate) async fn ask(
+    pub(crate) async fn request_leader(
         &self,
-        ask: CellRequest,
-        pass_on: PassOn,
-        budget: Duration,
+        request: CellRequest,
+        route: LeaderRoute,
+        time_limit: Duration,
     ) -> CellResponse {
-        let until = Instant::now() + budget;
+        let deadline = Instant::now() + time_limit;
         let mut sent = false;
-        while Instant::now() < until {
-            let way = match self.ask_here(ask.clone()) {
+        while Instant::now() < deadline {
+            let attempt = match self.request_local_leader(request.clone()) {
                 Some(rx) => Some((None, rx)),
-                None if pass_on == PassOn::No
+                None if route == LeaderRoute::Redirect
                     && let Some(control) = self.leader_control() =>
                 {
                     return CellResponse::AskLeader { control };
                 }
-                None => self.ask_leader(&ask),
+                None => self.send_to_leader(&request),
             };
-            let Some((peer, rx)) = way else {
-                if !sent && self.is_hopeless() {
+            let Some((peer, rx)) = attempt else {
+                if !sent && self.is_leaderless_too_long() {
                     break;
                 }
-                tokio::time::sleep(LOOK_AGAIN).await;
+                tokio::time::sleep(LEADER_POLL_INTERVAL).await;
                 continue;
             };
             sent = true;
-            let limit = until.min(Instant::now() + TRY);
-            match timeout_at(limit, rx).await {
+            let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+            match timeout_at(attempt_deadline, rx).await {
                 Ok(Ok(CellResponse::NotLeader { .. })) => {
                     self.clear_leader(peer, "it does not lead");
-                    tokio::time::sleep(LOOK_AGAIN).await;
+                    tokio::time::sleep(LEADER_POLL_INTERVAL).await;
                 }
-                Ok(Ok(answer)) => return answer,
-                Ok(Err(_)) => tokio::time::sleep(LOOK_AGAIN).await,
+                Ok(Ok(response)) => return response,
+                Ok(Err(_)) => tokio::time::sleep(LEADER_POLL_INTERVAL).await,
                 Err(_) => self.clear_leader(peer, "no answer in time"),
             }
         }
         match sent {
             true => CellResponse::Unknown,
-            false => CellResponse::NotServing { after_ms: COME_BACK_MS },
+            false => CellResponse::NotServing { after_ms: LEADERLESS_RETRY_AFTER_MS },
         }
     }
 
-    fn ask_leader(
+    fn send_to_leader(
         &self,
-        ask: &CellRequest,
+        request: &CellRequest,
     ) -> Option<(Option<SocketAddr>, oneshot::Receiver<CellResponse>)> {
         self.with(|node| {
-            let lead = node.peer_table.lead()?;
-            let link = node.links.get_mut(&lead.peer)?;
-            Some((Some(lead.peer), link.ask(ask.clone())))
+            let leader = node.peer_table.lead()?;
+            let connection = node.connections.get_mut(&leader.peer)?;
+            Some((Some(leader.peer), connection.request(request.clone())))
         })
     }
 
     /// An answer as another process is told it: one that is too large for the link between
     /// them is left for its caller to fetch here.
-    pub(crate) fn to_pass_on(&self, answer: CellResponse) -> CellResponse {
+    pub(crate) fn redirect_if_too_large(&self, response: CellResponse) -> CellResponse {
         let control = self.with(|node| node.cfg.control);
-        match (&answer, control) {
-            (CellResponse::Document(text), Some(control)) if text.len() > PASSED_ON_MAX => {
+        match (&response, control) {
+            (CellResponse::Document(text), Some(control)) if text.len() > FORWARD_MAX_BYTES => {
                 CellResponse::AskLeader { control }
             }
-            _ => answer,
+            _ => response,
         }
     }
 
@@ -329,8 +332,8 @@
         }
     }
 
-    fn is_hopeless(&self) -> bool {
-        self.with(|node| node.clock.now().since(node.led_at) > HOPELESS_AFTER)
+    fn is_leaderless_too_long(&self) -> bool {
+        self.with(|node| node.clock.now().since(node.leader_known_at) > LEADERLESS_REFUSE_AFTER)
     }
 
     /// Whether this process can serve callers now.
@@ -341,7 +344,7 @@
     /// Where a runner that has reported here sends its later reports. Every process keeps the
     /// connections of its own runners and passes their reports on over one: a leader that all
     /// of them connect to runs out of descriptors and processor time at some thousands.
-    pub(crate) fn takes_reports_at(&self) -> Option<SocketAddr> {
+    pub(crate) fn report_address(&self) -> Option<SocketAddr> {
         match self.is_draining() {
             true => None,
             // An address that stands for any of this VM's names none that others reach.
@@ -353,7 +356,7 @@
 
     /// Where runners and operators reach the process that leads.
     pub(crate) fn leader_control(&self) -> Option<SocketAddr> {
-        self.with(|node| node.known_lead().and_then(|lead| lead.control))
+        self.with(|node| node.known_leader().and_then(|leader| leader.control))
     }
 }
 
@@ -369,14 +372,14 @@
 
     /// What this process tells operators of itself.
     pub(crate) fn status(&mut self) -> CellStatus {
-        let lead = self.known_lead();
+        let leader = self.known_leader();
         let policy = self.cfg.leader.policy;
         CellStatus {
             cell: self.cfg.name.clone(),
             zone: self.cfg.zone.clone(),
-            leads: lead.is_some_and(|lead| lead.peer == self.peer_table.me.peer),
-            term: lead.map_or(0, |lead| lead.term),
-            leader: lead.map(|lead| lead.peer),
+            leads: leader.is_some_and(|leader| leader.peer == self.peer_table.me.peer),
+            term: leader.map_or(0, |leader| leader.term),
+            leader: leader.map(|leader| leader.peer),
             policy,
             changed: policy::changed(&policy),
         }
@@ -387,18 +390,18 @@
         if let Some(leader) = self.replica.as_mut().and_then(|replica| replica.leader(now)) {
             return leader.state().change_set().is_some();
         }
-        self.peer_table.lead().is_some_and(|lead| lead.serving)
+        self.peer_table.lead().is_some_and(|leader| leader.serving)
     }
 
     /// Who leads: by the own replica, else by what others say.
-    pub(crate) fn known_lead(&mut self) -> Option<LeaderInfo> {
+    pub(crate) fn known_leader(&mut self) -> Option<LeaderInfo> {
         let now = self.clock.now();
-        let me = (self.peer_table.me.peer, self.peer_table.me.control);
+        let own = (self.peer_table.me.peer, self.peer_table.me.control);
         if let Some(replica) = &mut self.replica {
             let term = replica.raft.term();
             if let Some(leader) = replica.leader(now) {
                 let serving = leader.state().change_set().is_some();
-                return Some(LeaderInfo { term, peer: me.0, control: me.1, serving });
+                return Some(LeaderInfo { term, peer: own.0, control: own.1, serving });
             }
         }
         self.peer_table.lead()
@@ -406,7 +409,7 @@
 
     /// The process believed to lead does not, or does not answer.
     pub(crate) fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
-        if self.peer_table.lead().is_some_and(|lead| lead.peer == peer) {
+        if self.peer_table.lead().is_some_and(|leader| leader.peer == peer) {
             self.metrics.leaders_lost += 1;
         }
         self.peer_table.clear_leader(peer, why);
@@ -419,24 +422,24 @@
     }
 
     /// A follower of the consensus learns first who leads.
-    fn learn_lead(&mut self) {
+    fn learn_leader(&mut self) {
         let now = self.clock.now();
         let Some(replica) = &self.replica else { return };
         let Some(id) = replica.raft.leader().filter(|id| *id != replica.raft.id()) else { return };
         let term = replica.raft.term();
         let Some(peer) = self.address_of(id) else { return };
-        if self.peer_table.lead().is_none_or(|lead| lead.term < term) {
+        if self.peer_table.lead().is_none_or(|leader| leader.term < term) {
             let control = self.peer_table.control_of(peer);
-            let lead = LeaderInfo { term, peer, control, serving: false };
-            self.peer_table.record_leader(lead, self.peer_table.me.peer, now);
+            let leader = LeaderInfo { term, peer, control, serving: false };
+            self.peer_table.record_leader(leader, self.peer_table.me.peer, now);
         }
     }
 
     fn address_of(&self, id: ReplicaId) -> Option<SocketAddr> {
-        let by_itself = self.peer_table.address_of(id);
+        let reported = self.peer_table.address_of(id);
         let members = self.replica.as_ref().map(|replica| replica.raft.members());
         let listed = || members?.get(id)?.address.parse().ok();
-        by_itself.or_else(listed)
+        reported.or_else(listed)
     }
 
     fn member_addresses(&self) -> Vec<SocketAddr> {
@@ -445,35 +448,35 @@
         all.filter_map(|member| member.address.parse().ok()).collect()
     }
 
-    fn tick(&mut self, shared: &Shared) {
+    fn tick(&mut self, shared: &SharedNode) {
         let now = self.clock.now();
-        let led = self.peer_table.lead().is_some();
+        let had_leader = self.peer_table.lead().is_some();
         self.peer_table.tick(now);
-        if led && self.peer_table.lead().is_none() {
+        if had_leader && self.peer_table.lead().is_none() {
             self.metrics.leaders_lost += 1;
         }
-        self.learn_lead();
-        if self.known_lead().is_some() {
-            self.led_at = now;
+        self.learn_leader();
+        if self.known_leader().is_some() {
+            self.leader_known_at = now;
         }
         let wanted = self.peer_table.wanted_links(&self.member_addresses());
-        self.links.retain(|to, _| wanted.contains(to));
+        self.connections.retain(|to, _| wanted.contains(to));
         for to in wanted {
-            self.links.entry(to).or_insert_with(|| PeerConnection::open(shared.clone(), to));
+            self.connections.entry(to).or_insert_with(|| PeerConnection::open(shared.clone(), to));
         }
     }
 
     /// Sends what the replica wants sent, and answers whom the leader has answered.
-    fn flush(&mut self, shared: &Shared) {
+    fn flush(&mut self, shared: &SharedNode) {
         let now = self.clock.now();
         let Some(replica) = &mut self.replica else { return };
-        if replica.has_work() {
+        if replica.has_disk_task() {
             shared.0.disk_wake.notify_one();
         }
         let outbox = std::mem::take(&mut replica.outbox);
         // Without the lease another process may lead by now: what this one has
         // decided is not told as true any more.
-        let (answers, calls) = match replica.leader(now) {
+        let (responses, calls) = match replica.leader(now) {
             Some(leader) => (leader.take_answers(), leader.take_calls()),
             None => (Vec::new(), Vec::new()),
         };
@@ -481,18 +484,18 @@
             let adapter = self.adapter.clone();
             tokio::task::spawn_local(external::perform(shared.clone(), adapter, id, call));
         }
-        if replica.leader.is_none() && !self.waiting.is_empty() {
-            self.waiting.clear();
+        if replica.leader.is_none() && !self.pending_responses.is_empty() {
+            self.pending_responses.clear();
         }
-        for (token, answer) in answers {
-            if let Some(tx) = self.waiting.remove(&token) {
-                let _ = tx.send(answer);
+        for (token, response) in responses {
+            if let Some(tx) = self.pending_responses.remove(&token) {
+                let _ = tx.send(response);
             }
         }
-        self.send_all(outbox);
+        self.send_raft_messages(outbox);
     }
 
-    fn send_all(&mut self, outbox: Vec<Envelope>) {
+    fn send_raft_messages(&mut self, outbox: Vec<Envelope>) {
         let mut by_peer: BTreeMap<SocketAddr, Vec<Envelope>> = BTreeMap::new();
         for envelope in outbox {
             if let Some(peer) = self.address_of(envelope.to) {
@@ -500,8 +503,8 @@
             }
         }
         for (peer, envelopes) in by_peer {
-            if let Some(link) = self.links.get(&peer) {
-                link.send(PeerMessage::Raft(envelopes));
+            if let Some(connection) = self.connections.get(&peer) {
+                connection.send(PeerMessage::Raft(envelopes));
             }
         }
     }
--- a/crates/daemon/src/cell/peer_connection.rs
+++ b/crates/daemon/src/cell/peer_connection.rs
@@ -2,8 +2,8 @@
 //! is lost. A connection may go silent without a reset; greetings that stay
 //! unanswered show it.
 
-use crate::cell::frame::{self, PeerMessage, Reader};
-use crate::cell::node::Shared;
+use crate::cell::frame::{self, FrameReader, PeerMessage};
+use crate::cell::node::SharedNode;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
@@ -18,81 +18,86 @@
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// Between greetings: short enough to notice a lost leader within two seconds.
-const GREET: Duration = Duration::from_millis(400);
+const HELLO_INTERVAL: Duration = Duration::from_millis(400);
 /// Silence after which a connection is given up, two greetings and a margin.
-const SILENT: Duration = Duration::from_millis(1_000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Longest wait for a connection; an address in the same region answers in 10 ms.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest wait for a full socket to take more.
-const STUCK: Duration = Duration::from_millis(1_000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Between tries.
-const PAUSE: Duration = Duration::from_millis(150);
+const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 /// Frames that may wait; more are dropped, as on a lost connection.
-const WAITING_MAX: usize = 1_024;
+const QUEUE_MAX_MESSAGES: usize = 1_024;
 /// Bytes gathered for one write.
-const BATCH_BYTES: usize = 256 * 1024;
+const WRITE_BATCH_BYTES: usize = 256 * 1024;
 
-type Answers = Rc<RefCell<HashMap<u64, oneshot::Sender<CellResponse>>>>;
+type PendingResponses = Rc<RefCell<HashMap<u64, oneshot::Sender<CellResponse>>>>;
 
 /// Handle of a connection; dropping it closes the connection.
 pub(crate) struct PeerConnection {
-    frames: mpsc::Sender<PeerMessage>,
-    answers: Answers,
-    next: u64,
+    outgoing: mpsc::Sender<PeerMessage>,
+    pending_responses: PendingResponses,
+    next_id: u64,
 }
 
 impl PeerConnection {
     /// Keeps a connection to `to` until dropped.
-    pub(crate) fn open(node: Shared, to: SocketAddr) -> Self {
-        let (frames, rx) = mpsc::channel(WAITING_MAX);
-        let answers = Answers::default();
-        tokio::task::spawn_local(keep(node, to, rx, answers.clone()));
-        Self { frames, answers, next: 0 }
+    pub(crate) fn open(node: SharedNode, to: SocketAddr) -> Self {
+        let (outgoing, rx) = mpsc::channel(QUEUE_MAX_MESSAGES);
+        let pending_responses = PendingResponses::default();
+        tokio::task::spawn_local(maintain(node, to, rx, pending_responses.clone()));
+        Self { outgoing, pending_responses, next_id: 0 }
     }
 
     /// Sends a frame, or drops it where too many wait: all frames but asks are
     /// sent again by whoever needs them.
-    pub(crate) fn send(&self, frame: PeerMessage) {
-        let _ = self.frames.try_send(frame);
+    pub(crate) fn send(&self, message: PeerMessage) {
+        let _ = self.outgoing.try_send(message);
     }
 
     /// Asks the other process; the receiver fails once the connection is lost.
-    pub(crate) fn ask(&mut self, ask: CellRequest) -> oneshot::Receiver<CellResponse> {
+    pub(crate) fn request(&mut self, request: CellRequest) -> oneshot::Receiver<CellResponse> {
         let (tx, rx) = oneshot::channel();
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         // Where the channel is full `tx` goes with the frame, and `rx` fails.
-        if self.frames.try_send(PeerMessage::Ask { id, ask }).is_ok() {
-            self.answers.borrow_mut().insert(id, tx);
+        if self.outgoing.try_send(PeerMessage::Ask { id, request }).is_ok() {
+            self.pending_responses.borrow_mut().insert(id, tx);
         }
         rx
     }
 }
 
-async fn keep(node: Shared, to: SocketAddr, mut rx: mpsc::Receiver<PeerMessage>, answers: Answers) {
-    let mut up = false;
+async fn maintain(
+    node: SharedNode,
+    to: SocketAddr,
+    mut rx: mpsc::Receiver<PeerMessage>,
+    pending_responses: PendingResponses,
+) {
+    let mut connected = false;
     loop {
-        let result = match timeout(CONNECT, TcpStream::connect(to)).await {
+        let result = match timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
             Ok(Ok(stream)) => {
-                if !up {
+                if !connected {
                     log::info!("peer={to} connected");
                 }
-                up = true;
-                run(&node, to, stream, &mut rx, &answers).await
+                connected = true;
+                serve(&node, to, stream, &mut rx, &pending_responses).await
             }
             Ok(Err(error)) => Err(error),
             Err(_) => Err(timed_out("it does not accept a connection")),
         };
-        answers.borrow_mut().clear();
+        pending_responses.borrow_mut().clear();
         match result {
             Ok(()) => return,
             Err(error) => {
-                if up {
+                if connected {
                     log::warn!("peer={to} lost why={error}");
                 }
-                up = false;
+                connected = false;
                 node.with(|node| {
-                    node.metrics.links_lost += 1;
+                    node.metrics.connections_lost += 1;
                     node.clear_leader(to, "connection");
                 });
             }
@@ -105,47 +110,47 @@
                 Err(mpsc::error::TryRecvError::Disconnected) => return,
             }
         }
-        answers.borrow_mut().clear();
-        tokio::time::sleep(PAUSE).await;
+        pending_responses.borrow_mut().clear();
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 /// Serves one connection; `Ok` when the link is no longer wanted.
-async fn run(
-    node: &Shared,
+async fn serve(
+    node: &SharedNode,
     to: SocketAddr,
     stream: TcpStream,
     rx: &mut mpsc::Receiver<PeerMessage>,
-    answers: &Answers,
+    pending_responses: &PendingResponses,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let (from, into) = stream.into_split();
-    let heard = Rc::new(std::cell::Cell::new(Instant::now()));
+    let last_received = Rc::new(std::cell::Cell::new(Instant::now()));
     tokio::select! {
-        result = read(node, to, from, answers, &heard) => result,
-        result = write(node, into, rx, &heard) => result,
+        result = read(node, to, from, pending_responses, &last_received) => result,
+        result = write(node, into, rx, &last_received) => result,
     }
 }
 
 async fn read(
-    node: &Shared,
+    node: &SharedNode,
     to: SocketAddr,
     from: OwnedReadHalf,
-    answers: &Answers,
-    heard: &std::cell::Cell<Instant>,
+    pending_responses: &PendingResponses,
+    last_received: &std::cell::Cell<Instant>,
 ) -> io::Result<()> {
-    let mut reader = Reader::new(from);
+    let mut reader = FrameReader::new(from);
     loop {
-        let frame = reader.next().await?;
-        heard.set(Instant::now());
-        match frame {
-            PeerMessage::Answer { id, answer } => {
-                if let Some(tx) = answers.borrow_mut().remove(&id) {
-                    let _ = tx.send(answer);
+        let message = reader.next().await?;
+        last_received.set(Instant::now());
+        match message {
+            PeerMessage::Answer { id, response } => {
+                if let Some(tx) = pending_responses.borrow_mut().remove(&id) {
+                    let _ = tx.send(response);
                 }
             }
-            PeerMessage::Welcome { me, lead, disks, founder } => {
-                node.welcomed(to, me, lead, &disks, founder);
+            PeerMessage::Welcome { sender, leader, disks, bootstrapper } => {
+                node.handle_welcome(to, sender, leader, &disks, bootstrapper);
             }
             PeerMessage::Hello(_) | PeerMessage::Raft(_) | PeerMessage::Ask { .. } => {}
         }
@@ -153,38 +158,38 @@
 }
 
 async fn write(
-    node: &Shared,
+    node: &SharedNode,
     mut into: OwnedWriteHalf,
     rx: &mut mpsc::Receiver<PeerMessage>,
-    heard: &std::cell::Cell<Instant>,
+    last_received: &std::cell::Cell<Instant>,
 ) -> io::Result<()> {
-    let mut greet = tokio::time::interval(GREET);
-    greet.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut hello_interval = tokio::time::interval(HELLO_INTERVAL);
+    hello_interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut buf = Vec::new();
     loop {
         tokio::select! {
-            frame = rx.recv() => match frame {
-                Some(frame) => frame::encode(&frame, &mut buf),
+            message = rx.recv() => match message {
+                Some(message) => frame::encode(&message, &mut buf),
                 None => return Ok(()),
             },
-            _ = greet.tick() => {
-                if heard.get().elapsed() > SILENT {
+            _ = hello_interval.tick() => {
+                if last_received.get().elapsed() > SILENCE_TIMEOUT {
                     return Err(timed_out("it is silent"));
                 }
                 frame::encode(&PeerMessage::Hello(node.info()), &mut buf);
             }
         }
-        while buf.len() < BATCH_BYTES
-            && let Ok(frame) = rx.try_recv()
+        while buf.len() < WRITE_BATCH_BYTES
+            && let Ok(message) = rx.try_recv()
         {
-            frame::encode(&frame, &mut buf);
+            frame::encode(&message, &mut buf);
         }
-        match timeout(STUCK, into.write_all(&buf)).await {
+        match timeout(WRITE_TIMEOUT, into.write_all(&buf)).await {
             Ok(result) => result?,
             Err(_) => return Err(timed_out("it does not read")),
         }
         buf.clear();
-        buf.shrink_to(BATCH_BYTES);
+        buf.shrink_to(WRITE_BATCH_BYTES);
     }
 }
 
--- a/crates/daemon/src/cell/peers.rs
+++ b/crates/daemon/src/cell/peers.rs
@@ -1,7 +1,7 @@
 //! Serves other processes of the cell.
 
-use crate::cell::frame::{self, PeerMessage, Reader};
-use crate::cell::node::Shared;
+use crate::cell::frame::{self, FrameReader, PeerMessage};
+use crate::cell::node::SharedNode;
 use std::io;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -12,37 +12,37 @@
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
 /// Silence after which a connection is closed; its other end greets every 400 ms.
-const SILENT: Duration = Duration::from_secs(5);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for a full socket to take more.
-const STUCK: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Frames that may wait for one connection.
-const WAITING_MAX: usize = 1_024;
+const QUEUE_MAX_MESSAGES: usize = 1_024;
 /// Pause after a failed accept, as when no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts connections until the process ends.
-pub(crate) async fn serve(node: Shared, listener: TcpListener) {
+pub(crate) async fn serve(node: SharedNode, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(node.clone(), stream));
+                tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(error) => {
                 log::warn!("cannot accept a daemon's connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(node: Shared, stream: TcpStream) {
+async fn serve_connection(node: SharedNode, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         return log::warn!("a daemon's connection is of no use: {error}");
     }
     let (from, into) = stream.into_split();
-    let (tx, rx) = mpsc::channel(WAITING_MAX);
+    let (tx, rx) = mpsc::channel(QUEUE_MAX_MESSAGES);
     let result = tokio::select! {
-        result = read(&node, Reader::new(from), tx) => result,
+        result = read(&node, FrameReader::new(from), tx) => result,
         result = write(into, rx) => result,
     };
     if let Err(error) = result {
@@ -51,48 +51,55 @@
 }
 
 async fn read<R>(
-    node: &Shared,
-    mut reader: Reader<R>,
+    node: &SharedNode,
+    mut reader: FrameReader<R>,
     tx: mpsc::Sender<PeerMessage>,
 ) -> io::Result<()>
 where
     R: tokio::io::AsyncRead + Unpin,
 {
     loop {
-        let frame = match timeout(SILENT, reader.next()).await {
-            Ok(frame) => frame?,
+        let message = match timeout(SILENCE_TIMEOUT, reader.next()).await {
+            Ok(message) => message?,
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         };
-        match frame {
+        match message {
             PeerMessage::Hello(info) => {
-                let _ = tx.try_send(node.greeted(info));
+                let _ = tx.try_send(node.handle_hello(info));
             }
-            PeerMessage::Raft(envelopes) => node.step(envelopes),
-            PeerMessage::Ask { id, ask } => {
-                tokio::task::spawn_local(answer(node.clone(), id, ask, tx.clone()));
+            PeerMessage::Raft(envelopes) => node.handle_raft_messages(envelopes),
+            PeerMessage::Ask { id, request } => {
+                tokio::task::spawn_local(handle_request(node.clone(), id, request, tx.clone()));
             }
             PeerMessage::Welcome { .. } | PeerMessage::Answer { .. } => {}
         }
     }
 }
 
-async fn answer(node: Shared, id: u64, ask: CellRequest, tx: mpsc::Sender<PeerMessage>) {
-    let answer = match node.ask_here(ask) {
+async fn handle_request(
+    node: SharedNode,
+    id: u64,
+    request: CellRequest,
+    tx: mpsc::Sender<PeerMessage>,
+) {
+    let response = match node.request_local_leader(request) {
         // The leader's part ends without an answer when it leads no more.
-        Some(rx) => node.to_pass_on(rx.await.unwrap_or(CellResponse::NotLeader { leader: None })),
+        Some(rx) => {
+            node.redirect_if_too_large(rx.await.unwrap_or(CellResponse::NotLeader { leader: None }))
+        }
         None => CellResponse::NotLeader { leader: None },
     };
-    let _ = tx.send(PeerMessage::Answer { id, answer }).await;
+    let _ = tx.send(PeerMessage::Answer { id, response }).await;
 }
 
 async fn write(mut into: OwnedWriteHalf, mut rx: mpsc::Receiver<PeerMessage>) -> io::Result<()> {
     let mut buf = Vec::new();
-    while let Some(frame) = rx.recv().await {
-        frame::encode(&frame, &mut buf);
-        while let Ok(frame) = rx.try_recv() {
-            frame::encode(&frame, &mut buf);
+    while let Some(message) = rx.recv().await {
+        frame::encode(&message, &mut buf);
+        while let Ok(message) = rx.try_recv() {
+            frame::encode(&message, &mut buf);
         }
-        match timeout(STUCK, into.write_all(&buf)).await {
+        match timeout(WRITE_TIMEOUT, into.write_all(&buf)).await {
             Ok(result) => result?,
             Err(_) => return Err(io::ErrorKind::TimedOut.into()),
         }
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -23,14 +23,14 @@
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub fn read(path: &Path) -> Result<Policy> {
-    let bad = |what: String| Error::Setting { flag: "policy", what: what.into() };
-    let shown = path.display();
+    let invalid = |what: String| Error::Setting { flag: "policy", what: what.into() };
+    let path_text = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
-        bad(format!("cannot read {shown}: {error}; check the path and its permissions"))
+        invalid(format!("cannot read {path_text}: {error}; check the path and its permissions"))
     })?;
     let policy: Policy = toml::from_str(&text)
-        .map_err(|error| bad(format!("{shown} is not understood; correct it: {error}")))?;
-    policy.check().map_err(|error| bad(format!("{shown}: {error}")))?;
+        .map_err(|error| invalid(format!("{path_text} is not understood; correct it: {error}")))?;
+    policy.check().map_err(|error| invalid(format!("{path_text}: {error}")))?;
     Ok(policy)
 }
 
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -19,12 +19,12 @@
 use yuccalink_state::store::Recovered;
 
 /// Records after which a snapshot is taken.
-const SNAPSHOT_RECORDS: u64 = 20_000;
+const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
 /// Bytes of log after which a snapshot is taken: two snapshots and two such logs
 /// stay under half of the smallest disk, 128 MB.
-const SNAPSHOT_BYTES: u64 = 8 * 1024 * 1024;
+const SNAPSHOT_AFTER_BYTES: u64 = 8 * 1024 * 1024;
 /// Most commands in one proposal.
-const BATCH_MAX: usize = 512;
+const PROPOSAL_MAX_COMMANDS: usize = 512;
 
 pub(crate) struct Replica {
     cfg: LeaderConfig,
@@ -33,15 +33,15 @@
     /// The state, but while this replica leads: then the leader has it.
     state: Option<CellState>,
     pub(crate) leader: Option<Leader>,
-    applied: u64,
-    writes: Vec<LogWrite>,
-    install: Option<(SnapshotMeta, Vec<u8>)>,
-    held: VecDeque<(u64, Envelope)>,
-    written: u64,
+    applied_index: u64,
+    pending_writes: Vec<LogWrite>,
+    pending_install: Option<(SnapshotMeta, Vec<u8>)>,
+    held_messages: VecDeque<(u64, Envelope)>,
+    persisted_seq: u64,
     /// Messages to send now.
     pub(crate) outbox: Vec<Envelope>,
-    counts: LogCounters,
-    snapshot_at: LogCounters,
+    log_counters: LogCounters,
+    counters_at_snapshot: LogCounters,
 }
 
 impl Replica {
@@ -67,14 +67,14 @@
             raft: Raft::new(ReplicaId(replica), restored, seed, now),
             state: Some(state),
             leader: None,
-            applied: meta.index,
-            writes: Vec::new(),
-            install: None,
-            held: VecDeque::new(),
-            written: 0,
+            applied_index: meta.index,
+            pending_writes: Vec::new(),
+            pending_install: None,
+            held_messages: VecDeque::new(),
+            persisted_seq: 0,
             outbox: Vec::new(),
-            counts: LogCounters::default(),
-            snapshot_at: LogCounters::default(),
+            log_counters: LogCounters::default(),
+            counters_at_snapshot: LogCounters::default(),
         })
     }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.raft.role() == Role::Leader
     }
 
@@ -108,7 +108,7 @@
 
     pub(crate) fn step(&mut self, now: Now, envelope: Envelope) {
         self.raft.step(now.at, envelope);
-        self.pump(now);
+        self.process_raft_output(now);
     }
 
     /// Gives what the leader has decided to the log, and carries out what follows.
@@ -116,7 +116,7 @@
         if self.raft.has_lease(now.at)
             && let Some(leader) = &mut self.leader
         {
-            let commands = leader.next_batch(BATCH_MAX);
+            let commands = leader.next_batch(PROPOSAL_MAX_COMMANDS);
             if !commands.is_empty() {
                 match encode_all(&commands) {
                     Ok(encoded) => match self.raft.propose(now.at, encoded) {
@@ -128,18 +128,18 @@
                 }
             }
         }
-        self.pump(now);
+        self.process_raft_output(now);
     }
 
     /// Carries out what the consensus asks for.
-    pub(crate) fn pump(&mut self, now: Now) {
+    pub(crate) fn process_raft_output(&mut self, now: Now) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
-            self.writes.extend(output.persist);
-            self.held.extend(output.messages);
+            self.pending_writes.extend(output.persist);
+            self.held_messages.extend(output.messages);
             if output.install.is_some() {
-                self.install = output.install;
+                self.pending_install = output.install;
             }
             for (index, entry) in output.committed {
                 self.apply(now, index, &entry);
@@ -152,11 +152,11 @@
                 break;
             }
         }
-        self.release();
+        self.release_messages();
     }
 
     fn apply(&mut self, now: Now, index: u64, entry: &LogEntry) {
-        self.applied = index;
+        self.applied_index = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command: JobCommand = match postcard::from_bytes(bytes) {
             Ok(command) => command,
@@ -175,7 +175,7 @@
     }
 
     fn change_role(&mut self, now: Now) {
-        if !self.leads()
+        if !self.is_leader()
             && let Some(leader) = self.leader.take()
         {
             log::warn!("role=follower term={} was=leader", self.raft.term());
@@ -185,7 +185,7 @@
             && self.leader.is_none()
             && let Some(state) = self.state.take()
         {
-            log::info!("role=leader term={} record={}", self.raft.term(), self.applied);
+            log::info!("role=leader term={} record={}", self.raft.term(), self.applied_index);
             let mut leader = Leader::new(self.cfg, self.raft.term(), state, now);
             leader.set_node_name(&self.name);
             self.leader = Some(leader);
@@ -193,58 +193,58 @@
     }
 
     /// Lets go the messages whose writes the disk has confirmed.
-    fn release(&mut self) {
-        let written = self.written;
-        let mut later = VecDeque::new();
-        for (seq, envelope) in std::mem::take(&mut self.held) {
-            match seq > written {
-                true => later.push_back((seq, envelope)),
+    fn release_messages(&mut self) {
+        let persisted_seq = self.persisted_seq;
+        let mut remaining = VecDeque::new();
+        for (seq, envelope) in std::mem::take(&mut self.held_messages) {
+            match seq > persisted_seq {
+                true => remaining.push_back((seq, envelope)),
                 false => self.outbox.push(envelope),
             }
         }
-        self.held = later;
+        self.held_messages = remaining;
     }
 
     // ---- the disk ----
 
     /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
-        if !self.writes.is_empty() {
-            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
+    pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
+        if !self.pending_writes.is_empty() {
+            return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
         }
-        if let Some((meta, bytes)) = &self.install {
+        if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
-        self.snapshot_due()
+        self.start_due_snapshot()
     }
 
     /// Whether the disk has something to do.
-    pub(crate) fn has_work(&self) -> bool {
-        !self.writes.is_empty() || self.install.is_some() || self.is_snapshot_due()
+    pub(crate) fn has_disk_task(&self) -> bool {
+        !self.pending_writes.is_empty() || self.pending_install.is_some() || self.is_snapshot_due()
     }
 
     /// The disk has done something.
-    pub(crate) fn did(&mut self, now: Now, done: &DiskEvent) {
-        match done {
+    pub(crate) fn handle_disk_event(&mut self, now: Now, event: &DiskEvent) {
+        match event {
             DiskEvent::Written { seq, counts } => {
-                self.written = *seq;
-                self.counts = *counts;
+                self.persisted_seq = *seq;
+                self.log_counters = *counts;
                 self.raft.persisted(*seq, now.at);
             }
             DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
-            DiskEvent::Installed => self.installed(),
+            DiskEvent::Installed => self.finish_install(),
             DiskEvent::Failed(_) => {}
         }
         self.propose(now);
     }
 
-    fn installed(&mut self) {
-        let Some((meta, bytes)) = self.install.take() else { return };
+    fn finish_install(&mut self) {
+        let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode_as::<CellState>(&bytes, "a snapshot of the leader") {
-            Ok(found) => {
+            Ok(decoded) => {
                 log::info!("took over the leader's state up to record {}", meta.index);
-                self.state = Some(found.state);
-                self.applied = meta.index;
+                self.state = Some(decoded.state);
+                self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
@@ -256,7 +256,7 @@
 
     fn encode_snapshot(&self) -> Option<(SnapshotMeta, Vec<u8>)> {
         let state = self.state()?;
-        let index = self.applied;
+        let index = self.applied_index;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
@@ -271,16 +271,16 @@
     }
 
     fn is_snapshot_due(&self) -> bool {
-        let records = self.counts.records - self.snapshot_at.records;
-        let bytes = self.counts.bytes - self.snapshot_at.bytes;
-        records >= SNAPSHOT_RECORDS || bytes >= SNAPSHOT_BYTES
+        let records = self.log_counters.records - self.counters_at_snapshot.records;
+        let bytes = self.log_counters.bytes - self.counters_at_snapshot.bytes;
+        records >= SNAPSHOT_AFTER_RECORDS || bytes >= SNAPSHOT_AFTER_BYTES
     }
 
-    fn snapshot_due(&mut self) -> Option<DiskTask> {
+    fn start_due_snapshot(&mut self) -> Option<DiskTask> {
         if !self.is_snapshot_due() {
             return None;
         }
-        self.snapshot_at = self.counts;
+        self.counters_at_snapshot = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
@@ -293,7 +293,7 @@
     }
 
     /// How long ago this leader heard a member's replica.
-    pub(crate) fn silent(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
+    pub(crate) fn silence(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
         self.raft.last_heard(id).map(|heard| now.since(heard))
     }
 }
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -2,12 +2,12 @@
 
 use crate::cell::adapter::{ApiAdapter, SeedSource};
 use crate::cell::config::CellConfig;
-use crate::cell::connections::Connections;
-use crate::cell::http::{self, Port, Site};
-use crate::cell::node::Shared;
+use crate::cell::connections::ConnectionLimiter;
+use crate::cell::http::{self, Endpoint, HttpContext};
+use crate::cell::node::SharedNode;
 use crate::cell::policy;
 use crate::cell::replica::Replica;
-use crate::cell::{disk, peers, seats};
+use crate::cell::{disk, membership, peers};
 use crate::clock::BootClock;
 use crate::error::{Error, Result};
 use crate::journal::Journal;
@@ -30,15 +30,15 @@
 
 /// How often time is looked at where there is a replica: a quarter of the
 /// heartbeat of the consensus.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// How often settings are read again; they may change without a signal.
-const RELOAD: Duration = Duration::from_secs(1);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest wait for another replica to take over at a planned stop.
-const HAND_OVER: Duration = Duration::from_millis(800);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest wait for requests in flight once no new ones come.
-const FINISH: Duration = Duration::from_millis(1_200);
+const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// How often a stopping process looks whether it may go on.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs one process of a cell until a signal ends it.
 ///
@@ -48,35 +48,36 @@
 pub fn run(
     config: CellConfig,
     adapter: Box<dyn ApiAdapter>,
-    settings: Box<dyn SeedSource>,
+    seed_source: Box<dyn SeedSource>,
 ) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Thread)?;
-    LocalSet::new().block_on(&runtime, serve(config, adapter, settings))
+    LocalSet::new().block_on(&runtime, serve(config, adapter, seed_source))
 }
 
 async fn serve(
     config: CellConfig,
     adapter: Box<dyn ApiAdapter>,
-    settings: Box<dyn SeedSource>,
+    seed_source: Box<dyn SeedSource>,
 ) -> Result<()> {
-    let mut term = on(SignalKind::terminate())?;
-    let mut int = on(SignalKind::interrupt())?;
-    let mut hup = on(SignalKind::hangup())?;
+    let mut term = listen_for_signal(SignalKind::terminate())?;
+    let mut int = listen_for_signal(SignalKind::interrupt())?;
+    let mut hup = listen_for_signal(SignalKind::hangup())?;
     let adapter: Rc<dyn ApiAdapter> = Rc::from(adapter);
     let (node, journal) = recover(&config, &adapter)?;
     let (close, closing) = watch::channel(false);
     let in_flight = Cell::new(0);
-    let connections = Connections::new(config.connections_max);
-    let site = Rc::new(Site { node: node.clone(), adapter, connections, in_flight, closing });
-    listen_all(&config, &site).await?;
+    let connections = ConnectionLimiter::new(config.connections_max);
+    let context =
+        Rc::new(HttpContext { node: node.clone(), adapter, connections, in_flight, closing });
+    listen_all(&config, &context).await?;
     if let Some(journal) = journal {
-        tokio::task::spawn_local(disk::feed(node.clone(), journal));
-        tokio::task::spawn_local(ticks(node.clone()));
+        tokio::task::spawn_local(disk::run(node.clone(), journal));
+        tokio::task::spawn_local(run_ticks(node.clone()));
     }
-    tokio::task::spawn_local(seats::keep(node.clone()));
+    tokio::task::spawn_local(membership::run(node.clone()));
     log::info!(
         "started name={} zone={} peer={} disk={} seeds={:?} policy=shipped{:?}",
         config.name,
@@ -87,77 +88,82 @@
         policy::changed(&config.leader.policy)
     );
     let mut failure = node.failure();
-    let mut reload = tokio::time::interval(RELOAD);
+    let mut reload = tokio::time::interval(RELOAD_INTERVAL);
     reload.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            _ = hup.recv() => read_again(&node, &*settings, true),
-            _ = reload.tick() => read_again(&node, &*settings, false),
+            _ = hup.recv() => reload_seeds(&node, &*seed_source, true),
+            _ = reload.tick() => reload_seeds(&node, &*seed_source, false),
             _ = failure.changed() => {
                 return Err(Error::Stopped);
             }
         }
     }
-    stop(&node, &site, &close, config.drain).await;
+    stop(&node, &context, &close, config.drain).await;
     Ok(())
 }
 
 /// Stops so that no request in flight is cut off: red for the balancer first,
 /// leadership to another, then no new connections, then what is in flight.
-async fn stop(node: &Shared, site: &Site, close: &watch::Sender<bool>, drain: Duration) {
+async fn stop(
+    node: &SharedNode,
+    context: &HttpContext,
+    close: &watch::Sender<bool>,
+    drain: Duration,
+) {
     log::info!("stopping: no longer ready, serving for {drain:?} more");
-    let began = Instant::now();
+    let stop_started = Instant::now();
     node.start_draining();
     transfer_leadership(node).await;
-    tokio::time::sleep_until(began + drain).await;
+    tokio::time::sleep_until(stop_started + drain).await;
     let _ = close.send(true);
-    let until = Instant::now() + FINISH;
-    while site.in_flight.get() > 0 && Instant::now() < until {
-        tokio::time::sleep(POLL).await;
+    let deadline = Instant::now() + IN_FLIGHT_TIMEOUT;
+    while context.in_flight.get() > 0 && Instant::now() < deadline {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     // The last answers leave.
-    tokio::time::sleep(POLL).await;
-    log::info!("stopped in-flight={}", site.in_flight.get());
+    tokio::time::sleep(POLL_INTERVAL).await;
+    log::info!("stopped in-flight={}", context.in_flight.get());
 }
 
-async fn transfer_leadership(node: &Shared) {
-    let asked = node.with(|node| {
+async fn transfer_leadership(node: &SharedNode) {
+    let requested = node.with(|node| {
         let now = node.now();
         let Some(replica) = &mut node.replica else { return false };
-        let asked = replica.raft.transfer_leadership();
-        replica.pump(now);
-        asked
+        let requested = replica.raft.transfer_leadership();
+        replica.process_raft_output(now);
+        requested
     });
-    if !asked {
+    if !requested {
         return;
     }
     node.tick();
-    let until = Instant::now() + HAND_OVER;
-    while node.with(|node| node.replica.as_ref().is_some_and(Replica::leads))
-        && Instant::now() < until
+    let deadline = Instant::now() + TRANSFER_TIMEOUT;
+    while node.with(|node| node.replica.as_ref().is_some_and(Replica::is_leader))
+        && Instant::now() < deadline
     {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ticks(node: Shared) {
-    let mut ticks = tokio::time::interval(TICK);
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+async fn run_ticks(node: SharedNode) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        ticks.tick().await;
+        interval.tick().await;
         node.tick();
     }
 }
 
-fn read_again(node: &Shared, settings: &dyn SeedSource, asked: bool) {
-    match settings.seeds() {
+fn reload_seeds(node: &SharedNode, seed_source: &dyn SeedSource, requested: bool) {
+    match seed_source.seeds() {
         Ok(seeds) => node.with(|node| {
             if node.peer_table.seeds != seeds {
                 log::info!("reloaded seeds={seeds:?} were={:?}", node.peer_table.seeds);
                 node.peer_table.seeds = seeds;
-            } else if asked {
+            } else if requested {
                 log::info!("reloaded, nothing has changed");
             }
         }),
@@ -165,14 +171,17 @@
     }
 }
 
-fn recover(config: &CellConfig, adapter: &Rc<dyn ApiAdapter>) -> Result<(Shared, Option<Journal>)> {
+fn recover(
+    config: &CellConfig,
+    adapter: &Rc<dyn ApiAdapter>,
+) -> Result<(SharedNode, Option<Journal>)> {
     let clock = BootClock::start();
     let mut replica = None;
     let mut journal = None;
     if let Some(folder) = &config.data {
-        let (opened, made) = open_disk(config, folder, clock.now())?;
-        replica = Some(made);
-        journal = Some(opened);
+        let (opened_journal, opened_replica) = open_disk(config, folder, clock.now())?;
+        replica = Some(opened_replica);
+        journal = Some(opened_journal);
     }
     let info = NodeInfo {
         name: config.name.clone(),
@@ -182,12 +191,12 @@
         replica: replica.as_ref().map(|replica: &Replica| replica.raft.id()),
         may_bootstrap: false,
     };
-    let node = Shared::new(config.clone(), clock, info, replica, adapter.clone());
+    let node = SharedNode::new(config.clone(), clock, info, replica, adapter.clone());
     Ok((node, journal))
 }
 
 fn open_disk(config: &CellConfig, folder: &Path, now: Moment) -> Result<(Journal, Replica)> {
-    let (journal, recovered) = Journal::open::<CellState>(folder, draw())?;
+    let (journal, recovered) = Journal::open::<CellState>(folder, random_u64())?;
     log::info!(
         "disk replica={} snapshot={} records={}",
         ReplicaId(recovered.replica),
@@ -195,25 +204,26 @@
         recovered.records.len()
     );
     let name = config.name.clone();
-    let replica = Replica::new(config.leader, name, recovered, draw(), now).map_err(|bad| {
-        Error::Setting { flag: "data", what: format!("the state cannot be read: {bad}").into() }
-    })?;
+    let replica =
+        Replica::new(config.leader, name, recovered, random_u64(), now).map_err(|bad| {
+            Error::Setting { flag: "data", what: format!("the state cannot be read: {bad}").into() }
+        })?;
     Ok((journal, replica))
 }
 
-async fn listen_all(config: &CellConfig, site: &Rc<Site>) -> Result<()> {
+async fn listen_all(config: &CellConfig, context: &Rc<HttpContext>) -> Result<()> {
     let peer = bind(config.peer, "daemons", "peer").await?;
-    tokio::task::spawn_local(peers::serve(site.node.clone(), peer));
-    let ports = [
-        (Port::Callers, config.callers, "callers", "callers"),
-        (Port::Control, config.control, "runners and operators", "control"),
-        (Port::Ready, config.ready, "the balancer", "ready"),
-        (Port::Metrics, config.metrics, "readers of metrics", "metrics"),
+    tokio::task::spawn_local(peers::serve(context.node.clone(), peer));
+    let endpoints = [
+        (Endpoint::Callers, config.callers, "callers", "callers"),
+        (Endpoint::Control, config.control, "runners and operators", "control"),
+        (Endpoint::Ready, config.ready, "the balancer", "ready"),
+        (Endpoint::Metrics, config.metrics, "readers of metrics", "metrics"),
     ];
-    for (port, at, whom, flag) in ports {
+    for (endpoint, at, whom, flag) in endpoints {
         if let Some(at) = at {
             let listener = bind(at, whom, flag).await?;
-            tokio::task::spawn_local(http::serve(site.clone(), port, listener));
+            tokio::task::spawn_local(http::serve(context.clone(), endpoint, listener));
         }
     }
     Ok(())
@@ -224,11 +234,11 @@
     TcpListener::bind(at).await.map_err(|source| Error::Listen { address, whom, flag, source })
 }
 
-fn on(kind: SignalKind) -> Result<Signal> {
+fn listen_for_signal(kind: SignalKind) -> Result<Signal> {
     signal(kind).map_err(Error::Thread)
 }
 
 /// A number from the system's generator.
-fn draw() -> u64 {
+fn random_u64() -> u64 {
     SysRng.try_next_u64().unwrap_or_else(|_| crate::clock::unix_ms())
 }
