--- a/crates/daemon/src/cell/metrics.rs
+++ b/crates/daemon/src/cell/metrics.rs
@@ -26,15 +26,15 @@
         self.sum += took;
     }
 
-    fn write(&self, name: &str, f: &mut String) {
+    fn write(&self, name: &str, out: &mut String) {
         let mut cumulative = 0;
         for (bound, count) in BOUNDS_MS.iter().zip(self.buckets) {
             cumulative += count;
-            let _ = writeln!(f, "{name}_ms_bucket{{le=\"{bound}\"}} {cumulative}");
+            let _ = writeln!(out, "{name}_ms_bucket{{le=\"{bound}\"}} {cumulative}");
         }
-        let _ = writeln!(f, "{name}_ms_bucket{{le=\"+Inf\"}} {}", self.count);
-        let _ = writeln!(f, "{name}_ms_sum {}", self.sum.as_millis());
-        let _ = writeln!(f, "{name}_ms_count {}", self.count);
+        let _ = writeln!(out, "{name}_ms_bucket{{le=\"+Inf\"}} {}", self.count);
+        let _ = writeln!(out, "{name}_ms_sum {}", self.sum.as_millis());
+        let _ = writeln!(out, "{name}_ms_count {}", self.count);
     }
 }
 
@@ -70,22 +70,22 @@
         change_version: Option<u64>,
         connections: &ConnectionLimiter,
     ) -> String {
-        let mut f = String::new();
+        let mut out = String::new();
         for (class, count) in self.statuses.iter().enumerate() {
             let class = class + 2;
-            let _ = writeln!(f, "yuccalink_responses{{class=\"{class}xx\"}} {count}");
+            let _ = writeln!(out, "yuccalink_responses{{class=\"{class}xx\"}} {count}");
         }
-        self.callers.write("yuccalink_callers", &mut f);
-        self.control.write("yuccalink_control", &mut f);
-        self.changes.write("yuccalink_changes", &mut f);
-        let _ = writeln!(f, "yuccalink_connections {}", connections.open());
-        let _ = writeln!(f, "yuccalink_connections_turned_away {}", connections.rejected_total());
-        let _ = writeln!(f, "yuccalink_links_lost {}", self.connections_lost);
-        let _ = writeln!(f, "yuccalink_leaders_lost {}", self.leaders_lost);
+        self.callers.write("yuccalink_callers", &mut out);
+        self.control.write("yuccalink_control", &mut out);
+        self.changes.write("yuccalink_changes", &mut out);
+        let _ = writeln!(out, "yuccalink_connections {}", connections.open());
+        let _ = writeln!(out, "yuccalink_connections_turned_away {}", connections.rejected_total());
+        let _ = writeln!(out, "yuccalink_links_lost {}", self.connections_lost);
+        let _ = writeln!(out, "yuccalink_leaders_lost {}", self.leaders_lost);
         if let Some(version) = change_version {
-            let _ = writeln!(f, "yuccalink_change_version {version}");
+            let _ = writeln!(out, "yuccalink_change_version {version}");
         }
-        let _ = writeln!(f, "yuccalink_leads {}", u8::from(leader.is_some()));
+        let _ = writeln!(out, "yuccalink_leads {}", u8::from(leader.is_some()));
         if let Some(leader) = leader {
             let counts = leader.counts();
             let values = [
@@ -105,9 +105,9 @@
                 ("steps_waiting", leader.waiting_len() as u64),
             ];
             for (name, value) in values {
-                let _ = writeln!(f, "yuccalink_{name} {value}");
+                let _ = writeln!(out, "yuccalink_{name} {value}");
             }
         }
-        f
+        out
     }
 }
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -43,11 +43,11 @@
 /// assert_eq!(yuccalink_daemon::cell::policy::changed(&policy), ["moving.mode=off".into()]);
 /// ```
 pub fn changed(policy: &Policy) -> Vec<Box<str>> {
-    let (shipped, used) = (sections(&Policy::default()), sections(policy));
+    let (defaults, current) = (sections(&Policy::default()), sections(policy));
     let mut changed = Vec::new();
-    for (section, figures) in &used {
-        for (name, value) in figures.as_object().into_iter().flatten() {
-            if shipped.get(section).and_then(|section| section.get(name)) != Some(value) {
+    for (section, values) in &current {
+        for (name, value) in values.as_object().into_iter().flatten() {
+            if defaults.get(section).and_then(|section| section.get(name)) != Some(value) {
                 let value = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
                 changed.push(format!("{section}.{name}={value}").into());
             }
