--- a/crates/daemon/src/cell.rs
+++ b/crates/daemon/src/cell.rs
@@ -1,9 +1,9 @@
-//! A job cell: daemons that agree on jobs and tell runners what to run.
+//! A job cell: a Raft group of daemons that queues jobs and assigns them to runners.
 //!
-//! One process on each entry VM, with one thread for everything but the disk and
-//! the log lines: where a VM has a fraction of one core, every hand-over between
-//! threads is a wake-up that is paid for. Any process takes any request; the one
-//! that leads decides, the others pass on.
+//! Each entry VM runs one process. A single thread does everything except disk writes and
+//! logging, because a VM may have a fraction of one core, where each hand-over between
+//! threads costs a wake-up. Any process accepts any request; the leader decides, and the
+//! other processes forward requests to it.
 
 mod adapter;
 mod config;
--- a/crates/daemon/src/cell/adapter.rs
+++ b/crates/daemon/src/cell/adapter.rs
@@ -1,99 +1,99 @@
-//! The edge of a process: how requests become asks and answers become responses.
+//! Translation between HTTP and the cell's requests and responses.
 
 use bytes::Bytes;
 use std::net::SocketAddr;
 use yuccalink_coordination::jobs::external::{ExternalCall, ExternalReply};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
-/// A request, read whole.
+/// An HTTP request whose body has been read completely.
 #[derive(Clone, Copy, Debug)]
 pub struct ApiRequest<'a> {
-    /// Upper-case.
+    /// HTTP method in upper case.
     pub method: &'a str,
-    /// Without a query.
+    /// Path without the query.
     pub path: &'a str,
-    /// As the caller wrote it.
+    /// `Host` header as the client sent it.
     pub host: &'a str,
-    /// Possibly empty.
+    /// Request body; may be empty.
     pub body: &'a [u8],
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ApiResponse {
-    /// Its HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// JSON, or nothing.
+    /// JSON body, or empty.
     pub body: Bytes,
-    /// When to come back, in milliseconds.
+    /// Delay after which the client may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// Where to send the same request instead, as a URL.
+    /// URL to which the client should send the same request instead.
     pub location: Option<Box<str>>,
 }
 
 impl ApiResponse {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn empty(status: u16) -> Self {
         Self { status, ..Self::default() }
     }
 
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Self { status, body: body.into(), ..Self::default() }
     }
 
-    /// A redirect of a request for `path` to another process.
+    /// Creates a redirect of a request for `path` to another process.
     pub(crate) fn redirect(to: SocketAddr, path: &str) -> Self {
         let location = format!("http://{to}{path}").into();
         Self { status: 307, location: Some(location), ..Self::default() }
     }
 }
 
-/// One HTTP interface of the cell: its own, or that of a platform.
+/// Maps an HTTP interface to the cell's requests and responses: its native one or a platform's.
 pub trait ApiAdapter {
-    /// A caller's request.
+    /// Parses a caller's request.
     ///
     /// # Errors
-    /// The response to one that cannot be understood.
+    /// Returns the response to send if the request is invalid.
     fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
-    /// A runner's or operator's request.
+    /// Parses a runner's or operator's request.
     ///
     /// # Errors
-    /// The response to one that cannot be understood.
+    /// Returns the response to send if the request is invalid.
     fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
-    /// The response to an answer.
+    /// Converts the cell's response to an HTTP response.
     fn reply(&self, response: CellResponse) -> ApiResponse;
 
-    /// The request for a call to a service outside; none where there is no such
-    /// service.
+    /// Returns the HTTP request for a call to an external service, or `None` if no such
+    /// service exists.
     fn request(&self, call: &ExternalCall) -> Option<ExternalRequest>;
 
-    /// What the service's response says.
+    /// Decodes the response of an external service.
     fn decode_reply(&self, call: &ExternalCall, status: u16, body: &[u8]) -> ExternalReply;
 }
 
-/// A request to a service outside.
+/// An HTTP request to an external service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExternalRequest {
-    /// Where the service listens.
+    /// Address of the service.
     pub to: SocketAddr,
-    /// Upper-case.
+    /// HTTP method in upper case.
     pub method: &'static str,
-    /// With a query, if any.
+    /// Path with the query, if any.
     pub path: Box<str>,
-    /// Besides those that every request has.
+    /// Headers in addition to those sent with every request.
     pub headers: Vec<(&'static str, Box<str>)>,
-    /// JSON, or nothing.
+    /// JSON body, or empty.
     pub body: Vec<u8>,
 }
 
-/// Where settings that may change come from.
+/// Source of the seed addresses, which may change while the process runs.
 pub trait SeedSource {
-    /// The seeds as they are set now.
+    /// Reads the current seed addresses.
     ///
     /// # Errors
-    /// What is wrong with the settings; the former ones stay in use.
+    /// Describes what is wrong with the settings; the previous seeds stay in use.
     fn seeds(&self) -> Result<Vec<SocketAddr>, Box<str>>;
 }
--- a/crates/daemon/src/cell/config.rs
+++ b/crates/daemon/src/cell/config.rs
@@ -1,4 +1,4 @@
-//! Settings of one process of a cell.
+//! Configuration of one process of a cell.
 
 use crate::error::{Error, Result};
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use yuccalink_coordination::jobs::LeaderConfig;
 use yuccalink_coordination::jobs::policy::Policy;
 
-/// Connections held at once, where nothing else is set: a system gives a process 1,024
-/// descriptors, of which other processes of the cell, files and the balancer need some.
+/// Default limit of concurrent connections. A process usually has 1,024 file descriptors, some
+/// of which are needed for other processes of the cell, files and the load balancer.
 const CONNECTIONS_MAX: usize = 800;
 
-/// What one process needs to know; made by [`CellConfigBuilder`].
+/// Configuration of one process, created by [`CellConfigBuilder`].
 #[derive(Clone, Debug)]
 pub struct CellConfig {
     pub(crate) name: Box<str>,
@@ -31,12 +31,12 @@
     pub(crate) connections_max: usize,
 }
 
-/// Makes a [`CellConfig`].
+/// Builds a [`CellConfig`].
 #[derive(Clone, Debug)]
 pub struct CellConfigBuilder(CellConfig);
 
 impl CellConfig {
-    /// Settings of a cell of one process, with nothing to listen on but for peers.
+    /// Starts from the configuration of a one-process cell that listens only for peers.
     ///
     /// ```
     /// use yuccalink_daemon::cell::CellConfig;
@@ -67,7 +67,7 @@
 }
 
 impl CellConfig {
-    /// Where some other processes listen for peers.
+    /// Peer addresses of some other processes of the cell.
     pub fn seeds(&self) -> &[SocketAddr] {
         &self.seeds
     }
@@ -78,122 +78,122 @@
 }
 
 impl CellConfigBuilder {
-    /// Name of this entry VM, unique in the cell.
+    /// Sets the name of this entry VM, unique in the cell.
     #[must_use]
     pub fn name(mut self, name: &str) -> Self {
         self.0.name = name.into();
         self
     }
 
-    /// Where other processes connect.
+    /// Sets the address on which this process listens for its peers.
     #[must_use]
     pub fn peer(mut self, address: SocketAddr) -> Self {
         self.0.peer = address;
         self
     }
 
-    /// Where other processes reach it, behind a forwarder.
+    /// Sets the address that peers use to reach this process behind a port forwarder.
     #[must_use]
     pub fn peer_advertised(mut self, address: SocketAddr) -> Self {
         self.0.peer_advertised = Some(address);
         self
     }
 
-    /// Availability zone of this VM.
+    /// Sets the availability zone of this VM.
     #[must_use]
     pub fn zone(mut self, zone: &str) -> Self {
         self.0.zone = zone.into();
         self
     }
 
-    /// Where callers connect.
+    /// Sets the address on which this process listens for callers.
     #[must_use]
     pub fn callers(mut self, address: SocketAddr) -> Self {
         self.0.callers = Some(address);
         self
     }
 
-    /// Where the balancer asks whether this process is ready.
+    /// Sets the address of the load balancer's readiness check.
     #[must_use]
     pub fn ready(mut self, address: SocketAddr) -> Self {
         self.0.ready = Some(address);
         self
     }
 
-    /// Where runners and operators connect.
+    /// Sets the address on which this process listens for runners and operators.
     #[must_use]
     pub fn control(mut self, address: SocketAddr) -> Self {
         self.0.control = Some(address);
         self
     }
 
-    /// Where counters and histograms are read.
+    /// Sets the address that serves counters and histograms.
     #[must_use]
     pub fn metrics(mut self, address: SocketAddr) -> Self {
         self.0.metrics = Some(address);
         self
     }
 
-    /// Folder for the state, on a VM with a disk.
+    /// Sets the data folder of the replicated state, on a VM with a disk.
     #[must_use]
     pub fn data(mut self, folder: PathBuf) -> Self {
         self.0.data = Some(folder);
         self
     }
 
-    /// Where other processes of the cell listen for peers; some of them.
+    /// Sets the peer addresses of some other processes of the cell.
     #[must_use]
     pub fn seeds(mut self, seeds: Vec<SocketAddr>) -> Self {
         self.0.seeds = seeds;
         self
     }
 
-    /// Whether the cell is new, so that its first seed with a disk may found it.
+    /// Sets whether the cell is new, so that its first seed with a disk may bootstrap it.
     #[must_use]
     pub fn bootstrap(mut self, allowed: bool) -> Self {
         self.0.bootstrap = allowed;
         self
     }
 
-    /// Disks that may be lost at once.
+    /// Sets how many disks may fail at the same time without loss of state.
     #[must_use]
     pub fn tolerated_disk_losses(mut self, losses: usize) -> Self {
         self.0.tolerated_disk_losses = losses;
         self
     }
 
-    /// How the leader decides.
+    /// Sets the configuration of the leader.
     #[must_use]
     pub fn leader(mut self, leader: LeaderConfig) -> Self {
         self.0.leader = leader;
         self
     }
 
-    /// What the leader decides by.
+    /// Sets the scheduling policy of the leader.
     #[must_use]
     pub fn policy(mut self, policy: Policy) -> Self {
         self.0.leader.policy = policy;
         self
     }
 
-    /// How long a stopping process goes on serving, for the balancer to notice.
+    /// Sets how long a stopping process still serves, so that the load balancer can notice.
     #[must_use]
     pub fn drain(mut self, drain: Duration) -> Self {
         self.0.drain = drain;
         self
     }
 
-    /// Connections of callers, runners and operators that are held at once.
+    /// Sets the limit of concurrent connections of callers, runners and operators.
     #[must_use]
     pub fn connections_max(mut self, max: usize) -> Self {
         self.0.connections_max = max;
         self
     }
 
-    /// Checks the settings against each other.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
-    /// [`Error::Setting`] naming the setting and the remedy.
+    /// Returns [`Error::Setting`], which names the setting and the remedy.
     pub fn build(self) -> Result<CellConfig> {
         let config = self.0;
         let invalid = |flag, what: &str| Err(Error::Setting { flag, what: what.into() });
@@ -201,17 +201,17 @@
         if is_single && config.data.is_none() {
             return invalid(
                 "data",
-                "a cell of one process needs a data folder; name one, or seeds",
+                "a cell of one process needs a data folder; set it, or set seeds",
             );
         }
         if config.callers.is_none() && config.control.is_none() {
             return invalid(
                 "callers",
-                "the process would serve nobody; name an address to listen on",
+                "the process has no address for callers, runners or operators; set one",
             );
         }
         if config.connections_max == 0 {
-            return invalid("connections-max", "nobody could connect; allow one at least");
+            return invalid("connections-max", "0 allows no connection; set at least 1");
         }
         Ok(config)
     }
--- a/crates/daemon/src/cell/connections.rs
+++ b/crates/daemon/src/cell/connections.rs
@@ -1,35 +1,37 @@
-//! How many connections of callers, runners and operators a process holds at once, and what
-//! becomes of one beyond them.
+//! Limits the concurrent connections of callers, runners and operators, and rejects those
+//! above the limit.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Connections that are being told at once that there are too many; further ones are closed
-/// without a word.
+/// Connections that may receive a rejection response at the same time; any more are closed
+/// without a response.
 const REJECTING_MAX: usize = 64;
-/// Between lines on connections that were turned away.
+/// Minimum interval between log lines about rejected connections.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
-/// Counts the connections of a process.
+/// Counts the connections of a process and enforces their limit.
 #[derive(Debug)]
 pub(crate) struct ConnectionLimiter {
     max: usize,
+    /// Connections that are served now.
     open: Cell<usize>,
+    /// Connections that are receiving a rejection response now.
     rejecting: Cell<usize>,
     rejected_total: Cell<u64>,
     logged_at: Cell<Option<Instant>>,
 }
 
-/// What a new connection may do.
+/// How a new connection is handled.
 #[derive(Debug)]
 pub(crate) enum Admission {
-    /// Its requests are answered.
+    /// The connection's requests are served.
     Served(ConnectionPermit),
-    /// Its first request is told that there are too many.
+    /// The first request receives a rejection response.
     Rejected(ConnectionPermit),
-    /// It is closed at once.
+    /// The connection is closed without a response.
     Closed,
 }
 
@@ -61,17 +63,17 @@
         })
     }
 
-    /// Those that are served now.
+    /// Number of connections that are served now.
     pub(crate) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Those that were turned away since the process began.
+    /// Number of connections rejected or closed since the process started.
     pub(crate) fn rejected_total(&self) -> u64 {
         self.rejected_total.get()
     }
 
-    /// Counts a new connection.
+    /// Counts a new connection and decides how it is handled.
     pub(crate) fn admit(self: &Rc<Self>) -> Admission {
         if self.open.get() < self.max {
             return Admission::Served(self.permit(PermitKind::Served));
@@ -84,10 +86,10 @@
         }
     }
 
-    /// What a connection is told that is turned away.
+    /// Error text of the response to a rejected connection.
     pub(crate) fn rejection_message(&self) -> String {
         format!(
-            "this process holds {} connections and takes no more: come back, or go to another \
+            "this process has reached its limit of {} connections: retry later or use another \
              entry; its operator can raise --connections-max and the limit of open files",
             self.max
         )
--- a/crates/daemon/src/cell/disk.rs
+++ b/crates/daemon/src/cell/disk.rs
@@ -1,17 +1,26 @@
-//! Feeds the disk thread of a replica.
+//! Passes disk tasks of a replica to its disk thread.
 
 use crate::cell::node::SharedNode;
 use crate::journal::{DiskEvent, Journal};
 use yuccalink_coordination::raft::LogWrite;
 
-/// What the disk is to do next.
+/// A task for the disk thread.
 pub(crate) enum DiskTask {
     Write(Vec<LogWrite>),
-    Install { index: u64, bytes: Vec<u8> },
-    Compact { index: u64, bytes: Vec<u8> },
+    /// Replaces the stored state by a snapshot of the leader.
+    Install {
+        index: u64,
+        bytes: Vec<u8>,
+    },
+    /// Stores a snapshot of this replica's state and removes the log segments and snapshots that
+    /// it replaces.
+    Compact {
+        index: u64,
+        bytes: Vec<u8>,
+    },
 }
 
-/// Feeds the disk thread until the disk fails or the process stops.
+/// Passes tasks to the disk thread until the disk fails or the process stops.
 pub(crate) async fn run(node: SharedNode, mut journal: Journal) {
     let wake = node.disk_wake();
     loop {
@@ -27,8 +36,8 @@
         }
         match journal.done().await {
             Some(DiskEvent::Failed(error)) => {
-                // What reached the disk is not known, so nothing more may be
-                // promised: the process ends, and recovers from the disk.
+                // It is unknown which writes reached the disk, so no further write may be
+                // confirmed: the process ends and recovers from the disk at its next start.
                 log::error!("the disk failed: {error}");
                 return node.fail(error);
             }
--- a/crates/daemon/src/cell/external.rs
+++ b/crates/daemon/src/cell/external.rs
@@ -1,4 +1,4 @@
-//! Calls to services outside the cell, on behalf of the leader.
+//! HTTP calls to external services on behalf of the leader.
 
 use crate::cell::adapter::{ApiAdapter, ExternalRequest};
 use crate::cell::node::SharedNode;
@@ -13,27 +13,28 @@
 use tokio::time::timeout;
 use yuccalink_coordination::jobs::external::{ExternalCall, ExternalCallId, ExternalReply};
 
-/// Longest wait for a whole answer; an order that got none may have been carried out.
+/// Time limit for a complete response. An order that gets no response may still have been
+/// carried out.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// Largest answer in bytes: a page of the list of machines.
+/// Largest response body: a page of the list of machines.
 const BODY_MAX_BYTES: usize = 1024 * 1024;
 
-/// Why a call got no answer.
+/// Reason why a call got no response.
 #[derive(Debug, displaydoc::Display)]
 enum ExternalCallError {
-    /// no connection: {0}
+    /// cannot connect: {0}
     Connect(std::io::Error),
     /// {0}
     Http(hyper::Error),
-    /// the request cannot be written: {0}
+    /// cannot build the request: {0}
     Request(hyper::http::Error),
-    /// the answer cannot be read: {0}
+    /// cannot read the response body: {0}
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// no answer in time
     TimedOut,
 }
 
-/// Makes one call and tells the leader what came of it.
+/// Performs one call and passes its reply to the leader.
 pub(crate) async fn perform(
     node: SharedNode,
     adapter: Rc<dyn ApiAdapter>,
--- a/crates/daemon/src/cell/frame.rs
+++ b/crates/daemon/src/cell/frame.rs
@@ -1,4 +1,5 @@
-//! Messages between the processes of a cell: a length, then a postcard value.
+//! Messages between the processes of a cell. A frame is a 4-byte little-endian length and a
+//! postcard value.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -7,36 +8,36 @@
 use yuccalink_coordination::peer_table::{LeaderInfo, NodeInfo};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
 
-/// Largest frame in bytes: a chunk of a snapshot or a batch of entries, with room.
+/// Largest frame: a chunk of a snapshot or a batch of log entries, with some slack.
 pub(crate) const FRAME_MAX_BYTES: usize = 16 * 1024 * 1024;
 const HEADER_BYTES: usize = 4;
 
-/// One message.
+/// A message between two processes of a cell.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Here I am; also shows that the connection is alive.
+    /// Describes the sender; sent periodically to detect a dead connection.
     Hello(NodeInfo),
-    /// Answer to it.
+    /// Response to `Hello`.
     Welcome {
         #[serde(rename = "me")]
         sender: NodeInfo,
         #[serde(rename = "lead")]
         leader: Option<LeaderInfo>,
-        /// Disks that the sender has heard itself.
+        /// Processes with a disk that the sender has received messages from.
         disks: Vec<NodeInfo>,
-        /// Whom the first seed, having no disk, lets found the cell.
+        /// Replica that is to bootstrap the cell, chosen by the first seed if it has no disk.
         #[serde(rename = "founder")]
         bootstrapper: Option<ReplicaId>,
     },
-    /// Messages of the consensus.
+    /// Raft messages.
     Raft(Vec<Envelope>),
-    /// To the leader.
+    /// Request to the leader.
     Ask {
         id: u64,
         #[serde(rename = "ask")]
         request: CellRequest,
     },
-    /// Back.
+    /// Response of the leader to the request `id`.
     Answer {
         id: u64,
         #[serde(rename = "answer")]
@@ -48,25 +49,26 @@
 pub(crate) fn encode(message: &PeerMessage, buf: &mut Vec<u8>) {
     let body = match postcard::to_stdvec(message) {
         Ok(body) => body,
-        Err(error) => return log::error!("a message to another daemon is dropped: {error}"),
+        Err(error) => return log::error!("dropping a message to another daemon: {error}"),
     };
     match u32::try_from(body.len()) {
         Ok(size) if body.len() <= FRAME_MAX_BYTES => {
             buf.extend_from_slice(&size.to_le_bytes());
             buf.extend_from_slice(&body);
         }
-        _ => log::error!("a message of {} bytes to another daemon is dropped", body.len()),
+        _ => log::error!("dropping a message of {} bytes to another daemon: too large", body.len()),
     }
 }
 
-/// Reads frames from a connection.
+/// Reads messages from a connection.
 pub(crate) struct FrameReader<R> {
     source: R,
     buf: Vec<u8>,
+    /// Bytes at the start of `buf` that have been parsed.
     consumed: usize,
 }
 
-/// What one read asks for at least.
+/// Free buffer space before each read.
 const READ_MIN_BYTES: usize = 16 * 1024;
 
 impl<R> FrameReader<R>
@@ -77,7 +79,7 @@
         Self { source, buf: Vec::new(), consumed: 0 }
     }
 
-    /// The next frame; cancelling the call loses nothing.
+    /// Reads the next message. Cancel-safe: received bytes stay in the buffer.
     pub(crate) async fn next(&mut self) -> io::Result<PeerMessage> {
         loop {
             if let Some(message) = self.take_frame()? {
@@ -101,7 +103,7 @@
         };
         let size = u32::from_le_bytes(*header) as usize;
         if size > FRAME_MAX_BYTES {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "a frame is too large"));
+            return Err(io::Error::new(io::ErrorKind::InvalidData, "the frame is too large"));
         }
         let Some(bytes) = rest.get(..size) else { return Ok(None) };
         let message = postcard::from_bytes(bytes)
@@ -110,7 +112,7 @@
         if self.consumed == self.buf.len() {
             self.buf.clear();
             self.consumed = 0;
-            // A rare large message must not keep its memory for ever.
+            // Releases the memory of a rare large message.
             self.buf.shrink_to(READ_MIN_BYTES);
         }
         Ok(Some(message))
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers, runners, operators and the balancer.
+//! HTTP servers for callers, runners, operators, the load balancer and metrics.
 
 use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse};
 use crate::cell::connections::{Admission, ConnectionLimiter, ConnectionPermit};
@@ -20,32 +20,34 @@
 use tokio::time::Instant;
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
-/// Longest wait for the leader on behalf of a caller: callers wait for 3 s, and
-/// another entry may do better.
+/// Time limit for the leader's response to a caller's request. Callers give up after 3 s, and
+/// this leaves them time to try another entry.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A runner drops an answer that comes later than a second.
+/// Time limit for the leader's response to a runner or operator. A runner ignores a response
+/// that arrives after more than 1 s.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(900);
-/// A change set of 1,400 queues takes its time on a slow link.
+/// Time limit for the leader's response to a large request, such as a change set of 1,400
+/// queues on a slow link.
 const LARGE_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Largest body of a caller, in bytes.
+/// Largest request body of a caller.
 const CALLER_BODY_MAX_BYTES: usize = 256 * 1024;
-/// Largest body of a runner or operator, in bytes: 10,000 queues.
+/// Largest request body of a runner or operator: a change set of 10,000 queues.
 const CONTROL_BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
-/// Longest wait for a request's head.
+/// Time limit for receiving a request's headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest wait for a request's body.
+/// Time limit for receiving a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest head, in bytes.
+/// Size limit of a request's headers.
 const HEADER_MAX_BYTES: usize = 16 * 1024;
-/// When to come back to a process that holds all the connections it may, in milliseconds.
+/// Retry delay sent to a client that is rejected because of the connection limit.
 const REJECTED_RETRY_AFTER_MS: u64 = 1_000;
-/// Pause after a failed accept, as when no descriptor is left.
+/// Delay after a failed accept, for example because no file descriptor is left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Where operators ask a process of itself, whatever dialect its cell speaks.
+/// Path of the status of this process, the same with every adapter.
 const STATUS_PATH: &str = "/v1/status";
 
-/// What a listener serves.
+/// Kind of clients that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     Callers,
@@ -54,18 +56,18 @@
     Metrics,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 pub(crate) struct HttpContext {
     pub(crate) node: SharedNode,
     pub(crate) adapter: Rc<dyn ApiAdapter>,
     pub(crate) connections: Rc<ConnectionLimiter>,
-    /// Requests being answered.
+    /// Number of requests being processed.
     pub(crate) in_flight: Cell<usize>,
-    /// True once connections are to be closed after their answer.
+    /// True once connections are to be closed after their current response.
     pub(crate) closing: watch::Receiver<bool>,
 }
 
-/// Accepts connections until told to close.
+/// Accepts connections until `closing` becomes true.
 pub(crate) async fn serve(context: Rc<HttpContext>, endpoint: Endpoint, listener: TcpListener) {
     let mut closing = context.closing.clone();
     loop {
@@ -92,15 +94,15 @@
     }
 }
 
-/// A connection that was taken; it counts until this is dropped.
+/// An accepted connection. It counts against the limit until its permit is dropped.
 struct AdmittedConnection {
-    /// Its first request is only told that there are too many.
+    /// The connection is above the limit: its first request gets a rejection response.
     rejected: bool,
     _permit: Option<ConnectionPermit>,
 }
 
-/// The balancer and readers of metrics are few, and are to be answered most of all by a
-/// process that is full.
+/// Applies the connection limit. The load balancer and metrics readers are exempt: they are few,
+/// and a process at its limit must still answer them.
 fn admit(context: &HttpContext, endpoint: Endpoint) -> Option<AdmittedConnection> {
     match endpoint {
         Endpoint::Ready | Endpoint::Metrics => {
@@ -150,7 +152,7 @@
         }
     };
     if let Err(error) = result {
-        log::debug!("a connection for {endpoint:?} has ended: {error}");
+        log::debug!("connection for {endpoint:?} failed: {error}");
     }
 }
 
@@ -169,7 +171,7 @@
         Endpoint::Callers | Endpoint::Control => handle_request(&context, endpoint, req).await,
     };
     if context.node.is_draining() {
-        // The next request of this connection is for a process that stays.
+        // The client must send its next request to a process that is not stopping.
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     context.in_flight.set(context.in_flight.get() - 1);
@@ -204,7 +206,11 @@
     let concerns_change = matches!(parsed, Ok(CellRequest::Change(_) | CellRequest::Document));
     let reply = match parsed {
         Err(reply) => {
-            log::info!("method={} path={path} status={} by itself", head.method, reply.status);
+            log::info!(
+                "method={} path={path} status={} answered without the leader",
+                head.method,
+                reply.status
+            );
             reply
         }
         Ok(request) => {
@@ -248,7 +254,7 @@
     to_http(reply)
 }
 
-/// The answer on a connection beyond those that are served: nothing was done.
+/// Responds to a request on a connection above the limit; the request is not processed.
 fn reject(context: &HttpContext) -> Response<Full<Bytes>> {
     let mut reply = native::problem(503, &context.connections.rejection_message());
     reply.retry_after_ms = Some(REJECTED_RETRY_AFTER_MS);
@@ -283,7 +289,7 @@
     if let Some(location) = &reply.location {
         match HeaderValue::from_str(location) {
             Ok(location) => drop(headers.insert(LOCATION, location)),
-            Err(error) => log::error!("location {location} cannot be sent: {error}"),
+            Err(error) => log::error!("cannot send the location header {location}: {error}"),
         }
     }
     if let Some(ms) = reply.retry_after_ms {
--- a/crates/daemon/src/cell/membership.rs
+++ b/crates/daemon/src/cell/membership.rs
@@ -1,5 +1,5 @@
-//! Founds the cell where that is this process's part, and keeps the voters right
-//! while it leads.
+//! Bootstraps a new cell if this process is the one to do so, and adjusts the voters while it
+//! leads.
 
 use crate::cell::node::{Node, SharedNode};
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use yuccalink_coordination::raft::{Members, ReplicaId};
 use yuccalink_coordination::voters::{self, MembershipView};
 
-/// How often the voters are looked at.
+/// Interval between checks of the voters.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs until the process ends.
+/// Checks the membership periodically until the process ends.
 pub(crate) async fn run(node: SharedNode) {
     let mut interval = tokio::time::interval(CHECK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -33,7 +33,7 @@
     let Some(member) = member_of(&node.peer_table.me) else { return };
     let Some(replica) = &mut node.replica else { return };
     if replica.raft.is_empty() {
-        log::info!("founding a new cell with replica {}", member.id);
+        log::info!("bootstrapping a new cell with replica {}", member.id);
         replica.raft.bootstrap(Members { voters: vec![member], learners: Vec::new() }, now.at);
     }
 }
--- a/crates/daemon/src/cell/metrics.rs
+++ b/crates/daemon/src/cell/metrics.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use yuccalink_coordination::jobs::Leader;
 
-/// Upper bounds of the histograms' buckets, in milliseconds.
+/// Upper bounds of the histogram buckets.
 const BOUNDS_MS: [u64; 10] = [1, 2, 5, 10, 20, 50, 100, 250, 1_000, 2_500];
 
-/// Counts of durations, by bucket.
+/// Histogram of durations.
 #[derive(Debug, Default)]
 pub(crate) struct Histogram {
     buckets: [u64; BOUNDS_MS.len()],
@@ -38,20 +38,20 @@
     }
 }
 
-/// All of them.
+/// Counters and histograms of one process.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
-    /// Callers' requests.
+    /// Durations of callers' requests.
     pub(crate) callers: Histogram,
-    /// Requests of runners and operators.
+    /// Durations of requests of runners and operators.
     pub(crate) control: Histogram,
-    /// Requests that read or change the change set.
+    /// Durations of requests that read or replace the change set.
     pub(crate) changes: Histogram,
-    /// Connections to other processes that were lost, or could not be made.
+    /// Connections to other processes that were lost or could not be established.
     pub(crate) connections_lost: u64,
-    /// Leaders that were no longer believed in.
+    /// Times when the known leader was dropped because it did not respond or no longer led.
     pub(crate) leaders_lost: u64,
-    /// Responses by their hundreds: 2xx, 3xx, 4xx, 5xx.
+    /// Responses by status class: 2xx, 3xx, 4xx, 5xx.
     pub(crate) statuses: [u64; 4],
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The text that is served.
+    /// Renders all metrics as text.
     pub(crate) fn render(
         &self,
         leader: Option<&Leader>,
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -1,7 +1,7 @@
-//! The cell's own HTTP interface, in JSON.
+//! The cell's native HTTP interface, in JSON.
 //!
-//! Callers: `POST`, `GET` and `DELETE /v1/HOST/QUEUE-PATH/JOB`, where the host is
-//! taken from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
+//! Callers: `POST`, `GET` and `DELETE /v1/HOST/QUEUE-PATH/JOB`, where the host comes
+//! from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
 //! `/leave`. Operators: `PUT` and `GET /v1/change`.
 
 use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest};
@@ -13,17 +13,17 @@
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, JobState, RunnerReport};
 use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, Wave};
 
-/// The interface that this project speaks by itself.
+/// Adapter for the native HTTP interface.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
-/// An error as callers see it.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     error: &'a str,
 }
 
-/// How far a job is.
+/// JSON view of a job's state.
 #[derive(Debug, Serialize)]
 struct StateView {
     state: JobState,
@@ -31,13 +31,13 @@
     reason: Option<Box<str>>,
 }
 
-/// How many jobs have not begun.
+/// JSON view of the number of jobs that have not started.
 #[derive(Debug, Serialize)]
 struct PendingView {
     pending: u64,
 }
 
-/// How far a wave is.
+/// JSON view of a wave's state.
 #[derive(Debug, Serialize)]
 struct WaveView {
     state: &'static str,
@@ -71,7 +71,7 @@
                 Ok(CellRequest::WaveStart(wave))
             }
             ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(number(id)?)),
-            _ => Err(problem(404, "no such path; see docs/PROTOCOLS.md for those there are")),
+            _ => Err(problem(404, "no such path; see docs/PROTOCOLS.md for the valid paths")),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     fn request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
-        // On its own the cell has no policy to ask and no machines to order.
+        // The native interface has no external policy to ask and no machines to order.
         None
     }
 
@@ -93,18 +93,18 @@
     }
 }
 
-/// Reads a number in a path.
+/// Parses a number in a path.
 ///
 /// # Errors
-/// The response to what is none.
+/// Returns a 400 response if `text` is not a number.
 pub fn number(text: &str) -> Result<u64, ApiResponse> {
-    text.parse().map_err(|_| problem(400, &format!("{text:?} is no number; use digits")))
+    text.parse().map_err(|_| problem(400, &format!("{text:?} is not a number; use digits")))
 }
 
-/// Reads a caller's request: the last part of its path is the job's number.
+/// Parses a caller's request. The last segment of its path is the job ID.
 ///
 /// # Errors
-/// The response to a body that `read` refuses.
+/// Returns the response of `read` if it rejects the body.
 pub fn parse_caller_request<F>(req: ApiRequest<'_>, read: F) -> Result<CellRequest, ApiResponse>
 where
     F: FnOnce(&[u8]) -> Result<JobSpec, ApiResponse>,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The responses that any JSON interface gives in the same way.
+/// Converts a cell response to the HTTP response that all JSON interfaces share.
 pub fn common_response(response: CellResponse) -> ApiResponse {
     let later = |status, after_ms| ApiResponse {
         retry_after_ms: Some(after_ms),
@@ -159,10 +159,10 @@
     }
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 ///
 /// # Errors
-/// A response that says what is wrong and where.
+/// Returns a 400 response that says what is wrong and where.
 pub fn parse<T>(body: &[u8]) -> Result<T, ApiResponse>
 where
     T: DeserializeOwned,
@@ -170,12 +170,12 @@
     serde_json::from_slice(body).map_err(|error| problem(400, &error.to_string()))
 }
 
-/// An error with its remedy.
+/// Creates an error response with a JSON body; `error` should name the remedy.
 pub fn problem(status: u16, error: &str) -> ApiResponse {
     json(status, &Problem { error })
 }
 
-/// A JSON response.
+/// Creates a response with `value` as its JSON body.
 pub fn json<T>(status: u16, value: &T) -> ApiResponse
 where
     T: Serialize,
@@ -183,7 +183,7 @@
     match serde_json::to_vec(value) {
         Ok(body) => ApiResponse::json(status, body),
         Err(error) => {
-            log::error!("a response cannot be written: {error}");
+            log::error!("cannot serialize a response: {error}");
             ApiResponse::empty(500)
         }
     }
--- a/crates/daemon/src/cell/node.rs
+++ b/crates/daemon/src/cell/node.rs
@@ -1,4 +1,4 @@
-//! The state of one process of a cell, and what its parts do with it.
+//! State of one process of a cell, and the handle through which its tasks use it.
 
 use crate::cell::adapter::ApiAdapter;
 use crate::cell::config::CellConfig;
@@ -26,30 +26,32 @@
 use yuccalink_coordination::peer_table::{LeaderInfo, NodeInfo, PeerTable};
 use yuccalink_coordination::raft::{Envelope, ReplicaId};
 
-/// Pause before a process asks again who leads.
+/// Delay before a request without a reachable leader is tried again.
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Longest wait for one answer of the leader before another way is tried. A commit
-/// takes 15 ms, or 400 ms with a disk that is 25 times as slow as usual.
+/// Time limit for one response of the leader before the request is tried again. A commit
+/// takes 15 ms, or 400 ms with a disk that is 25 times slower than usual.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Without a leader for this long, requests are refused at once: an election takes
-/// one second, and what takes longer is not over soon.
+/// Time without a leader after which requests are refused at once. An election takes 1 s, and
+/// a longer outage is not likely to end soon.
 const LEADERLESS_REFUSE_AFTER: Duration = Duration::from_millis(1_500);
-/// When to come back then, in milliseconds.
+/// Retry delay sent to clients while no leader is known.
 const LEADERLESS_RETRY_AFTER_MS: u64 = 2_000;
 
-/// Largest request or answer of an operator that is passed on between an entry and the
-/// leader, in bytes: 0.13 s of a link of 2 Mbit/s, on which everything else waits meanwhile.
+/// Largest operator request or response that is forwarded between an entry and the leader. It
+/// occupies a 2 Mbit/s link for 0.13 s, during which all other messages on the link wait.
 const FORWARD_MAX_BYTES: usize = 32 * 1024;
 
-/// Whether a request may be passed on to the leader, or its sender is to go there.
+/// How a request reaches the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderRoute {
+    /// This process forwards the request to the leader.
     Forward,
+    /// The client is redirected to the leader, if the leader's address is known.
     Redirect,
 }
 
 impl LeaderRoute {
-    /// For a request with a body of `size` bytes.
+    /// Chooses the route of a request with a body of `size` bytes.
     pub(crate) fn for_body_size(size: usize) -> Self {
         match size <= FORWARD_MAX_BYTES {
             true => Self::Forward,
@@ -58,20 +60,20 @@
     }
 }
 
-/// What one process of a cell tells operators.
+/// Status of one process of a cell, for operators.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct CellStatus {
-    /// The process's name.
+    /// Name of the process.
     cell: Box<str>,
     zone: Box<str>,
     leads: bool,
     term: u64,
-    /// Where the leader's peers connect, if one is known.
+    /// Peer address of the leader, if one is known.
     leader: Option<SocketAddr>,
-    /// What this process decides by while it leads.
+    /// Policy that this process applies while it leads.
     policy: Policy,
-    /// Figures of it that differ from what ships.
+    /// Policy values that differ from the defaults.
     changed: Vec<Box<str>>,
 }
 
@@ -81,6 +83,7 @@
     pub(crate) peer_table: PeerTable,
     pub(crate) replica: Option<Replica>,
     connections: HashMap<SocketAddr, PeerConnection>,
+    /// Requests to the leader in this process that have no response yet.
     pending_responses: HashMap<RequestToken, oneshot::Sender<CellResponse>>,
     next_token: u64,
     /// When a leader was last known.
@@ -89,7 +92,8 @@
     adapter: Rc<dyn ApiAdapter>,
 }
 
-/// Handle of the state; one thread uses it, and never across an await.
+/// Shared handle of the node's state. Only one thread uses it, and no borrow is held across an
+/// await.
 #[derive(Clone)]
 pub(crate) struct SharedNode(Rc<SharedInner>);
 
@@ -129,7 +133,7 @@
         }))
     }
 
-    /// Works on the state; `f` must not call back into this handle.
+    /// Calls `f` with the state. `f` must not use this handle, or the borrow panics.
     pub(crate) fn with<F, T>(&self, f: F) -> T
     where
         F: FnOnce(&mut Node) -> T,
@@ -161,7 +165,7 @@
         self.with(|node| node.info())
     }
 
-    /// Works on the replica, then carries out what follows from it.
+    /// Calls `f` with the replica, if there is one, then flushes its messages and responses.
     fn update_replica<F>(&self, f: F)
     where
         F: FnOnce(&mut Replica, Now),
@@ -192,7 +196,7 @@
         });
     }
 
-    /// A service outside has answered a call of the leader's.
+    /// Passes the reply of an external service to the leader.
     pub(crate) fn handle_external_reply(&self, id: ExternalCallId, reply: ExternalReply) {
         self.update_replica(|replica, now| {
             if let Some(leader) = replica.leader(now.at) {
@@ -202,7 +206,7 @@
         });
     }
 
-    /// A process that this one has greeted answers.
+    /// Handles the `Welcome` that another process sends in response to `Hello`.
     pub(crate) fn handle_welcome(
         &self,
         from: SocketAddr,
@@ -224,7 +228,7 @@
         });
     }
 
-    /// Another process greets this one.
+    /// Handles a `Hello` of another process and returns the `Welcome` for it.
     pub(crate) fn handle_hello(&self, info: NodeInfo) -> PeerMessage {
         self.with(|node| {
             let now = node.clock.now();
@@ -238,7 +242,7 @@
         })
     }
 
-    /// Asks the leader's part of this process; `None` where it does not lead.
+    /// Passes a request to the leader in this process; `None` if this process does not lead.
     pub(crate) fn request_local_leader(
         &self,
         request: CellRequest,
@@ -259,7 +263,7 @@
         })
     }
 
-    /// Asks whichever process leads, for at most `budget`.
+    /// Sends a request to the current leader and retries until `time_limit` has passed.
     pub(crate) async fn request_leader(
         &self,
         request: CellRequest,
@@ -314,8 +318,8 @@
         })
     }
 
-    /// An answer as another process is told it: one that is too large for the link between
-    /// them is left for its caller to fetch here.
+    /// Prepares a response for another process. A document above [`FORWARD_MAX_BYTES`] is replaced
+    /// by a redirect, so that the client fetches it from this process.
     pub(crate) fn redirect_if_too_large(&self, response: CellResponse) -> CellResponse {
         let control = self.with(|node| node.cfg.control);
         match (&response, control) {
@@ -336,25 +340,26 @@
         self.with(|node| node.clock.now().since(node.leader_known_at) > LEADERLESS_REFUSE_AFTER)
     }
 
-    /// Whether this process can serve callers now.
+    /// Returns whether this process can serve callers now.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_draining() && self.with(|node| node.is_serving())
     }
 
-    /// Where a runner that has reported here sends its later reports. Every process keeps the
-    /// connections of its own runners and passes their reports on over one: a leader that all
-    /// of them connect to runs out of descriptors and processor time at some thousands.
+    /// Address to which a runner that has reported here sends its later reports. Each process
+    /// keeps the connections of its own runners and forwards their reports over one connection,
+    /// because a leader with some thousands of runner connections runs out of file descriptors
+    /// and CPU time.
     pub(crate) fn report_address(&self) -> Option<SocketAddr> {
         match self.is_draining() {
             true => None,
-            // An address that stands for any of this VM's names none that others reach.
+            // A wildcard address, such as 0.0.0.0, is not one that runners can reach.
             false => {
                 self.with(|node| node.peer_table.me.control.filter(|at| !at.ip().is_unspecified()))
             }
         }
     }
 
-    /// Where runners and operators reach the process that leads.
+    /// Address of the leader for runners and operators.
     pub(crate) fn leader_control(&self) -> Option<SocketAddr> {
         self.with(|node| node.known_leader().and_then(|leader| leader.control))
     }
@@ -370,7 +375,7 @@
         NodeInfo { may_bootstrap: empty && self.cfg.bootstrap, ..self.peer_table.me.clone() }
     }
 
-    /// What this process tells operators of itself.
+    /// Returns the status of this process for operators.
     pub(crate) fn status(&mut self) -> CellStatus {
         let leader = self.known_leader();
         let policy = self.cfg.leader.policy;
@@ -393,7 +398,7 @@
         self.peer_table.lead().is_some_and(|leader| leader.serving)
     }
 
-    /// Who leads: by the own replica, else by what others say.
+    /// Returns the leader: this process if its replica leads, else the one that peers report.
     pub(crate) fn known_leader(&mut self) -> Option<LeaderInfo> {
         let now = self.clock.now();
         let own = (self.peer_table.me.peer, self.peer_table.me.control);
@@ -407,7 +412,7 @@
         self.peer_table.lead()
     }
 
-    /// The process believed to lead does not, or does not answer.
+    /// Drops `peer` as the known leader because it does not respond or does not lead.
     pub(crate) fn clear_leader(&mut self, peer: SocketAddr, why: &str) {
         if self.peer_table.lead().is_some_and(|leader| leader.peer == peer) {
             self.metrics.leaders_lost += 1;
@@ -415,13 +420,14 @@
         self.peer_table.clear_leader(peer, why);
     }
 
-    /// The newest change set that this process's replica has, while it is a voter or learner.
+    /// Version of the newest change set that this process's replica has applied. The replica
+    /// receives change sets only while it is a voter or learner.
     pub(crate) fn change_version(&self) -> Option<u64> {
         let change = self.replica.as_ref()?.state()?.change_set()?;
         Some(change.version)
     }
 
-    /// A follower of the consensus learns first who leads.
+    /// Takes the leader from Raft, which knows a new leader before the peers report it.
     fn learn_leader(&mut self) {
         let now = self.clock.now();
         let Some(replica) = &self.replica else { return };
@@ -466,7 +472,7 @@
         }
     }
 
-    /// Sends what the replica wants sent, and answers whom the leader has answered.
+    /// Sends the replica's messages and the leader's responses, and starts its external calls.
     fn flush(&mut self, shared: &SharedNode) {
         let now = self.clock.now();
         let Some(replica) = &mut self.replica else { return };
@@ -474,8 +480,8 @@
             shared.0.disk_wake.notify_one();
         }
         let outbox = std::mem::take(&mut replica.outbox);
-        // Without the lease another process may lead by now: what this one has
-        // decided is not told as true any more.
+        // Without the lease another process may lead by now, so responses that this leader
+        // has decided must not be sent.
         let (responses, calls) = match replica.leader(now) {
             Some(leader) => (leader.take_answers(), leader.take_calls()),
             None => (Vec::new(), Vec::new()),
--- a/crates/daemon/src/cell/peer_connection.rs
+++ b/crates/daemon/src/cell/peer_connection.rs
@@ -1,6 +1,6 @@
-//! One outgoing connection to another process of the cell, made again whenever it
-//! is lost. A connection may go silent without a reset; greetings that stay
-//! unanswered show it.
+//! One outgoing connection to another process of the cell, re-established whenever it is
+//! lost. A connection can fail without a reset; missing responses to `Hello` messages
+//! reveal this.
 
 use crate::cell::frame::{self, FrameReader, PeerMessage};
 use crate::cell::node::SharedNode;
@@ -17,19 +17,20 @@
 use tokio::time::{Instant, timeout};
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
-/// Between greetings: short enough to notice a lost leader within two seconds.
+/// Interval between `Hello` messages, short enough to detect a lost leader within 2 s.
 const HELLO_INTERVAL: Duration = Duration::from_millis(400);
-/// Silence after which a connection is given up, two greetings and a margin.
+/// Time without a received message after which a connection is closed: two `Hello` intervals
+/// and a margin.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for a connection; an address in the same region answers in 10 ms.
+/// Time limit for connecting. An address in the same region responds within 10 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for a full socket to take more.
+/// Time limit for one write; the connection is closed if the peer does not read in time.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between tries.
+/// Delay between connection attempts.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
-/// Frames that may wait; more are dropped, as on a lost connection.
+/// Messages that may wait to be sent; any more are dropped, as on a lost connection.
 const QUEUE_MAX_MESSAGES: usize = 1_024;
-/// Bytes gathered for one write.
+/// Bytes after which no further message is added to a write.
 const WRITE_BATCH_BYTES: usize = 256 * 1024;
 
 type PendingResponses = Rc<RefCell<HashMap<u64, oneshot::Sender<CellResponse>>>>;
@@ -42,7 +43,7 @@
 }
 
 impl PeerConnection {
-    /// Keeps a connection to `to` until dropped.
+    /// Maintains a connection to `to` until the handle is dropped.
     pub(crate) fn open(node: SharedNode, to: SocketAddr) -> Self {
         let (outgoing, rx) = mpsc::channel(QUEUE_MAX_MESSAGES);
         let pending_responses = PendingResponses::default();
@@ -50,18 +51,18 @@
         Self { outgoing, pending_responses, next_id: 0 }
     }
 
-    /// Sends a frame, or drops it where too many wait: all frames but asks are
-    /// sent again by whoever needs them.
+    /// Queues a message, or drops it if the queue is full. Senders repeat all messages
+    /// except requests.
     pub(crate) fn send(&self, message: PeerMessage) {
         let _ = self.outgoing.try_send(message);
     }
 
-    /// Asks the other process; the receiver fails once the connection is lost.
+    /// Sends a request to the other process; the receiver fails once the connection is lost.
     pub(crate) fn request(&mut self, request: CellRequest) -> oneshot::Receiver<CellResponse> {
         let (tx, rx) = oneshot::channel();
         let id = self.next_id;
         self.next_id += 1;
-        // Where the channel is full `tx` goes with the frame, and `rx` fails.
+        // If the queue is full, `tx` is dropped and `rx` fails.
         if self.outgoing.try_send(PeerMessage::Ask { id, request }).is_ok() {
             self.pending_responses.borrow_mut().insert(id, tx);
         }
@@ -86,7 +87,7 @@
                 serve(&node, to, stream, &mut rx, &pending_responses).await
             }
             Ok(Err(error)) => Err(error),
-            Err(_) => Err(timed_out("it does not accept a connection")),
+            Err(_) => Err(timed_out("it does not accept the connection in time")),
         };
         pending_responses.borrow_mut().clear();
         match result {
@@ -102,7 +103,7 @@
                 });
             }
         }
-        // What waited was for a connection that is gone.
+        // Drops the queued messages, which were meant for the lost connection.
         loop {
             match rx.try_recv() {
                 Ok(_) => {}
@@ -115,7 +116,7 @@
     }
 }
 
-/// Serves one connection; `Ok` when the link is no longer wanted.
+/// Serves one connection; returns `Ok` once the handle is dropped.
 async fn serve(
     node: &SharedNode,
     to: SocketAddr,
@@ -186,7 +187,7 @@
         }
         match timeout(WRITE_TIMEOUT, into.write_all(&buf)).await {
             Ok(result) => result?,
-            Err(_) => return Err(timed_out("it does not read")),
+            Err(_) => return Err(timed_out("it does not read in time")),
         }
         buf.clear();
         buf.shrink_to(WRITE_BATCH_BYTES);
--- a/crates/daemon/src/cell/peers.rs
+++ b/crates/daemon/src/cell/peers.rs
@@ -1,4 +1,4 @@
-//! Serves other processes of the cell.
+//! Server for the other processes of the cell.
 
 use crate::cell::frame::{self, FrameReader, PeerMessage};
 use crate::cell::node::SharedNode;
@@ -11,13 +11,14 @@
 use tokio::time::timeout;
 use yuccalink_coordination::jobs::{CellRequest, CellResponse};
 
-/// Silence after which a connection is closed; its other end greets every 400 ms.
+/// Time without a received message after which a connection is closed. The peer sends a
+/// `Hello` every 400 ms.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for a full socket to take more.
+/// Time limit for one write; the connection is closed if the peer does not read in time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Frames that may wait for one connection.
+/// Messages that may wait to be sent on one connection.
 const QUEUE_MAX_MESSAGES: usize = 1_024;
-/// Pause after a failed accept, as when no descriptor is left.
+/// Delay after a failed accept, for example because no file descriptor is left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts connections until the process ends.
@@ -37,7 +38,7 @@
 
 async fn serve_connection(node: SharedNode, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        return log::warn!("a daemon's connection is of no use: {error}");
+        return log::warn!("cannot set TCP_NODELAY on a daemon's connection: {error}");
     }
     let (from, into) = stream.into_split();
     let (tx, rx) = mpsc::channel(QUEUE_MAX_MESSAGES);
@@ -46,7 +47,7 @@
         result = write(into, rx) => result,
     };
     if let Err(error) = result {
-        log::debug!("a daemon's connection has ended: {error}");
+        log::debug!("connection of a daemon failed: {error}");
     }
 }
 
@@ -83,7 +84,7 @@
     tx: mpsc::Sender<PeerMessage>,
 ) {
     let response = match node.request_local_leader(request) {
-        // The leader's part ends without an answer when it leads no more.
+        // The sender is dropped without a response when this process stops leading.
         Some(rx) => {
             node.redirect_if_too_large(rx.await.unwrap_or(CellResponse::NotLeader { leader: None }))
         }
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -1,18 +1,18 @@
-//! The policy file of a cell, and how a policy is shown.
+//! Reads the policy file of a cell and lists the values that differ from the defaults.
 
 use crate::error::{Error, Result};
 use serde_json::{Map, Value};
 use std::path::Path;
 use yuccalink_coordination::jobs::policy::Policy;
 
-/// Variable that names the file.
+/// Environment variable with the path of the policy file.
 pub const POLICY_FILE_VAR: &str = "YUCCALINK_POLICY";
 
-/// Reads a policy file: TOML with a section a mechanism; what it does not name stays as
-/// it ships.
+/// Reads a policy file: TOML with one section per mechanism. Values that the file does not set
+/// keep their defaults.
 ///
 /// # Errors
-/// [`Error::Setting`] naming the file, the place in it and the remedy.
+/// Returns [`Error::Setting`], which names the file, the place in it and the remedy.
 ///
 /// ```
 /// let folder = tempfile::tempdir()?;
@@ -29,12 +29,12 @@
         invalid(format!("cannot read {path_text}: {error}; check the path and its permissions"))
     })?;
     let policy: Policy = toml::from_str(&text)
-        .map_err(|error| invalid(format!("{path_text} is not understood; correct it: {error}")))?;
+        .map_err(|error| invalid(format!("{path_text} is invalid; correct it: {error}")))?;
     policy.check().map_err(|error| invalid(format!("{path_text}: {error}")))?;
     Ok(policy)
 }
 
-/// The figures that differ from what ships, as `section.name=value`.
+/// Lists the values that differ from the defaults, as `section.name=value`.
 ///
 /// ```
 /// use yuccalink_coordination::jobs::policy::{Policy, Switch};
@@ -60,7 +60,7 @@
     match serde_json::to_value(policy) {
         Ok(Value::Object(sections)) => sections,
         other => {
-            log::error!("a policy cannot be shown: {other:?}");
+            log::error!("cannot serialize a policy: {other:?}");
             Map::new()
         }
     }
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -1,5 +1,5 @@
-//! One replica of the cell's state: its part in the consensus, and the leader
-//! while it leads. Carries out what the consensus asks for.
+//! One replica of the cell's state: drives Raft, applies committed commands, and runs the
+//! leader while this replica leads.
 
 use crate::cell::disk::DiskTask;
 use crate::journal::{DiskEvent, from_hard, to_entry};
@@ -18,29 +18,32 @@
 use yuccalink_state::snapshot::{self, Meta};
 use yuccalink_state::store::Recovered;
 
-/// Records after which a snapshot is taken.
+/// Log records after which a snapshot is taken.
 const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
-/// Bytes of log after which a snapshot is taken: two snapshots and two such logs
-/// stay under half of the smallest disk, 128 MB.
+/// Log bytes after which a snapshot is taken. Two snapshots and two such logs stay under half
+/// of the smallest disk, 128 MB.
 const SNAPSHOT_AFTER_BYTES: u64 = 8 * 1024 * 1024;
-/// Most commands in one proposal.
+/// Largest number of commands in one proposal.
 const PROPOSAL_MAX_COMMANDS: usize = 512;
 
 pub(crate) struct Replica {
     cfg: LeaderConfig,
     name: Box<str>,
     pub(crate) raft: Raft,
-    /// The state, but while this replica leads: then the leader has it.
+    /// The replicated state; `None` while this replica leads, when the leader owns it.
     state: Option<CellState>,
     pub(crate) leader: Option<Leader>,
     applied_index: u64,
     pending_writes: Vec<LogWrite>,
     pending_install: Option<(SnapshotMeta, Vec<u8>)>,
+    /// Messages that wait until the write with their sequence number is on disk.
     held_messages: VecDeque<(u64, Envelope)>,
+    /// Sequence number of the last write that is on disk.
     persisted_seq: u64,
-    /// Messages to send now.
+    /// Messages that may be sent now.
     pub(crate) outbox: Vec<Envelope>,
     log_counters: LogCounters,
+    /// Value of `log_counters` when the last snapshot was taken.
     counters_at_snapshot: LogCounters,
 }
 
@@ -78,7 +81,7 @@
         })
     }
 
-    /// The leader, while this replica leads and no other can have been elected.
+    /// Returns the leader while this replica holds the lease, so no other can have been elected.
     pub(crate) fn leader(&mut self, now: Moment) -> Option<&mut Leader> {
         match self.raft.has_lease(now) {
             true => self.leader.as_mut(),
@@ -86,7 +89,7 @@
         }
     }
 
-    /// The state as far as this replica has applied it.
+    /// Returns the state that this replica has applied.
     pub(crate) fn state(&self) -> Option<&CellState> {
         match &self.leader {
             Some(leader) => Some(leader.state()),
@@ -111,7 +114,7 @@
         self.process_raft_output(now);
     }
 
-    /// Gives what the leader has decided to the log, and carries out what follows.
+    /// Proposes the leader's pending commands to Raft and processes Raft's output.
     pub(crate) fn propose(&mut self, now: Now) {
         if self.raft.has_lease(now.at)
             && let Some(leader) = &mut self.leader
@@ -121,17 +124,17 @@
                 match encode_all(&commands) {
                     Ok(encoded) => match self.raft.propose(now.at, encoded) {
                         Ok(first) => leader.batch_appended(first),
-                        // A replica that lost the lead drops its leader right below.
-                        Err(why) => log::info!("nothing was proposed: {why}"),
+                        // If this replica no longer leads, the call below drops its leader.
+                        Err(why) => log::info!("no command was proposed: {why}"),
                     },
-                    Err(error) => log::error!("commands cannot be encoded: {error}"),
+                    Err(error) => log::error!("cannot encode commands: {error}"),
                 }
             }
         }
         self.process_raft_output(now);
     }
 
-    /// Carries out what the consensus asks for.
+    /// Processes the output of Raft until it commits nothing more.
     pub(crate) fn process_raft_output(&mut self, now: Now) {
         loop {
             let output = self.raft.take();
@@ -161,9 +164,9 @@
         let command: JobCommand = match postcard::from_bytes(bytes) {
             Ok(command) => command,
             Err(error) => {
-                // Going on without it would let this replica's state part from the
-                // others' for ever.
-                log::error!("record {index} cannot be applied: {error}");
+                // Skipping the record would make this replica's state diverge from the other
+                // replicas' permanently.
+                log::error!("cannot decode record {index}; aborting: {error}");
                 std::process::abort();
             }
         };
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Lets go the messages whose writes the disk has confirmed.
+    /// Moves messages whose writes are on disk to the outbox.
     fn release_messages(&mut self) {
         let persisted_seq = self.persisted_seq;
         let mut remaining = VecDeque::new();
@@ -205,9 +208,9 @@
         self.held_messages = remaining;
     }
 
-    // ---- the disk ----
+    // ---- disk ----
 
-    /// What the disk is to do next, writes first.
+    /// Returns the next disk task; writes come first.
     pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
         if !self.pending_writes.is_empty() {
             return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
@@ -218,12 +221,12 @@
         self.start_due_snapshot()
     }
 
-    /// Whether the disk has something to do.
+    /// Returns whether a disk task is pending.
     pub(crate) fn has_disk_task(&self) -> bool {
         !self.pending_writes.is_empty() || self.pending_install.is_some() || self.is_snapshot_due()
     }
 
-    /// The disk has done something.
+    /// Handles the completion of a disk task.
     pub(crate) fn handle_disk_event(&mut self, now: Now, event: &DiskEvent) {
         match event {
             DiskEvent::Written { seq, counts } => {
@@ -242,13 +245,13 @@
         let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode_as::<CellState>(&bytes, "a snapshot of the leader") {
             Ok(decoded) => {
-                log::info!("took over the leader's state up to record {}", meta.index);
+                log::info!("installed the leader's snapshot up to record {}", meta.index);
                 self.state = Some(decoded.state);
                 self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
-                log::error!("the leader's snapshot cannot be read: {error}");
+                log::error!("cannot decode the leader's snapshot: {error}");
                 self.raft.installed(None);
             }
         }
@@ -264,7 +267,7 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("no snapshot: {error}");
+                log::error!("cannot encode a snapshot: {error}");
                 None
             }
         }
@@ -287,12 +290,12 @@
 
     fn offer_snapshot(&mut self, now: Now, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} the state up to record {}", meta.index);
+            log::info!("sending replica {to} a snapshot up to record {}", meta.index);
             self.raft.offer_snapshot(now.at, to, meta, bytes.into());
         }
     }
 
-    /// How long ago this leader heard a member's replica.
+    /// Returns the time since this leader last received a message from replica `id`.
     pub(crate) fn silence(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
         self.raft.last_heard(id).map(|heard| now.since(heard))
     }
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -1,4 +1,4 @@
-//! Starts and stops all parts of one process of a cell.
+//! Starts and stops one process of a cell.
 
 use crate::cell::adapter::{ApiAdapter, SeedSource};
 use crate::cell::config::CellConfig;
@@ -28,23 +28,22 @@
 use yuccalink_coordination::raft::ReplicaId;
 use yuccalink_state::jobs::CellState;
 
-/// How often time is looked at where there is a replica: a quarter of the
-/// heartbeat of the consensus.
+/// Interval between clock ticks of a replica: a quarter of the Raft heartbeat interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// How often settings are read again; they may change without a signal.
+/// Interval at which the seeds are read again; they may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for another replica to take over at a planned stop.
+/// Time limit for another replica to take over the leadership at a planned stop.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait for requests in flight once no new ones come.
+/// Time limit for requests in flight to finish after connections stop being accepted.
 const IN_FLIGHT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How often a stopping process looks whether it may go on.
+/// Interval at which a stopping process checks whether it can proceed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs one process of a cell until a signal ends it.
+/// Runs one process of a cell until a signal stops it.
 ///
 /// # Errors
-/// [`Error`] when a port is taken or the data folder cannot be used, or when the
-/// disk fails later on.
+/// Returns an [`Error`] if a port is in use, the data folder is unusable, or the disk fails
+/// later.
 pub fn run(
     config: CellConfig,
     adapter: Box<dyn ApiAdapter>,
@@ -105,15 +104,15 @@
     Ok(())
 }
 
-/// Stops so that no request in flight is cut off: red for the balancer first,
-/// leadership to another, then no new connections, then what is in flight.
+/// Stops without cutting off requests in flight: first reports not ready to the load balancer
+/// and transfers the leadership, then closes the listeners, then waits for requests in flight.
 async fn stop(
     node: &SharedNode,
     context: &HttpContext,
     close: &watch::Sender<bool>,
     drain: Duration,
 ) {
-    log::info!("stopping: no longer ready, serving for {drain:?} more");
+    log::info!("stopping: no longer ready, serving for another {drain:?}");
     let stop_started = Instant::now();
     node.start_draining();
     transfer_leadership(node).await;
@@ -123,7 +122,7 @@
     while context.in_flight.get() > 0 && Instant::now() < deadline {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    // The last answers leave.
+    // Leaves time to send the last responses.
     tokio::time::sleep(POLL_INTERVAL).await;
     log::info!("stopped in-flight={}", context.in_flight.get());
 }
@@ -164,10 +163,10 @@
                 log::info!("reloaded seeds={seeds:?} were={:?}", node.peer_table.seeds);
                 node.peer_table.seeds = seeds;
             } else if requested {
-                log::info!("reloaded, nothing has changed");
+                log::info!("reloaded, seeds unchanged");
             }
         }),
-        Err(why) => log::warn!("settings are left as they were: {why}"),
+        Err(why) => log::warn!("cannot reload the seeds; keeping the previous ones: {why}"),
     }
 }
 
@@ -206,7 +205,7 @@
     let name = config.name.clone();
     let replica =
         Replica::new(config.leader, name, recovered, random_u64(), now).map_err(|bad| {
-            Error::Setting { flag: "data", what: format!("the state cannot be read: {bad}").into() }
+            Error::Setting { flag: "data", what: format!("cannot read the state: {bad}").into() }
         })?;
     Ok((journal, replica))
 }
@@ -238,7 +237,7 @@
     signal(kind).map_err(Error::Thread)
 }
 
-/// A number from the system's generator.
+/// Returns a number from the system's random generator, or the time if that fails.
 fn random_u64() -> u64 {
     SysRng.try_next_u64().unwrap_or_else(|_| crate::clock::unix_ms())
 }
