--- a/crates/daemon/src/cell/metrics.rs
+++ b/crates/daemon/src/cell/metrics.rs
@@ -1,14 +1,14 @@
 //! Counters and latency histograms of one process, as text.
 
-use crate::cell::connections::Connections;
+use crate::cell::connections::ConnectionLimiter;
 use std::fmt::Write;
 use std::time::Duration;
 use yuccalink_coordination::jobs::Leader;
 
-/// Upper bounds of the histograms' buckets, in milliseconds.
+/// Upper bounds of the histogram buckets.
 const BOUNDS_MS: [u64; 10] = [1, 2, 5, 10, 20, 50, 100, 250, 1_000, 2_500];
 
-/// Counts of durations, by bucket.
+/// Histogram of durations.
 #[derive(Debug, Default)]
 pub(crate) struct Histogram {
     buckets: [u64; BOUNDS_MS.len()],
@@ -17,7 +17,7 @@
 }
 
 impl Histogram {
-    pub(crate) fn add(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let ms = took.as_millis();
         if let Some(at) = BOUNDS_MS.iter().position(|bound| ms <= u128::from(*bound)) {
             self.buckets[at] += 1;
@@ -26,66 +26,66 @@
         self.sum += took;
     }
 
-    fn write(&self, name: &str, f: &mut String) {
-        let mut upto = 0;
+    fn write(&self, name: &str, out: &mut String) {
+        let mut cumulative = 0;
         for (bound, count) in BOUNDS_MS.iter().zip(self.buckets) {
-            upto += count;
-            let _ = writeln!(f, "{name}_ms_bucket{{le=\"{bound}\"}} {upto}");
+            cumulative += count;
+            let _ = writeln!(out, "{name}_ms_bucket{{le=\"{bound}\"}} {cumulative}");
         }
-        let _ = writeln!(f, "{name}_ms_bucket{{le=\"+Inf\"}} {}", self.count);
-        let _ = writeln!(f, "{name}_ms_sum {}", self.sum.as_millis());
-        let _ = writeln!(f, "{name}_ms_count {}", self.count);
+        let _ = writeln!(out, "{name}_ms_bucket{{le=\"+Inf\"}} {}", self.count);
+        let _ = writeln!(out, "{name}_ms_sum {}", self.sum.as_millis());
+        let _ = writeln!(out, "{name}_ms_count {}", self.count);
     }
 }
 
-/// All of them.
+/// Counters and histograms of one process.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
-    /// Callers' requests.
+    /// Durations of callers' requests.
     pub(crate) callers: Histogram,
-    /// Requests of runners and operators.
+    /// Durations of requests of runners and operators.
     pub(crate) control: Histogram,
-    /// Requests that read or change the change set.
+    /// Durations of requests that read or replace the change set.
     pub(crate) changes: Histogram,
-    /// Connections to other processes that were lost, or could not be made.
-    pub(crate) links_lost: u64,
-    /// Leaders that were no longer believed in.
+    /// Connections to other processes that were lost or could not be established.
+    pub(crate) connections_lost: u64,
+    /// Times when the known leader was dropped because it did not respond or no longer led.
     pub(crate) leaders_lost: u64,
-    /// Responses by their hundreds: 2xx, 3xx, 4xx, 5xx.
+    /// Responses by status class: 2xx, 3xx, 4xx, 5xx.
     pub(crate) statuses: [u64; 4],
 }
 
 impl Metrics {
-    pub(crate) fn responded(&mut self, status: u16) {
+    pub(crate) fn record_status(&mut self, status: u16) {
         let class = usize::from(status / 100).saturating_sub(2);
         if let Some(count) = self.statuses.get_mut(class) {
             *count += 1;
         }
     }
 
-    /// The text that is served.
-    pub(crate) fn text(
+    /// Renders all metrics as text.
+    pub(crate) fn render(
         &self,
         leader: Option<&Leader>,
         change_version: Option<u64>,
-        connections: &Connections,
+        connections: &ConnectionLimiter,
     ) -> String {
-        let mut f = String::new();
+        let mut out = String::new();
         for (class, count) in self.statuses.iter().enumerate() {
             let class = class + 2;
-            let _ = writeln!(f, "yuccalink_responses{{class=\"{class}xx\"}} {count}");
+            let _ = writeln!(out, "yuccalink_responses{{class=\"{class}xx\"}} {count}");
         }
-        self.callers.write("yuccalink_callers", &mut f);
-        self.control.write("yuccalink_control", &mut f);
-        self.changes.write("yuccalink_changes", &mut f);
-        let _ = writeln!(f, "yuccalink_connections {}", connections.open());
-        let _ = writeln!(f, "yuccalink_connections_turned_away {}", connections.turned_away());
-        let _ = writeln!(f, "yuccalink_links_lost {}", self.links_lost);
-        let _ = writeln!(f, "yuccalink_leaders_lost {}", self.leaders_lost);
+        self.callers.write("yuccalink_callers", &mut out);
+        self.control.write("yuccalink_control", &mut out);
+        self.changes.write("yuccalink_changes", &mut out);
+        let _ = writeln!(out, "yuccalink_connections {}", connections.open());
+        let _ = writeln!(out, "yuccalink_connections_turned_away {}", connections.rejected_total());
+        let _ = writeln!(out, "yuccalink_links_lost {}", self.connections_lost);
+        let _ = writeln!(out, "yuccalink_leaders_lost {}", self.leaders_lost);
         if let Some(version) = change_version {
-            let _ = writeln!(f, "yuccalink_change_version {version}");
+            let _ = writeln!(out, "yuccalink_change_version {version}");
         }
-        let _ = writeln!(f, "yuccalink_leads {}", u8::from(leader.is_some()));
+        let _ = writeln!(out, "yuccalink_leads {}", u8::from(leader.is_some()));
         if let Some(leader) = leader {
             let counts = leader.counts();
             let values = [
@@ -105,9 +105,9 @@
                 ("steps_waiting", leader.waiting_len() as u64),
             ];
             for (name, value) in values {
-                let _ = writeln!(f, "yuccalink_{name} {value}");
+                let _ = writeln!(out, "yuccalink_{name} {value}");
             }
         }
-        f
+        out
     }
 }
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -1,5 +1,5 @@
-//! One replica of the cell's state: its part in the consensus, and the leader
-//! while it leads. Carries out what the consensus asks for.
+//! One replica of the cell's state: drives Raft, applies committed commands, and runs the
+//! leader while this replica leads.
 
 use crate::cell::disk::DiskTask;
 use crate::journal::{DiskEvent, from_hard, to_entry};
@@ -18,30 +18,33 @@
 use yuccalink_state::snapshot::{self, Meta};
 use yuccalink_state::store::Recovered;
 
-/// Records after which a snapshot is taken.
-const SNAPSHOT_RECORDS: u64 = 20_000;
-/// Bytes of log after which a snapshot is taken: two snapshots and two such logs
-/// stay under half of the smallest disk, 128 MB.
-const SNAPSHOT_BYTES: u64 = 8 * 1024 * 1024;
-/// Most commands in one proposal.
-const BATCH_MAX: usize = 512;
+/// Log records after which a snapshot is taken.
+const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
+/// Log bytes after which a snapshot is taken. Two snapshots and two such logs stay under half
+/// of the smallest disk, 128 MB.
+const SNAPSHOT_AFTER_BYTES: u64 = 8 * 1024 * 1024;
+/// Largest number of commands in one proposal.
+const PROPOSAL_MAX_COMMANDS: usize = 512;
 
 pub(crate) struct Replica {
     cfg: LeaderConfig,
     name: Box<str>,
     pub(crate) raft: Raft,
-    /// The state, but while this replica leads: then the leader has it.
+    /// The replicated state; `None` while this replica leads, when the leader owns it.
     state: Option<CellState>,
     pub(crate) leader: Option<Leader>,
-    applied: u64,
-    writes: Vec<LogWrite>,
-    install: Option<(SnapshotMeta, Vec<u8>)>,
-    held: VecDeque<(u64, Envelope)>,
-    written: u64,
-    /// Messages to send now.
+    applied_index: u64,
+    pending_writes: Vec<LogWrite>,
+    pending_install: Option<(SnapshotMeta, Vec<u8>)>,
+    /// Messages that wait until the write with their sequence number is on disk.
+    held_messages: VecDeque<(u64, Envelope)>,
+    /// Sequence number of the last write that is on disk.
+    persisted_seq: u64,
+    /// Messages that may be sent now.
     pub(crate) outbox: Vec<Envelope>,
-    counts: LogCounters,
-    snapshot_at: LogCounters,
+    log_counters: LogCounters,
+    /// Value of `log_counters` when the last snapshot was taken.
+    counters_at_snapshot: LogCounters,
 }
 
 impl Replica {
@@ -67,18 +70,18 @@
             raft: Raft::new(ReplicaId(replica), restored, seed, now),
             state: Some(state),
             leader: None,
-            applied: meta.index,
-            writes: Vec::new(),
-            install: None,
-            held: VecDeque::new(),
-            written: 0,
+            applied_index: meta.index,
+            pending_writes: Vec::new(),
+            pending_install: None,
+            held_messages: VecDeque::new(),
+            persisted_seq: 0,
             outbox: Vec::new(),
-            counts: LogCounters::default(),
-            snapshot_at: LogCounters::default(),
+            log_counters: LogCounters::default(),
+            counters_at_snapshot: LogCounters::default(),
         })
     }
 
-    /// The leader, while this replica leads and no other can have been elected.
+    /// Returns the leader while this replica holds the lease, so no other can have been elected.
     pub(crate) fn leader(&mut self, now: Moment) -> Option<&mut Leader> {
         match self.raft.has_lease(now) {
             true => self.leader.as_mut(),
@@ -86,7 +89,7 @@
         }
     }
 
-    /// The state as far as this replica has applied it.
+    /// Returns the state that this replica has applied.
     pub(crate) fn state(&self) -> Option<&CellState> {
         match &self.leader {
             Some(leader) => Some(leader.state()),
@@ -94,7 +97,7 @@
         }
     }
 
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.raft.role() == Role::Leader
     }
 
@@ -108,38 +111,38 @@
 
     pub(crate) fn step(&mut self, now: Now, envelope: Envelope) {
         self.raft.step(now.at, envelope);
-        self.pump(now);
+        self.process_raft_output(now);
     }
 
-    /// Gives what the leader has decided to the log, and carries out what follows.
+    /// Proposes the leader's pending commands to Raft and processes Raft's output.
     pub(crate) fn propose(&mut self, now: Now) {
         if self.raft.has_lease(now.at)
             && let Some(leader) = &mut self.leader
         {
-            let commands = leader.next_batch(BATCH_MAX);
+            let commands = leader.next_batch(PROPOSAL_MAX_COMMANDS);
             if !commands.is_empty() {
                 match encode_all(&commands) {
                     Ok(encoded) => match self.raft.propose(now.at, encoded) {
                         Ok(first) => leader.batch_appended(first),
-                        // A replica that lost the lead drops its leader right below.
-                        Err(why) => log::info!("nothing was proposed: {why}"),
+                        // If this replica no longer leads, the call below drops its leader.
+                        Err(why) => log::info!("no command was proposed: {why}"),
                     },
-                    Err(error) => log::error!("commands cannot be encoded: {error}"),
+                    Err(error) => log::error!("cannot encode commands: {error}"),
                 }
             }
         }
-        self.pump(now);
+        self.process_raft_output(now);
     }
 
-    /// Carries out what the consensus asks for.
-    pub(crate) fn pump(&mut self, now: Now) {
+    /// Processes the output of Raft until it commits nothing more.
+    pub(crate) fn process_raft_output(&mut self, now: Now) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
-            self.writes.extend(output.persist);
-            self.held.extend(output.messages);
+            self.pending_writes.extend(output.persist);
+            self.held_messages.extend(output.messages);
             if output.install.is_some() {
-                self.install = output.install;
+                self.pending_install = output.install;
             }
             for (index, entry) in output.committed {
                 self.apply(now, index, &entry);
@@ -152,18 +155,18 @@
                 break;
             }
         }
-        self.release();
+        self.release_messages();
     }
 
     fn apply(&mut self, now: Now, index: u64, entry: &LogEntry) {
-        self.applied = index;
+        self.applied_index = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command: JobCommand = match postcard::from_bytes(bytes) {
             Ok(command) => command,
             Err(error) => {
-                // Going on without it would let this replica's state part from the
-                // others' for ever.
-                log::error!("record {index} cannot be applied: {error}");
+                // Skipping the record would make this replica's state diverge from the other
+                // replicas' permanently.
+                log::error!("cannot decode record {index}; aborting: {error}");
                 std::process::abort();
             }
         };
@@ -175,7 +178,7 @@
     }
 
     fn change_role(&mut self, now: Now) {
-        if !self.leads()
+        if !self.is_leader()
             && let Some(leader) = self.leader.take()
         {
             log::warn!("role=follower term={} was=leader", self.raft.term());
@@ -185,70 +188,70 @@
             && self.leader.is_none()
             && let Some(state) = self.state.take()
         {
-            log::info!("role=leader term={} record={}", self.raft.term(), self.applied);
+            log::info!("role=leader term={} record={}", self.raft.term(), self.applied_index);
             let mut leader = Leader::new(self.cfg, self.raft.term(), state, now);
             leader.set_node_name(&self.name);
             self.leader = Some(leader);
         }
     }
 
-    /// Lets go the messages whose writes the disk has confirmed.
-    fn release(&mut self) {
-        let written = self.written;
-        let mut later = VecDeque::new();
-        for (seq, envelope) in std::mem::take(&mut self.held) {
-            match seq > written {
-                true => later.push_back((seq, envelope)),
+    /// Moves messages whose writes are on disk to the outbox.
+    fn release_messages(&mut self) {
+        let persisted_seq = self.persisted_seq;
+        let mut remaining = VecDeque::new();
+        for (seq, envelope) in std::mem::take(&mut self.held_messages) {
+            match seq > persisted_seq {
+                true => remaining.push_back((seq, envelope)),
                 false => self.outbox.push(envelope),
             }
         }
-        self.held = later;
+        self.held_messages = remaining;
     }
 
-    // ---- the disk ----
+    // ---- disk ----
 
-    /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
-        if !self.writes.is_empty() {
-            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
+    /// Returns the next disk task; writes come first.
+    pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
+        if !self.pending_writes.is_empty() {
+            return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
         }
-        if let Some((meta, bytes)) = &self.install {
+        if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
-        self.snapshot_due()
+        self.start_due_snapshot()
     }
 
-    /// Whether the disk has something to do.
-    pub(crate) fn has_work(&self) -> bool {
-        !self.writes.is_empty() || self.install.is_some() || self.is_snapshot_due()
+    /// Returns whether a disk task is pending.
+    pub(crate) fn has_disk_task(&self) -> bool {
+        !self.pending_writes.is_empty() || self.pending_install.is_some() || self.is_snapshot_due()
     }
 
-    /// The disk has done something.
-    pub(crate) fn did(&mut self, now: Now, done: &DiskEvent) {
-        match done {
+    /// Handles the completion of a disk task.
+    pub(crate) fn handle_disk_event(&mut self, now: Now, event: &DiskEvent) {
+        match event {
             DiskEvent::Written { seq, counts } => {
-                self.written = *seq;
-                self.counts = *counts;
+                self.persisted_seq = *seq;
+                self.log_counters = *counts;
                 self.raft.persisted(*seq, now.at);
             }
             DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
-            DiskEvent::Installed => self.installed(),
+            DiskEvent::Installed => self.finish_install(),
             DiskEvent::Failed(_) => {}
         }
         self.propose(now);
     }
 
-    fn installed(&mut self) {
-        let Some((meta, bytes)) = self.install.take() else { return };
+    fn finish_install(&mut self) {
+        let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode_as::<CellState>(&bytes, "a snapshot of the leader") {
-            Ok(found) => {
-                log::info!("took over the leader's state up to record {}", meta.index);
-                self.state = Some(found.state);
-                self.applied = meta.index;
+            Ok(decoded) => {
+                log::info!("installed the leader's snapshot up to record {}", meta.index);
+                self.state = Some(decoded.state);
+                self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
-                log::error!("the leader's snapshot cannot be read: {error}");
+                log::error!("cannot decode the leader's snapshot: {error}");
                 self.raft.installed(None);
             }
         }
@@ -256,7 +259,7 @@
 
     fn encode_snapshot(&self) -> Option<(SnapshotMeta, Vec<u8>)> {
         let state = self.state()?;
-        let index = self.applied;
+        let index = self.applied_index;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
@@ -264,36 +267,36 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("no snapshot: {error}");
+                log::error!("cannot encode a snapshot: {error}");
                 None
             }
         }
     }
 
     fn is_snapshot_due(&self) -> bool {
-        let records = self.counts.records - self.snapshot_at.records;
-        let bytes = self.counts.bytes - self.snapshot_at.bytes;
-        records >= SNAPSHOT_RECORDS || bytes >= SNAPSHOT_BYTES
+        let records = self.log_counters.records - self.counters_at_snapshot.records;
+        let bytes = self.log_counters.bytes - self.counters_at_snapshot.bytes;
+        records >= SNAPSHOT_AFTER_RECORDS || bytes >= SNAPSHOT_AFTER_BYTES
     }
 
-    fn snapshot_due(&mut self) -> Option<DiskTask> {
+    fn start_due_snapshot(&mut self) -> Option<DiskTask> {
         if !self.is_snapshot_due() {
             return None;
         }
-        self.snapshot_at = self.counts;
+        self.counters_at_snapshot = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
 
     fn offer_snapshot(&mut self, now: Now, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} the state up to record {}", meta.index);
+            log::info!("sending replica {to} a snapshot up to record {}", meta.index);
             self.raft.offer_snapshot(now.at, to, meta, bytes.into());
         }
     }
 
-    /// How long ago this leader heard a member's replica.
-    pub(crate) fn silent(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
+    /// Returns the time since this leader last received a message from replica `id`.
+    pub(crate) fn silence(&self, now: Moment, id: ReplicaId) -> Option<Duration> {
         self.raft.last_heard(id).map(|heard| now.since(heard))
     }
 }
