--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -7,36 +7,36 @@
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 use yuccalink_state::worker::WorkerSpec;
 
-/// Most task reports, held tasks or task numbers in one message.
+/// Maximum number of task reports, reported tasks or task ids in one message.
 pub const LIST_MAX: usize = 20_000;
-/// Most tasks in one submission.
+/// Maximum number of tasks in one submission.
 pub const SUBMIT_MAX: u32 = 100_000;
-/// Largest payload of a task, in bytes.
+/// Maximum payload of a task, in bytes.
 pub const PAYLOAD_MAX: usize = 16 * 1024;
 
-/// A runner or a worker announces itself.
+/// Announcement by which a runner or worker registers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Announce {
     /// A runner.
     Runner {
-        /// What it is.
+        /// Name, address and other properties of the runner.
         #[serde(flatten)]
         spec: RunnerSpec,
-        /// Requests that it holds now.
+        /// Number of requests that the runner is processing.
         #[serde(default)]
         busy: u32,
     },
     /// A worker.
     Worker {
-        /// What it is.
+        /// Name, address and other properties of the worker.
         #[serde(flatten)]
         spec: WorkerSpec,
     },
 }
 
 impl Announce {
-    /// The target, and the requests that it holds.
+    /// Returns the target and its number of running requests, which is 0 for a worker.
     pub fn into_parts(self) -> (TargetSpec, u32) {
         match self {
             Self::Runner { spec, busy } => (TargetSpec::Runner(spec), busy),
@@ -45,60 +45,62 @@
     }
 }
 
-/// Answer to an announcement or heartbeat.
+/// Response to an announcement or heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HeartbeatReply {
-    /// When to send the next heartbeat, in milliseconds.
+    /// Time until the target should send the next heartbeat, in milliseconds.
     pub heartbeat_ms: u64,
-    /// For workers: tasks may run this long after the sending of the message
-    /// that this answers, in milliseconds. Then they must be stopped.
+    /// For workers: lease in milliseconds, counted from when the worker sent the
+    /// request. When it expires, the worker must stop its tasks.
     #[serde(default)]
     pub lease_ms: Option<u64>,
-    /// For workers: the next heartbeat must list every held task.
+    /// For workers: whether the next heartbeat must list every task in `held`.
     #[serde(default)]
     pub send_held: bool,
 }
 
-/// A target's regular word.
+/// Periodic report of a target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Heartbeat {
-    /// This run of the target's program.
+    /// Incarnation of the target process.
     pub incarnation: Incarnation,
-    /// Requests or tasks that it holds.
+    /// Number of requests or tasks that are running on the target.
     #[serde(default)]
     pub busy: u32,
-    /// Processor in use, in thousandths; may be late.
+    /// CPU in use, in thousandths of a core; may be out of date.
     #[serde(default)]
     pub millicores: u64,
-    /// Memory in use, in MiB; may be late.
+    /// Memory in use, in MiB; may be out of date.
     #[serde(default)]
     pub memory_mib: u64,
-    /// For workers: every task held, and every one with a report not yet answered.
-    /// May be left out where `held-digest` is given and the list was not asked for.
+    /// For workers: every task on the worker, and every task with a report that is not
+    /// yet acknowledged. May be omitted if `held-digest` is set and the last response
+    /// did not request the list.
     #[serde(default)]
     pub held: Option<Vec<ReportedTask>>,
     /// For workers: [`held_digest`] of the same tasks.
     #[serde(default)]
     pub held_digest: u32,
-    /// For workers: what happened since the last answered report.
+    /// For workers: task events since the last acknowledged report.
     #[serde(default)]
     pub reports: Vec<TaskReport>,
 }
 
-/// A task that a worker holds.
+/// A task that a worker reports as its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ReportedTask {
     /// The task.
     pub task: TaskId,
-    /// The placement that it holds.
+    /// Epoch of the task's placement on the worker.
     pub epoch: Epoch,
 }
 
-/// Digest of held tasks: equal digests on both sides spare the list. The sum, in
-/// 32 bits, of a mix of each task and epoch; the order does not matter.
+/// Digest of the tasks on a worker. If worker and leader have equal digests, the
+/// worker need not send the list. The digest is the 32-bit wrapping sum of a hash of
+/// each task and epoch, so the order of the tasks does not matter.
 ///
 /// ```
 /// # use yuccalink_protocol::api::{ReportedTask, held_digest};
@@ -116,11 +118,11 @@
     })
 }
 
-/// A target leaves.
+/// Request by which a target deregisters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Leave {
-    /// This run of the target's program.
+    /// Incarnation of the target process.
     pub incarnation: Incarnation,
 }
 
@@ -128,32 +130,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Orders {
-    /// The run of the worker's program that they are for; another run refuses them all.
+    /// Worker incarnation that the orders are for; any other incarnation refuses them all.
     pub incarnation: Incarnation,
-    /// What to do.
+    /// Orders, one for each task.
     pub orders: Vec<OrderTask>,
 }
 
-/// What to do with one task.
+/// Order for one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "order")]
 pub enum OrderTask {
-    /// Run it. A worker that has seen this task with this or a later epoch must
-    /// not start it again.
+    /// Starts the task. A worker that has already seen this task with this or a later
+    /// epoch must not start it again.
     Start(TaskStart),
-    /// Save its state, report that, and stop it.
+    /// Saves the state of the task, reports the checkpoint and stops the task.
     Checkpoint(ReportedTask),
-    /// Stop it.
+    /// Stops the task.
     Stop(ReportedTask),
-    /// Run it with this share of its processors, in thousandths, for a while.
+    /// Limits the task to a share of its processors for a limited time.
     Throttle {
         /// The task.
         task: TaskId,
-        /// The placement.
+        /// Epoch of the task's placement.
         epoch: Epoch,
-        /// 1000 is full speed.
+        /// Share of the processors in thousandths; 1000 is full speed.
         share: u32,
-        /// Then it runs at full speed again, unless the order came once more.
+        /// Duration of the limit in milliseconds. Then the task runs at full speed
+        /// again, unless the order was repeated.
         #[serde(rename = "for-ms")]
         for_ms: u64,
     },
@@ -165,52 +168,52 @@
 pub struct TaskStart {
     /// The task.
     pub task: TaskId,
-    /// Its placement, carried on every message about it.
+    /// Epoch of the placement, carried by every message about the task.
     pub epoch: Epoch,
-    /// The service it belongs to.
+    /// Service that the task belongs to.
     pub service: Name,
-    /// Its kind.
+    /// Kind of the task.
     pub kind: Name,
-    /// What it may use.
+    /// Resources that the task may use.
     pub need: Resources,
-    /// Its declared run time, in milliseconds.
+    /// Declared run time of the task, in milliseconds.
     pub duration_ms: u64,
-    /// Work already saved, in milliseconds of run time; resume from there.
+    /// Run time saved by the checkpoint that the task resumes from, in milliseconds.
     pub done_ms: u64,
-    /// The epoch that saved it.
+    /// Epoch of the placement that saved the checkpoint.
     pub checkpoint: Option<Epoch>,
-    /// As submitted.
+    /// Payload, unchanged from the submission.
     pub payload: Box<str>,
 }
 
-/// A worker's answer to orders.
+/// Response of a worker to orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct OrdersTaken {
-    /// Reports that are already known: started, refused, stopped.
+    /// Task events that are known already: started, refused or stopped.
     pub reports: Vec<TaskReport>,
 }
 
-/// Answer to an accepted document.
+/// Response to an accepted document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Applied {
     /// The service.
     pub service: Name,
-    /// The version accepted.
+    /// The accepted version.
     pub version: u64,
-    /// Its place in the order of changes.
+    /// Revision that the document was given; every accepted document raises it.
     pub revision: u64,
-    /// Whether this answers a resend.
+    /// Whether the document had been accepted before, so the request was a retry.
     pub resent: bool,
-    /// Whether every entry that may serve has it in force.
+    /// Whether every entry that may be serving has applied the document.
     pub in_force_everywhere: bool,
-    /// Entries that may still serve an older version.
+    /// Entries that may still be serving with an older version.
     #[serde(default)]
     pub waiting_for: Vec<Name>,
 }
 
-/// A document as it is kept.
+/// A stored document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ServiceView {
@@ -220,11 +223,11 @@
     pub team: Name,
     /// The version in force.
     pub version: u64,
-    /// Its place in the order of changes.
+    /// Revision that the document was given when it was accepted.
     pub revision: u64,
-    /// Who applied it.
+    /// Author who applied the document.
     pub author: Box<str>,
-    /// The text.
+    /// Text of the document.
     #[serde(default)]
     pub text: Option<Box<str>>,
 }
@@ -237,13 +240,13 @@
     pub service: Name,
     /// The kind of task.
     pub kind: Name,
-    /// How many, 1 when absent.
+    /// Number of tasks; 1 if absent.
     #[serde(default = "one")]
     pub count: u32,
-    /// Place before all others.
+    /// Whether the tasks are placed before all other tasks.
     #[serde(default)]
     pub urgent: bool,
-    /// Given to the workers as it is.
+    /// Payload, passed to the workers unchanged.
     #[serde(default)]
     pub payload: Box<str>,
 }
@@ -252,15 +255,15 @@
     1
 }
 
-/// Answer to a submission.
+/// Response to a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Submitted {
-    /// The first task; the others are numbered on from it.
+    /// Id of the first task; the other tasks have the ids that follow.
     pub first: TaskId,
-    /// How many.
+    /// Number of tasks.
     pub count: u32,
-    /// Whether this answers a resend.
+    /// Whether the tasks had been accepted before, so the request was a retry.
     pub resent: bool,
 }
 
@@ -268,75 +271,75 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CancelTasks {
-    /// Their numbers.
+    /// Ids of the tasks.
     pub tasks: Vec<TaskId>,
 }
 
-/// What became of one cancellation.
+/// Result of cancelling one task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Cancelled {
     /// The task.
     pub task: TaskId,
-    /// What it came to.
+    /// Outcome of the cancellation.
     pub outcome: CancelOutcome,
 }
 
-/// A task as operators see it.
+/// A task as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TaskView {
-    /// Its number.
+    /// Id of the task.
     pub task: TaskId,
     /// The service.
     pub service: Name,
-    /// Its kind.
+    /// Kind of the task.
     pub kind: Name,
     /// `waiting`, `placed`, `running`, `stopping`, `finished`, `failed` or `cancelled`.
     pub phase: Box<str>,
-    /// The reason, where there is one.
+    /// Reason for the phase, if any.
     #[serde(default)]
     pub reason: Option<Box<str>>,
-    /// Where it is.
+    /// Worker that the task is placed on, if any.
     #[serde(default)]
     pub worker: Option<Name>,
-    /// Number of its last placement.
+    /// Epoch of the last placement.
     pub epoch: Epoch,
-    /// Work saved, in milliseconds.
+    /// Run time saved by checkpoints, in milliseconds.
     pub done_ms: u64,
-    /// Times evicted.
+    /// Number of evictions.
     pub evictions: u32,
-    /// Times failed.
+    /// Number of failures.
     pub failures: u32,
-    /// Whether it goes before all others.
+    /// Whether the task is placed before all other tasks.
     pub urgent: bool,
 }
 
-/// A daemon and what it knows of the others.
+/// Status of a daemon and of the system as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// The daemon asked.
+    /// Daemon that received the request.
     pub entry: Name,
-    /// The daemon that decides, if known.
+    /// Daemon that is the leader, if known.
     pub leader: Option<Name>,
     /// The leader's term.
     pub term: u64,
     /// Revision of the last accepted document.
     pub revision: u64,
-    /// Every entry that the leader has heard.
+    /// Every entry that has reported to the leader.
     pub entries: Vec<EntryView>,
-    /// Tasks waiting.
+    /// Number of tasks that wait for a placement.
     pub waiting: u64,
-    /// Tasks on workers.
+    /// Number of tasks on workers.
     pub on_workers: u64,
-    /// Requests kept in the ledger.
+    /// Number of requests kept in the ledger.
     pub ledger_requests: u64,
-    /// Bytes kept in the ledger.
+    /// Size of the ledger in bytes.
     pub ledger_bytes: u64,
-    /// The leader's log.
+    /// Counters of the leader's log.
     pub log: LogView,
-    /// The daemons that keep the state.
+    /// Replicas of the state.
     pub members: Vec<MemberView>,
 }
 
@@ -344,80 +347,80 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct MemberView {
-    /// Its daemon.
+    /// Daemon of the replica.
     pub name: Name,
-    /// Its disk.
+    /// Id of the replica, stored on its disk.
     pub replica: Box<str>,
-    /// Whether it votes, or only follows yet.
+    /// Whether the replica votes; otherwise it only follows so far.
     pub voter: bool,
-    /// Whether it leads.
+    /// Whether the replica is the leader.
     pub leads: bool,
-    /// Time since it was heard, in milliseconds.
+    /// Time since the last message from the replica, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// Counts of a log since its daemon started.
+/// Counters of a log since its daemon started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LogView {
     /// Index of the last durable record.
     pub last: u64,
-    /// Syncs.
+    /// Number of syncs to disk.
     pub syncs: u64,
-    /// Records.
+    /// Number of records written.
     pub records: u64,
-    /// Bytes.
+    /// Number of bytes written.
     pub bytes: u64,
 }
 
-/// One entry as the leader sees it.
+/// An entry as the leader sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct EntryView {
-    /// Its name.
+    /// Name of the entry.
     pub entry: Name,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Where it takes callers' requests.
+    /// Address that accepts callers' requests.
     #[serde(rename = "callers")]
     pub caller_address: Box<str>,
-    /// The revision it has in force.
+    /// Document revision that the entry has applied.
     pub revision: u64,
-    /// Whether it may be serving.
+    /// Whether the entry may be serving, as its configuration lease is valid.
     pub lease: bool,
-    /// Whether it is about to stop.
+    /// Whether the entry is about to stop.
     pub draining: bool,
-    /// Time since it was heard, in milliseconds.
+    /// Time since the last message from the entry, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// A target as operators see it.
+/// A target as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TargetView {
-    /// What it announced.
+    /// Properties from the target's announcement.
     pub target: TargetSpec,
     /// `live`, `suspected`, `leaving` or `gone`.
     pub health: Box<str>,
-    /// Requests or tasks it said it holds.
+    /// Number of requests or tasks that the target reported as running.
     pub busy: u32,
-    /// The entry that routes to it.
+    /// Entry that routes to the target.
     pub owner: Option<Name>,
-    /// Time since it was heard, in milliseconds.
+    /// Time since the last message from the target, in milliseconds.
     pub silent_ms: u64,
-    /// For workers: what is committed.
+    /// For workers: resources committed to tasks.
     #[serde(default)]
     pub committed: Option<Resources>,
 }
 
-/// One decision, newest first in lists.
+/// A decision of the leader. Lists of decisions start with the newest one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct DecisionView {
-    /// Unix milliseconds.
+    /// Time of the decision in Unix milliseconds.
     pub at_ms: u64,
-    /// The daemon that decided.
+    /// Daemon that made the decision.
     pub entry: Name,
-    /// The log line.
+    /// Log line of the decision.
     pub line: Box<str>,
 }
--- a/crates/protocol/src/document.rs
+++ b/crates/protocol/src/document.rs
@@ -1,5 +1,5 @@
-//! Reads the TOML text of a service document and checks it whole: every fault
-//! is reported at once, with its place and its remedy.
+//! Parses and validates the TOML text of a service document. All errors are reported
+//! at once, each with its position and its remedy.
 
 use crate::fields::{Collector, Section, ValidationErrors, flag, text, thousandths, unit, whole};
 use crate::units::{mebibytes, millis, minute_of_day};
@@ -11,44 +11,44 @@
 };
 use yuccalink_state::id::Name;
 
-/// Largest document text, in bytes.
+/// Maximum size of a document, in bytes.
 pub const TEXT_MAX: usize = 64 * 1024;
-/// Most kinds of request, and most kinds of task.
+/// Maximum number of request kinds and of task kinds in a document.
 pub const KINDS_MAX: usize = 64;
-/// Longest deadline of a request, in milliseconds.
+/// Maximum deadline of a request, in milliseconds.
 pub const DEADLINE_MAX_MS: u64 = 10 * 60 * 1000;
-/// Highest worth of a request kind.
+/// Maximum worth of a request kind.
 pub const WORTH_MAX: u64 = 1_000_000;
 const PROCESSORS_MAX: u64 = 4_096;
 const MEMORY_MAX_MIB: u64 = 64 * 1024 * 1024;
 const ACCELERATORS_MAX: u64 = 1_024;
 const EVICTIONS_MAX: u64 = 1_000;
 
-/// Reads and checks a document.
+/// Parses and validates a document.
 ///
 /// # Errors
-/// [`ValidationErrors`], all of them.
+/// [`ValidationErrors`] with every error in the document.
 ///
 /// ```
 /// use yuccalink_protocol::document::read;
 /// let text = "service = 'quotes'\nteam = 'vlecna-sit'\nversion = 1\n";
 /// assert_eq!(read(text)?.version, 1);
-/// let faults = read("service = 'Quotes'\nversoin = 1\n").unwrap_err();
-/// assert_eq!(faults.0.len(), 4);
+/// let errors = read("service = 'Quotes'\nversoin = 1\n").unwrap_err();
+/// assert_eq!(errors.0.len(), 4);
 /// # Ok::<(), yuccalink_protocol::fields::ValidationErrors>(())
 /// ```
 pub fn read(source: &str) -> Result<Document, ValidationErrors> {
     let mut out = Collector::new(source);
     if source.len() > TEXT_MAX {
         let what =
-            format!("the text has {} bytes, {TEXT_MAX} are allowed; shorten it", source.len());
+            format!("the document has {} bytes, the limit is {TEXT_MAX}; shorten it", source.len());
         out.add(0, "", what);
         return Err(out.finish());
     }
     let (table, broken) = DeTable::parse_recoverable(source);
     for error in &broken {
         let at = error.span().map_or(0, |span| span.start);
-        out.add(at, "", format!("not TOML: {}; correct it there", error.message()));
+        out.add(at, "", format!("not TOML: {}; correct it at this position", error.message()));
     }
     if !out.is_clean() {
         return Err(out.finish());
@@ -60,7 +60,7 @@
     }
 }
 
-/// Digest that tells a resent text from a changed one.
+/// Digest of a document, to distinguish a retry from a changed text.
 ///
 /// ```
 /// # use yuccalink_protocol::document::digest;
@@ -107,7 +107,7 @@
     let start = section.required(out, "start", "\"08:30\"", minute);
     let end = section.required(out, "end", "\"17:30\"", minute);
     if start.is_some() && start == end {
-        section.fault(out, "end", "equals start; a peak needs some length, or leave [peak] out");
+        section.fault(out, "end", "equals start, so the peak is empty; change it or remove [peak]");
     }
     section.close(out);
     Some(Peak { time_zone: zone?, start_minute: start?, end_minute: end? })
@@ -133,11 +133,11 @@
     let evictions = section.optional(out, "evictions", |v| whole(v, 0, EVICTIONS_MAX)).unwrap_or(0);
     let wait = section.optional(out, "batch-wait", |v| unit(millis(text(v)?))).unwrap_or(0);
     if evictions > 0 && !checkpoint && !stop {
-        let what = "needs `checkpoint = true` or `stop = true`: there is no other way to evict";
+        let what = "needs `checkpoint = true` or `stop = true`, the only ways to evict a task";
         section.fault(out, "evictions", what);
     }
     if evictions == 0 && (checkpoint || stop) {
-        let what = "must be at least 1 where checkpoint or stop is true; set it or drop those";
+        let what = "must be at least 1 if checkpoint or stop is true; set it or remove those";
         section.fault(out, "evictions", what);
     }
     section.close(out);
@@ -159,8 +159,10 @@
             out.add(start, &label, format!("`{}` is there twice; rename one", kind.name));
         }
         if kinds.iter().any(|other| other.method == kind.method && other.path == kind.path) {
-            let what =
-                format!("`{}` is never reached: an earlier kind matches the same", kind.name);
+            let what = format!(
+                "`{}` is never reached: an earlier kind matches the same requests",
+                kind.name
+            );
             out.add(start, &label, format!("{what}; change its method or path"));
         }
         kinds.push(kind);
@@ -191,13 +193,14 @@
     if METHODS.contains(&method) {
         return Ok(method.into());
     }
-    Err(format!("`{method}` is not one of {}; or leave it out for any", METHODS.join(", ")).into())
+    Err(format!("`{method}` is not one of {}; omit it to match any method", METHODS.join(", "))
+        .into())
 }
 
 fn path(value: &DeValue<'_>) -> Result<Box<str>, Box<str>> {
     let path = text(value)?;
     if !path.starts_with('/') || path.contains(['?', '#', ' ']) {
-        return Err(format!("`{path}` is no path; write one such as \"/drafts/*\"").into());
+        return Err(format!("`{path}` is not a path; write one such as \"/drafts/*\"").into());
     }
     let mut segments = path.split('/').skip(1).peekable();
     while let Some(segment) = segments.next() {
--- a/crates/protocol/src/fields.rs
+++ b/crates/protocol/src/fields.rs
@@ -1,5 +1,5 @@
-//! Reads the tables of a TOML text field by field and collects every fault
-//! with its place, where a derived reader would stop at the first.
+//! Reads the tables of a TOML text field by field and collects every error with its
+//! position. A derived deserializer would stop at the first error.
 
 use crate::units::BadUnit;
 use std::collections::BTreeSet;
@@ -8,16 +8,16 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// One thing that is wrong with a text, where, and what to do about it.
+/// An error in a document, with its position and remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Counted from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Counted from 1, in characters.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// The field, such as `request[2].deadline`; empty for the whole text.
+    /// Path of the field, such as `request[2].deadline`; empty for the whole document.
     pub field: Box<str>,
-    /// What is wrong and the remedy.
+    /// Description of the error and its remedy.
     pub what: Box<str>,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Every fault found in one text.
+/// All errors found in one document.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ValidationErrors(pub Vec<ValidationError>);
 
@@ -49,7 +49,7 @@
 
 impl std::error::Error for ValidationErrors {}
 
-/// Collects faults while a text is read.
+/// Collects errors while a document is read.
 #[derive(Debug)]
 pub(crate) struct Collector<'a> {
     text: &'a str,
@@ -78,7 +78,7 @@
     }
 }
 
-/// One table, whose fields are taken by name; what is left over is a fault.
+/// A TOML table whose fields are read by name; fields that were never read are errors.
 pub(crate) struct Section<'t, 'i> {
     table: &'t DeTable<'i>,
     path: String,
@@ -104,7 +104,7 @@
         self.table.get(name)
     }
 
-    /// Where a field stands, or its table when it is absent.
+    /// Offset of a field, or of its table if the field is absent.
     pub(crate) fn place(&self, name: &str) -> usize {
         self.table.get(name).map_or(self.start, |value| value.span().start)
     }
@@ -113,7 +113,7 @@
         out.add(self.place(name), &self.path(name), what);
     }
 
-    /// A field that `read` turns into a value; `None` when absent or faulty.
+    /// Reads an optional field with `read`; `None` if it is absent or invalid.
     pub(crate) fn optional<T>(
         &mut self,
         out: &mut Collector<'_>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Like [`Section::optional`], but its absence is a fault.
+    /// Like [`Section::optional`], but reports an error if the field is absent.
     pub(crate) fn required<T>(
         &mut self,
         out: &mut Collector<'_>,
@@ -146,7 +146,7 @@
         self.optional(out, name, read)
     }
 
-    /// A table below this one.
+    /// Reads a nested table.
     pub(crate) fn section(
         &mut self,
         out: &mut Collector<'_>,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// An array of tables below this one.
+    /// Reads a nested array of tables, of which at most the first `most` are returned.
     pub(crate) fn sections(
         &mut self,
         out: &mut Collector<'_>,
@@ -172,11 +172,15 @@
     ) -> Vec<Section<'t, 'i>> {
         let Some(value) = self.take(name) else { return Vec::new() };
         let DeValue::Array(array) = value.get_ref() else {
-            self.fault(out, name, format!("is no list; write each as a table [[{name}]]"));
+            self.fault(
+                out,
+                name,
+                format!("is not an array; write each item as a table [[{name}]]"),
+            );
             return Vec::new();
         };
         if array.len() > most {
-            let what = format!("has {} items, {most} are allowed; split the service", array.len());
+            let what = format!("has {} items, the limit is {most}; split the service", array.len());
             self.fault(out, name, what);
         }
         let mut found = Vec::new();
@@ -193,13 +197,13 @@
         found
     }
 
-    /// Reports the fields that nothing took.
+    /// Reports an error for each field that was not read.
     pub(crate) fn close(self, out: &mut Collector<'_>) {
         for key in self.table.keys() {
             let name: &str = key.get_ref();
             if !self.taken.contains(name) {
                 let known: Vec<&str> = self.taken.iter().copied().collect();
-                let what = format!("is not a field here; use one of {}", known.join(", "));
+                let what = format!("is not a known field; use one of {}", known.join(", "));
                 let Range { start, .. } = key.span();
                 out.add(start, &self.path(name), what);
             }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,5 @@
-//! The protocol layer: the text of service documents, the JSON that callers,
-//! targets and operators exchange with the daemon, and the messages between
-//! daemons.
+//! The protocol layer: service documents in TOML, the JSON that callers, targets
+//! and operators exchange with the daemon, and the messages between daemons.
 
 pub mod api;
 pub mod document;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,5 +1,5 @@
-//! Messages between daemons: what an entry asks the leader, and their mapping
-//! to the Cap'n Proto schema.
+//! Messages between daemons: an entry's requests to the leader, the leader's responses
+//! and updates, and their mapping to the Cap'n Proto schema.
 
 use crate::api::{
     Applied, Cancelled, DecisionView, Heartbeat, HeartbeatReply, ServiceView, Status, SubmitTasks,
@@ -13,164 +13,164 @@
 use yuccalink_state::ledger::Verdict;
 use yuccalink_state::target::{RunnerSpec, TargetSpec};
 
-/// Version of the protocol between daemons; daemons of another refuse to talk.
+/// Version of the protocol between daemons; a daemon refuses connections of other versions.
 pub const VERSION: u32 = 1;
-/// Largest encoded message part, in bytes.
+/// Maximum size of an encoded message part, in bytes.
 pub const PART_MAX: usize = 8 * 1024 * 1024;
 
-/// What an entry asks the leader to decide.
+/// A request that an entry sends to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderRequest {
-    /// Put a document in force; the text was checked by the entry and is
-    /// checked again by the leader.
+    /// Applies a document. The entry has validated the text and the leader validates it again.
     Apply {
-        /// The document's text.
+        /// Text of the document.
         text: Box<str>,
-        /// Who applies it.
+        /// Author who applies the document.
         author: Box<str>,
     },
-    /// Whether a revision is in force everywhere.
+    /// Asks whether a revision is in force on every entry.
     InForce {
         /// The revision.
         revision: u64,
     },
-    /// All documents, without texts.
+    /// Lists all documents without their texts.
     Services,
-    /// One document, with its text.
+    /// Returns one document with its text.
     Service(Name),
-    /// Add tasks.
+    /// Adds tasks.
     Submit {
-        /// Same key, same answer.
+        /// Idempotency key: a repeated key gets the same response.
         key: Box<str>,
-        /// What to add.
+        /// The tasks to add.
         tasks: SubmitTasks,
     },
-    /// Cancel tasks.
+    /// Cancels tasks.
     Cancel(Vec<TaskId>),
-    /// One task.
+    /// Returns one task.
     Task(TaskId),
-    /// Tasks, a page at a time.
+    /// Lists tasks page by page.
     Tasks(TaskFilter),
-    /// A target announces itself.
+    /// Registers a target.
     Announce {
-        /// What it is.
+        /// Properties from the target's announcement.
         target: TargetSpec,
-        /// Requests that it holds.
+        /// Number of requests that the target is processing.
         busy: u32,
     },
-    /// A target's regular word.
+    /// Passes on the periodic report of a target.
     Heartbeat {
-        /// The target.
+        /// Name of the target.
         name: Name,
-        /// Its word.
+        /// Report of the target.
         beat: Heartbeat,
     },
-    /// A target leaves.
+    /// Deregisters a target.
     Leave {
-        /// The target.
+        /// Name of the target.
         name: Name,
-        /// This run of its program.
+        /// Incarnation of the target process.
         incarnation: Incarnation,
     },
-    /// A request that must run at most once is about to be sent.
+    /// Records that a request which must be executed at most once is about to be sent.
     RequestBegin(RequestBegin),
-    /// Such a request ended.
+    /// Records the end of a request which must be executed at most once.
     RequestEnd(RequestEnd),
-    /// The leader's view of the system.
+    /// Returns the leader's view of the system.
     Status,
-    /// All targets.
+    /// Lists all targets.
     Targets,
-    /// The leader's last decisions.
+    /// Lists the leader's last decisions.
     Decisions,
-    /// The whole state, as a snapshot.
+    /// Returns a snapshot of the whole state.
     Snapshot,
 }
 
-/// Which tasks to list.
+/// Filter for a list of tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskFilter {
-    /// Only of this service.
+    /// Only tasks of this service.
     pub service: Option<Name>,
-    /// Only in this phase.
+    /// Only tasks in this phase.
     pub phase: Option<Box<str>>,
-    /// Only above this number.
+    /// Only tasks with an id above this one.
     pub after: u64,
-    /// At most this many.
+    /// Maximum number of tasks to list.
     pub limit: u32,
 }
 
-/// What the leader answers.
+/// The leader's response to a [`LeaderRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderResponse {
-    /// To [`LeaderRequest::Apply`].
+    /// Response to [`LeaderRequest::Apply`].
     Applied(Applied),
-    /// To [`LeaderRequest::InForce`].
+    /// Response to [`LeaderRequest::InForce`].
     InForce {
-        /// Whether it is.
+        /// Whether every entry that may be serving has applied the revision.
         everywhere: bool,
-        /// Entries that may still serve an older one.
+        /// Entries that may still be serving with an older revision.
         waiting_for: Vec<Name>,
     },
-    /// To [`LeaderRequest::Services`].
+    /// Response to [`LeaderRequest::Services`].
     Services(Vec<ServiceView>),
-    /// To [`LeaderRequest::Service`].
+    /// Response to [`LeaderRequest::Service`].
     Service(ServiceView),
-    /// To [`LeaderRequest::Submit`].
+    /// Response to [`LeaderRequest::Submit`].
     Submitted(Submitted),
-    /// To [`LeaderRequest::Cancel`].
+    /// Response to [`LeaderRequest::Cancel`].
     Cancelled(Vec<Cancelled>),
-    /// To [`LeaderRequest::Task`].
+    /// Response to [`LeaderRequest::Task`].
     Task(TaskView),
-    /// To [`LeaderRequest::Tasks`].
+    /// Response to [`LeaderRequest::Tasks`].
     Tasks(Vec<TaskView>),
-    /// To [`LeaderRequest::Announce`] and [`LeaderRequest::Heartbeat`].
+    /// Response to [`LeaderRequest::Announce`] and [`LeaderRequest::Heartbeat`].
     Welcome(HeartbeatReply),
-    /// To [`LeaderRequest::RequestBegin`].
+    /// Response to [`LeaderRequest::RequestBegin`].
     Request(Verdict),
-    /// To [`LeaderRequest::Status`].
+    /// Response to [`LeaderRequest::Status`].
     Status(Box<Status>),
-    /// To [`LeaderRequest::Targets`].
+    /// Response to [`LeaderRequest::Targets`].
     Targets(Vec<TargetView>),
-    /// To [`LeaderRequest::Decisions`].
+    /// Response to [`LeaderRequest::Decisions`].
     Decisions(Vec<DecisionView>),
-    /// To [`LeaderRequest::Snapshot`].
+    /// Response to [`LeaderRequest::Snapshot`].
     Snapshot(Box<[u8]>),
-    /// Done, with nothing to say.
+    /// The request succeeded and has no result.
     Done,
-    /// It cannot be done.
+    /// The request failed.
     Problem(Problem),
 }
 
-/// A runner as an entry needs to know it.
+/// New state of a runner, sent to entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerChange {
-    /// What it announced.
+    /// Properties from the runner's announcement.
     pub spec: RunnerSpec,
-    /// Whether it is to be used.
+    /// Whether entries may send requests to the runner.
     pub usable: bool,
-    /// Requests it said it holds.
+    /// Number of requests that the runner reported as running.
     pub busy: u32,
-    /// The entry that routes to it.
+    /// Entry that routes to the runner.
     pub owner: Option<Name>,
 }
 
-/// An entry, for others to hand requests on to.
+/// Another entry that requests can be forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// Its name.
+    /// Name of the entry.
     pub name: Name,
-    /// Where it takes callers' requests.
+    /// Address that accepts callers' requests.
     pub caller_address: Box<str>,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// Whether it is about to stop.
+    /// Whether the entry is about to stop.
     pub draining: bool,
 }
 
 impl PeerEntry {
-    /// The entries to hand requests on to: those that a leader tells of, and until its table is
-    /// `complete` also the `former` ones that it has not heard yet. Right after its election a
-    /// leader knows itself only, and no runner would have an owner that can be reached.
+    /// Returns the entries that requests can be forwarded to: those that the leader `told` of and,
+    /// until the leader's table is `complete`, also the `former` entries that have not yet reported
+    /// to it. Right after its election a leader knows only itself, and without the former entries
+    /// no runner would have a reachable owner.
     ///
     /// ```
     /// use yuccalink_protocol::peer::PeerEntry;
@@ -194,55 +194,55 @@
     }
 }
 
-/// What an entry tells the leader, and what it knows already.
+/// State that an entry reports to the leader, including the versions of what it already has.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryState {
-    /// Its name.
+    /// Name of the entry.
     pub entry: Name,
-    /// This run of its daemon.
+    /// Incarnation of the entry's daemon.
     pub incarnation: Incarnation,
-    /// Where it takes callers' requests.
+    /// Address that accepts callers' requests.
     pub caller_address: Box<str>,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: Name,
-    /// The revision it has in force.
+    /// Document revision that the entry has applied.
     pub acked_revision: u64,
-    /// Whether it is about to stop.
+    /// Whether the entry is about to stop.
     pub draining: bool,
-    /// The term that `table_version` belongs to.
+    /// Leader's term that `table_version` belongs to.
     pub term: u64,
-    /// What it knows of the table of runners.
+    /// Version of the runner table that the entry has.
     pub table_version: u64,
-    /// Runners that it no longer routes to.
+    /// Runners that the entry no longer routes to.
     pub released_runners: Vec<Name>,
-    /// Runners that it routes to, told once to each new leader.
+    /// Runners that the entry routes to, sent once to each new leader.
     pub owned: Vec<RunnerSpec>,
-    /// It knows that this leader's table is complete.
+    /// Whether the entry knows that this leader's runner table is complete.
     pub runner_table_complete: bool,
-    /// It has stopped serving.
+    /// Whether the entry has stopped serving.
     pub leaving: bool,
 }
 
-/// What is new for an entry.
+/// Changes that the leader sends to an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryUpdate {
     /// The leader's term.
     pub term: u64,
     /// Revision of the last accepted document.
     pub revision: u64,
-    /// Documents accepted since the entry's revision.
+    /// Documents accepted after the revision that the entry has.
     pub documents: Vec<Accepted>,
-    /// Version of the table of runners.
+    /// Version of the runner table.
     pub table_version: u64,
-    /// Runners that changed since the entry's version.
+    /// Runners that changed after the table version that the entry has.
     pub runners: Vec<RunnerChange>,
-    /// All entries that may serve.
+    /// All entries that may be serving.
     pub entries: Vec<PeerEntry>,
-    /// Whether the table is complete; a new leader's is not at first.
+    /// Whether the runner table is complete; the table of a new leader is not at first.
     pub runner_table_complete: bool,
 }
 
-/// What is wrong with a message between daemons.
+/// Why a message between daemons cannot be encoded or decoded.
 #[derive(Debug, displaydoc::Display)]
 pub enum BadMessage {
     /// a daemon sent a part that cannot be decoded: {0}; run the same release everywhere
@@ -253,7 +253,7 @@
     Text(std::str::Utf8Error),
     /// a daemon sent {0}; run the same release everywhere
     Name(yuccalink_state::id::BadName),
-    /// a part of {0} bytes is over the limit of 8 MiB; ask for less at a time
+    /// a message part of {0} bytes exceeds the limit of 8 MiB; request less at a time
     TooLarge(usize),
 }
 
@@ -280,7 +280,7 @@
 /// Encodes one part of a message.
 ///
 /// # Errors
-/// [`BadMessage::TooLarge`] over [`PART_MAX`].
+/// [`BadMessage::TooLarge`] if the encoded part exceeds [`PART_MAX`].
 ///
 /// ```
 /// # use yuccalink_protocol::peer::*;
@@ -302,7 +302,8 @@
 /// Decodes one part of a message.
 ///
 /// # Errors
-/// [`BadMessage::Codec`] when the bytes are no such value.
+/// [`BadMessage::Codec`] if the bytes do not encode a `T`, [`BadMessage::TooLarge`] if they
+/// exceed [`PART_MAX`].
 pub fn decode<T>(bytes: &[u8]) -> Result<T, BadMessage>
 where
     T: DeserializeOwned,
@@ -317,10 +318,10 @@
     Ok(Name::new(reader.to_str()?)?)
 }
 
-/// Reads every part of a list.
+/// Decodes every part of a list.
 ///
 /// # Errors
-/// [`BadMessage`] at the first part that cannot be read.
+/// [`BadMessage`] for the first part that cannot be decoded.
 pub fn read_parts<T>(list: capnp::data_list::Reader<'_>) -> Result<Vec<T>, BadMessage>
 where
     T: DeserializeOwned,
@@ -328,10 +329,10 @@
     list.iter().map(|part| decode(part?)).collect()
 }
 
-/// Writes a list of asks or answers into a message.
+/// Encodes a list of values into a message.
 ///
 /// # Errors
-/// [`BadMessage::TooLarge`] when one is over [`PART_MAX`].
+/// [`BadMessage::TooLarge`] if one of them exceeds [`PART_MAX`].
 pub fn fill_parts<T>(
     mut list: capnp::data_list::Builder<'_>,
     values: &[T],
@@ -345,7 +346,7 @@
     Ok(())
 }
 
-/// How many items a list has, as Cap'n Proto counts them.
+/// Length of a list as the `u32` that Cap'n Proto uses.
 pub fn count<T>(values: &[T]) -> u32 {
     u32::try_from(values.len()).unwrap_or(u32::MAX)
 }
@@ -354,7 +355,7 @@
     /// Writes the state into a message.
     ///
     /// # Errors
-    /// [`BadMessage`] when a part is too large.
+    /// [`BadMessage`] if a part is too large.
     pub fn fill(
         &self,
         mut to: crate::peer_capnp::entry_state::Builder<'_>,
@@ -379,7 +380,7 @@
     /// Reads a state from a message.
     ///
     /// # Errors
-    /// [`BadMessage`] when it is malformed.
+    /// [`BadMessage`] if the message is malformed.
     pub fn read(from: crate::peer_capnp::entry_state::Reader<'_>) -> Result<Self, BadMessage> {
         let released_runners =
             from.get_let_go()?.iter().map(|text| name(text?)).collect::<Result<_, _>>()?;
@@ -401,10 +402,10 @@
 }
 
 impl EntryUpdate {
-    /// Writes the news into a message.
+    /// Writes the update into a message.
     ///
     /// # Errors
-    /// [`BadMessage`] when a part is too large.
+    /// [`BadMessage`] if a part is too large.
     pub fn fill(&self, mut to: crate::peer_capnp::news::Builder<'_>) -> Result<(), BadMessage> {
         to.set_term(self.term);
         to.set_revision(self.revision);
@@ -423,10 +424,10 @@
         Ok(())
     }
 
-    /// Reads news from a message.
+    /// Reads an update from a message.
     ///
     /// # Errors
-    /// [`BadMessage`] when it is malformed.
+    /// [`BadMessage`] if the message is malformed.
     pub fn read(from: crate::peer_capnp::news::Reader<'_>) -> Result<Self, BadMessage> {
         let mut entries = Vec::new();
         for entry in from.get_entries()?.iter() {
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -1,31 +1,31 @@
 //! Errors as RFC 9457 problem documents, with a field that says whether the
-//! request ran.
+//! request was executed.
 
 use serde::{Deserialize, Serialize};
 
 /// Media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Whether a request ran.
+/// Whether a request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExecutionStatus {
-    /// It truly did not run; it is safe to send it again.
+    /// The request was certainly not executed, so it is safe to retry.
     #[serde(rename = "not run")]
     NotRun,
-    /// It ran.
+    /// The request was executed.
     #[serde(rename = "ran")]
     Ran,
-    /// It may have run.
+    /// The request may have been executed.
     #[serde(rename = "unknown")]
     Unknown,
 }
 
-/// Header of a problem document that repeats its `ran` field, for programs that
-/// decide before they read the body.
+/// Response header that repeats the `ran` field of a problem document, for clients
+/// that decide about a retry before they read the body.
 pub const RAN: &str = "yuccalink-ran";
 
 impl ExecutionStatus {
-    /// Value of the header [`RAN`].
+    /// Value for the header [`RAN`].
     pub fn token(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -42,36 +42,36 @@
     BadRequest,
     /// No such service, kind, task or path.
     NotFound,
-    /// The method is not for this path.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The key is in use for a request that is under way.
+    /// A request with the same idempotency key is in progress.
     InProgress,
-    /// The key was used for a different request.
+    /// The idempotency key was used for a different request.
     KeyReused,
-    /// The document clashes with the one in force.
+    /// The document conflicts with the one in force.
     Conflict,
-    /// The document or task is not acceptable.
+    /// The document or task is invalid.
     Unacceptable,
-    /// Too much is asked at once.
+    /// There are too many requests at the same time.
     Overloaded,
-    /// No runner can take it.
+    /// No runner can accept the request.
     NoRunner,
-    /// This entry must not serve now.
+    /// This entry is currently not allowed to serve requests.
     NotServing,
-    /// The runner failed before it answered whole.
+    /// The runner failed before its response was complete.
     RunnerFailed,
     /// The deadline passed.
     DeadlinePassed,
-    /// It ran before and its answer is not kept.
+    /// The request was executed before and its response was not stored.
     AnswerNotKept,
-    /// Nobody knows what became of it.
+    /// It is unknown whether the request was executed.
     OutcomeUnknown,
 }
 
 impl ProblemKind {
-    /// HTTP status.
+    /// HTTP status code of the problem.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest => 400,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Last part of the problem's `type`.
+    /// Last part of the problem's `type` URN.
     pub fn slug(self) -> &'static str {
         match self {
             Self::BadRequest => "bad-request",
@@ -133,27 +133,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Problem {
-    /// A URN that names the kind.
+    /// URN that identifies the kind.
     #[serde(rename = "type")]
     pub kind: Box<str>,
-    /// The kind in words.
+    /// Short description of the kind.
     pub title: Box<str>,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What happened here, and the remedy.
+    /// Description of this occurrence and its remedy.
     pub detail: Box<str>,
-    /// Whether the request ran.
+    /// Whether the request was executed.
     pub ran: ExecutionStatus,
-    /// When to come back, in milliseconds; also sent as `Retry-After`.
+    /// Delay before a retry, in milliseconds; also sent as `Retry-After`.
     #[serde(default)]
     pub retry_after_ms: Option<u64>,
-    /// Each fault, where there are several.
+    /// Single errors, if there are several.
     #[serde(default)]
     pub faults: Vec<Box<str>>,
 }
 
 impl Problem {
-    /// A problem of `kind`.
+    /// Creates a problem of `kind`.
     ///
     /// ```
     /// # use yuccalink_protocol::problem::*;
@@ -174,14 +174,14 @@
         }
     }
 
-    /// The same, with when to come back.
+    /// Sets the delay before a retry, in milliseconds.
     #[must_use]
     pub fn retry_after(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
         self
     }
 
-    /// The same, with each single fault.
+    /// Sets the list of single errors.
     #[must_use]
     pub fn with_faults(mut self, faults: Vec<Box<str>>) -> Self {
         self.faults = faults;
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,18 +1,18 @@
-//! Maps callers' HTTP requests to the kinds that documents describe.
+//! Matches callers' HTTP requests to the request kinds of service documents.
 
 use sha2::{Digest as _, Sha256};
 use yuccalink_state::document::{Digest, Document, RequestKind};
 
-/// Longest accepted `Idempotency-Key`, in bytes.
+/// Maximum length of an `Idempotency-Key`, in bytes.
 pub const KEY_MAX: usize = 255;
-/// Marks a request that one entry handed to another, which must not hand it on.
+/// Header of a request that one entry forwarded to another, which must not forward it again.
 pub const FORWARDED_BY: &str = "yuccalink-handed-on";
-/// Milliseconds that are left of a request's deadline.
+/// Header with the remaining time until a request's deadline, in milliseconds.
 pub const DEADLINE: &str = "yuccalink-deadline-ms";
-/// The caller's key of a request that must run at most once.
+/// Header with the caller's key of a request that must be executed at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The service that a path asks for, and the path within it.
+/// Splits a path into the service name and the path within the service.
 ///
 /// ```
 /// # use yuccalink_protocol::request::split;
@@ -30,7 +30,7 @@
     Some((service, if inner.is_empty() { "/" } else { inner }))
 }
 
-/// The first kind of `document` that `method` and `path` match.
+/// Returns the first request kind of `document` that matches `method` and `path`.
 ///
 /// ```
 /// # use yuccalink_protocol::{document::read, request::kind};
@@ -61,7 +61,8 @@
     segments.next().is_none()
 }
 
-/// Digest of a request, to tell a resend from another request under its key.
+/// Digest of a request, to distinguish a retry from another request with the same
+/// idempotency key.
 ///
 /// ```
 /// # use yuccalink_protocol::request::digest;
@@ -76,14 +77,14 @@
     hash.finalize().into()
 }
 
-/// What is wrong with an `Idempotency-Key`.
+/// Why an `Idempotency-Key` is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BadKey {
     /// the Idempotency-Key is empty; send 1 to 255 visible ASCII characters
     Empty,
     /// the Idempotency-Key is too long; send 1 to 255 visible ASCII characters
     TooLong,
-    /// the Idempotency-Key has a character that is not visible ASCII; send 1 to 255 of these
+    /// the Idempotency-Key has a character that is not visible ASCII; send 1 to 255 visible ASCII characters
     NotVisible,
 }
 
@@ -92,7 +93,7 @@
 /// Checks the value of an `Idempotency-Key` header.
 ///
 /// # Errors
-/// [`BadKey`].
+/// [`BadKey`] if the key is empty, longer than [`KEY_MAX`] or not visible ASCII.
 ///
 /// ```
 /// # use yuccalink_protocol::request::check_key;
@@ -112,7 +113,7 @@
     std::str::from_utf8(value).map_err(|_| BadKey::NotVisible)
 }
 
-/// Headers that belong to one connection and are never passed on.
+/// Headers that belong to one connection and are never forwarded.
 pub const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
--- a/crates/protocol/src/units.rs
+++ b/crates/protocol/src/units.rs
@@ -1,17 +1,17 @@
-//! Amounts as people write them in documents: `250ms`, `8h`, `512MiB`, `08:30`.
+//! Parses and prints quantities with units as in documents: `250ms`, `8h`, `512MiB`, `08:30`.
 
 use std::fmt;
 
-/// Units of time, longest first, with their milliseconds.
+/// Units of time with their length in milliseconds, longest first.
 const TIMES: [(&str, u64); 5] =
     [("d", 86_400_000), ("h", 3_600_000), ("m", 60_000), ("s", 1_000), ("ms", 1)];
-/// Units of memory with their MiB.
+/// Units of memory with their size in MiB.
 const MEMORIES: [(&str, u64); 3] = [("MiB", 1), ("GiB", 1024), ("TiB", 1024 * 1024)];
 
-/// What was expected instead.
+/// Error for a malformed quantity; its message names the expected format.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BadUnit {
-    /// `{0}` is not a time: write a whole number and one of ms, s, m, h, d, such as "250ms" or "8h"
+    /// `{0}` is not a duration: write a whole number and one of ms, s, m, h, d, such as "250ms" or "8h"
     Time(Box<str>),
     /// `{0}` is not an amount of memory: write a whole number and one of MiB, GiB, TiB, such as "512MiB"
     Memory(Box<str>),
@@ -21,10 +21,10 @@
 
 impl std::error::Error for BadUnit {}
 
-/// Reads a span of time, in milliseconds.
+/// Parses a duration into milliseconds.
 ///
 /// # Errors
-/// [`BadUnit::Time`].
+/// [`BadUnit::Time`] if it is not an integer with a unit of time, or too large.
 ///
 /// ```
 /// # use yuccalink_protocol::units::millis;
@@ -36,10 +36,10 @@
     amount(text, &TIMES).ok_or_else(|| BadUnit::Time(text.into()))
 }
 
-/// Reads an amount of memory, in MiB.
+/// Parses an amount of memory into MiB.
 ///
 /// # Errors
-/// [`BadUnit::Memory`].
+/// [`BadUnit::Memory`] if it is not an integer with a unit of memory, or too large.
 ///
 /// ```
 /// # use yuccalink_protocol::units::mebibytes;
@@ -50,10 +50,10 @@
     amount(text, &MEMORIES).ok_or_else(|| BadUnit::Memory(text.into()))
 }
 
-/// Reads a time of day, in minutes from midnight.
+/// Parses a time of day into minutes since midnight.
 ///
 /// # Errors
-/// [`BadUnit::TimeOfDay`].
+/// [`BadUnit::TimeOfDay`] if it is not from `00:00` to `23:59`.
 ///
 /// ```
 /// # use yuccalink_protocol::units::minute_of_day;
@@ -83,7 +83,7 @@
     number.parse::<u64>().ok()?.checked_mul(*size)
 }
 
-/// Milliseconds as people read them, in the longest unit that loses nothing.
+/// Duration in milliseconds, printed in the longest unit that divides it evenly.
 ///
 /// ```
 /// # use yuccalink_protocol::units::Span;
--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: faults with places and remedies, and texts of any kind.
+//! Parsing of service documents: errors with position and remedy, and arbitrary input.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -14,8 +14,8 @@
     }
 }
 
-/// A team sends a document with many faults. All are reported at once, each with
-/// its place and what to do, so that nobody mends them one by one.
+/// A document with many errors gets all of them reported at once, each with its position and
+/// remedy, so that its author need not fix and resubmit one at a time.
 #[test]
 fn all_faults_are_reported_at_once_with_their_places() {
     let text = "service = \"Quotes\"\nversoin = 1\n\n[peak]\ntime-zone = \"Europe/Brno\"\n\
@@ -85,8 +85,8 @@
         let _ = read(&text);
     }
 
-    /// A good document with one place overwritten is read or refused with a
-    /// place within the text.
+    /// A valid document with a few characters overwritten is either parsed or rejected with
+    /// positions inside the text.
     #[test]
     fn a_changed_document_is_read_or_refused(
         at in any::<prop::sample::Index>(),
--- a/crates/protocol/tests/neighbours.rs
+++ b/crates/protocol/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! Whom an entry hands requests on to while the leader changes.
+//! Entries that requests are forwarded to during a change of leader.
 
 use yuccalink_protocol::peer::PeerEntry;
 use yuccalink_state::id::Name;
@@ -20,7 +20,8 @@
     known.iter().map(|entry| entry.name.as_str()).collect()
 }
 
-/// An entry without runners that had just become leader told callers that no runner is known.
+/// Guards against a new leader without runners of its own that answers callers that no runner is
+/// known, because the other entries have not reported to it yet.
 #[test]
 fn entries_that_a_new_leader_has_not_heard_yet_are_still_handed_requests() {
     let former = [entry("e1", false), entry("e2", false), entry("e3", true)];
