--- a/crates/transport/src/auth.rs
+++ b/crates/transport/src/auth.rs
@@ -1,9 +1,10 @@
-//! Proof between daemons that both know a shared key, before anything else is
-//! said on a connection.
+//! Mutual authentication of daemons with a shared key, before any other message on a
+//! connection.
 //!
-//! The connecting side names a key by a short digest and sends a nonce; each side
-//! then shows an HMAC-SHA-256 over both nonces. A recorded exchange is of no use
-//! again. What follows is not encrypted: keep it on a network of the entry VMs.
+//! The connecting side identifies its key by a short digest and sends a nonce. Each side
+//! then sends an HMAC-SHA-256 over both nonces, so a recorded handshake cannot be
+//! replayed. The traffic that follows is not encrypted: use a network that only the entry
+//! VMs share.
 
 use hmac::{Hmac, Mac};
 use rand::TryRng as _;
@@ -16,11 +17,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Shortest accepted key, in characters.
+/// Minimum length of a key, in bytes.
 pub const KEY_MIN: usize = 32;
-/// Most keys in a file.
+/// Maximum number of keys in a file.
 pub const KEYS_MAX: usize = 16;
-/// Longest time for the exchange.
+/// Time limit of the handshake; after it the connection is given up.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const MAGIC: &[u8; 6] = b"YUCCA1";
 const NONCE: usize = 32;
@@ -29,16 +30,16 @@
 const NO_KEY: [u8; ID] = [0; ID];
 const TAKEN: u8 = 1;
 
-/// Why a connection between daemons is not trusted.
+/// Why the handshake between two daemons failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum AuthError {
     /// the connection failed: {0}
     Io(io::Error),
-    /// the other side did not finish the exchange in time
+    /// the other side did not finish the key handshake in time
     Timeout,
     /// the other side does not speak this protocol; check that its address is a daemon's --peer
     NotADaemon,
-    /// the other side has no key and this daemon has; give all daemons the same --peer-keys
+    /// the other side has no key, but this daemon requires one; give all daemons the same --peer-keys
     NoKey,
     /// the other side's key is not among this daemon's; put it into this daemon's --peer-keys
     UnknownKey,
@@ -54,31 +55,31 @@
     }
 }
 
-/// What is wrong with a file of keys.
+/// Why a key file cannot be used.
 #[derive(Debug, displaydoc::Display)]
 pub enum BadKeys {
     /// cannot read {path}: {source}
     Read {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// {path} has no key; write one of at least 32 characters on a line of its own
     Empty {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
     },
     /// line {line} of {path} is too short for a key; use at least 32 characters, such as from `openssl rand -hex 32`
     Short {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
-        /// Counted from 1.
+        /// Line, counted from 1.
         line: usize,
     },
     /// {path} has more than 16 keys; remove those that no daemon uses any more
     Many {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
     },
 }
@@ -91,12 +92,12 @@
     secret: Box<[u8]>,
 }
 
-/// The keys of one daemon: the first is shown, any is accepted. Read anew for
-/// each connection, so that keys are exchanged without a stop.
+/// The keys of one daemon. Outgoing connections use the first key, incoming ones may use any.
+/// The file is read again for each connection, so keys can be rotated without a restart.
 #[derive(Clone, Default)]
 pub struct Keys {
     file: Option<PathBuf>,
-    /// As they were when the file was last usable.
+    /// Keys from the last time that the file was valid.
     last: Arc<Mutex<Vec<Key>>>,
 }
 
@@ -107,10 +108,10 @@
 }
 
 impl Keys {
-    /// Keys from `file`, or none at all.
+    /// Reads the keys from `file`; without a file, connections are not authenticated.
     ///
     /// # Errors
-    /// [`BadKeys`] when the file is not usable now.
+    /// [`BadKeys`] if the file cannot be read or its content is invalid.
     ///
     /// ```
     /// # use yuccalink_transport::auth::Keys;
@@ -127,17 +128,18 @@
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         match read(file) {
             Ok(keys) => *last = keys,
-            // An editor may have emptied the file to write it anew: daemons must
-            // not lose each other for that moment.
+            // An editor may truncate the file before it writes the new content. Connections
+            // between daemons must not fail in that moment.
             Err(error) => log::error!("{error}; the keys read before stay in use"),
         }
         Some(last.clone())
     }
 
-    /// Proves itself to the daemon that was connected to, and checks its proof.
+    /// Runs the handshake on an outgoing connection: verifies the proof of the other daemon and
+    /// sends its own.
     ///
     /// # Errors
-    /// [`AuthError`]; the connection is then of no use.
+    /// [`AuthError`] if the handshake fails; the connection must then be dropped.
     pub async fn prove(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         timeout(TIMEOUT, self.prove_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
     }
@@ -167,10 +169,11 @@
         }
     }
 
-    /// Checks the proof of a daemon that connects, and proves itself to it.
+    /// Runs the handshake on an incoming connection: sends its own proof and verifies the proof
+    /// of the other daemon.
     ///
     /// # Errors
-    /// [`AuthError`]; the connection is then of no use.
+    /// [`AuthError`] if the handshake fails; the connection must then be dropped.
     pub async fn check(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         timeout(TIMEOUT, self.check_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
     }
@@ -213,7 +216,7 @@
 fn mac(key: &Key, role: &[u8], connecting: &[u8], accepting: &[u8]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret)
         .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
-    // The role keeps one side's proof from being sent back as the other's.
+    // The role prevents a reflection of one side's proof as the proof of the other.
     mac.update(role);
     mac.update(connecting);
     mac.update(accepting);
@@ -233,7 +236,7 @@
 fn nonce() -> [u8; NONCE] {
     let mut nonce = [0; NONCE];
     if rand::rngs::SysRng.try_fill_bytes(&mut nonce).is_err() {
-        log::error!("the system gives no random numbers; connections between daemons fail");
+        log::error!("the system random number generator failed; connections between daemons fail");
     }
     nonce
 }
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer that is passed on while it still comes in.
+//! Response bodies that are forwarded while they are still being received.
 
 use bytes::Bytes;
 use std::pin::Pin;
@@ -7,16 +7,16 @@
 use xitca_web::body::{Body, Frame, ResponseBody, SizeHint};
 use xitca_web::error::BodyError;
 
-/// Chunks that may wait for a slow caller.
+/// Maximum number of chunks buffered for a slow caller.
 pub const CHUNKS: usize = 8;
 
-/// The answer's source broke off; the caller's connection is closed, so that a
-/// cut answer is never taken for a whole one.
+/// Why a streamed body ended early. The caller's connection is closed, so that a
+/// truncated response is never taken for a complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BodyAborted {
-    /// the runner broke off its answer
+    /// the runner aborted its response
     ByRunner,
-    /// the caller took the answer too slowly
+    /// the caller read the response too slowly
     ByCaller,
     /// the deadline passed
     ByDeadline,
@@ -24,13 +24,13 @@
 
 impl std::error::Error for BodyAborted {}
 
-/// One piece of a passed-on body. The end is told apart from a sender that
-/// was dropped: without [`BodyChunk::End`] the answer counts as cut.
+/// A chunk of a streamed body, or its end. If the sender is dropped without
+/// [`BodyChunk::End`], the response counts as truncated.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The whole body has been sent.
+    /// The body is complete.
     End,
 }
 
@@ -40,7 +40,7 @@
     ended: bool,
 }
 
-/// A body fed through the sender, of `size` bytes if that is known.
+/// Creates a body that is fed through the returned sender, of `size` bytes if that is known.
 pub fn streamed_body(size: Option<u64>) -> (mpsc::Sender<BodyChunk>, ResponseBody) {
     let (tx, rx) = mpsc::channel(CHUNKS);
     (tx, ResponseBody::boxed(Passed { rx, size, ended: false }))
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 connections to runners, workers and other entries, kept per thread.
+//! A pool of HTTP/1.1 connections to runners, workers and other entries, one per thread.
 //!
-//! A connection carries one request at a time and is used again only after a
-//! whole answer was read from it, so a late answer can never reach the next caller.
+//! A connection carries one request at a time and is reused only after a complete
+//! response was read from it, so a late response can never reach the next caller.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -17,12 +17,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const HEAD_MAX: usize = 64 * 1024;
-/// Idle connections are closed after this time, before most servers do.
+/// Time after which an idle connection is closed; shorter than the idle timeout of most servers.
 const IDLE_MAX: Duration = Duration::from_secs(20);
 
-/// Why no answer came.
+/// Why an upstream request got no response.
 #[derive(Debug, displaydoc::Display)]
 pub enum UpstreamError {
     /// no connection: {0}
@@ -40,7 +40,7 @@
 impl std::error::Error for UpstreamError {}
 
 impl UpstreamError {
-    /// Whether it is certain that no byte of the request left.
+    /// Returns whether it is certain that no byte of the request was sent.
     pub fn is_unsent(&self) -> bool {
         match self {
             Self::NotConnected(_) | Self::ConnectTimeout | Self::NotSent(_) => true,
@@ -56,12 +56,12 @@
     since: Instant,
 }
 
-/// Settings of a pool.
+/// Settings of a connection pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSettings {
-    /// Idle connections kept to one address.
+    /// Maximum number of idle connections kept to one address.
     pub idle_per_address: usize,
-    /// Longest wait for a connection.
+    /// Time limit for establishing a connection.
     pub connect_timeout: Duration,
 }
 
@@ -71,12 +71,13 @@
     }
 }
 
-/// Where a request goes.
+/// Destination of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination {
-    /// The address.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Idle connections to keep there, when not those of the settings.
+    /// Maximum number of idle connections to this address, instead of
+    /// [`PoolSettings::idle_per_address`].
     pub idle: Option<usize>,
 }
 
@@ -86,14 +87,15 @@
     }
 }
 
-/// Connections of one thread.
+/// Connection pool of one thread.
 #[derive(Clone)]
 pub struct Pool {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
     settings: PoolSettings,
 }
 
-/// An answer whose head has come. Dropping it before its end closes the connection.
+/// A response whose head was received. Dropping it before the end of its body closes the
+/// connection.
 pub struct UpstreamResponse {
     /// Status and headers.
     pub head: hyper::http::response::Parts,
@@ -104,15 +106,15 @@
 }
 
 impl Pool {
-    /// A pool without connections; stays on the thread that made it.
+    /// Creates an empty pool, which stays on the current thread.
     pub fn new(settings: PoolSettings) -> Self {
         Self { idle: Rc::default(), settings }
     }
 
-    /// Sends a request and waits for the head of its answer, at most until `deadline`.
+    /// Sends a request and waits for the head of the response, at most until `deadline`.
     ///
     /// # Errors
-    /// [`UpstreamError`], which tells whether the request may have been sent.
+    /// [`UpstreamError`]; [`UpstreamError::is_unsent`] says whether a retry is safe.
     pub async fn send<D>(
         &self,
         to: D,
@@ -126,8 +128,8 @@
         let mut req = req;
         while let Some(sender) = self.take(to.address) {
             match self.exchange(to, sender, req, deadline).await {
-                // The other side closed an idle connection: nothing was sent, so a
-                // new connection may carry the same request.
+                // The other side closed the idle connection before anything was sent, so
+                // the request can be sent on another connection.
                 Err((UpstreamError::NotSent(_), Some(unsent))) => req = unsent,
                 done => return done.map_err(|(error, _)| error),
             }
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that were idle for longer than the limit.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|i| !i.sender.is_closed() && i.since.elapsed() < IDLE_MAX);
@@ -220,16 +222,16 @@
 }
 
 impl UpstreamResponse {
-    /// The length that the answer's head announced, if it did.
+    /// Returns the body length given in the response head, if any.
     pub fn content_length(&self) -> Option<u64> {
         use hyper::body::Body;
         self.body.size_hint().exact()
     }
 
-    /// The next piece of the body, `None` after the whole of it.
+    /// Returns the next chunk of the body, or `None` at its end.
     ///
     /// # Errors
-    /// When the connection broke off before the end.
+    /// If the connection failed before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, hyper::Error> {
         loop {
             match self.body.frame().await {
@@ -249,10 +251,10 @@
         }
     }
 
-    /// The whole body, or `None` when it is over `limit` bytes.
+    /// Reads the rest of the body; returns `None` if it exceeds `limit` bytes.
     ///
     /// # Errors
-    /// When the connection broke off before the end.
+    /// If the connection failed before the end of the body.
     pub async fn collect_body(&mut self, limit: usize) -> Result<Option<Bytes>, hyper::Error> {
         let mut whole: Vec<Bytes> = Vec::new();
         let mut size = 0;
--- a/crates/transport/src/reply.rs
+++ b/crates/transport/src/reply.rs
@@ -1,4 +1,4 @@
-//! Small answers: JSON bodies and problem documents.
+//! Builds small responses: JSON, text and problem documents.
 
 use crate::http::{HeaderName, HeaderValue, StatusCode, header};
 use serde::Serialize;
@@ -6,10 +6,10 @@
 use xitca_web::http::WebResponse;
 use yuccalink_protocol::problem::{MEDIA_TYPE, Problem, RAN};
 
-/// Media type of JSON.
+/// Media type of JSON bodies.
 pub const JSON: &str = "application/json";
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T>(status: StatusCode, value: &T) -> WebResponse
 where
     T: Serialize,
@@ -17,18 +17,18 @@
     match serde_json::to_vec(value) {
         Ok(body) => with_body(status, JSON, body),
         Err(error) => {
-            log::error!("cannot encode an answer: {error}");
+            log::error!("cannot encode a response: {error}");
             with_body(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", Vec::new())
         }
     }
 }
 
-/// An answer with a text body.
+/// Builds a response with a plain-text body.
 pub fn text(status: StatusCode, body: &str) -> WebResponse {
     with_body(status, "text/plain; charset=utf-8", body.as_bytes().to_vec())
 }
 
-/// An answer with `body` of the media type `kind`.
+/// Builds a response with `body` of the media type `kind`.
 pub fn with_body(status: StatusCode, kind: &'static str, body: Vec<u8>) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::bytes(body));
     *response.status_mut() = status;
@@ -36,7 +36,8 @@
     response
 }
 
-/// A problem document, with `Retry-After` in whole seconds where it says when.
+/// Builds a response with a problem document. If the problem has a retry delay, `Retry-After`
+/// is set to it, rounded up to whole seconds.
 pub fn problem(problem: &Problem) -> WebResponse {
     let status = StatusCode::from_u16(problem.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = json(status, problem);
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons, carrying Cap'n Proto RPC.
+//! Cap'n Proto RPC connections between daemons.
 
 use crate::auth::{AuthError, Keys};
 use capnp::message::ReaderOptions;
@@ -15,18 +15,18 @@
 use tokio_util::compat::{TokioAsyncReadCompatExt, TokioAsyncWriteCompatExt};
 use yuccalink_protocol::peer_capnp::peer;
 
-/// Connections from other daemons at once; more wait to be accepted.
+/// Maximum number of open connections from other daemons; further ones wait to be accepted.
 pub const CONNECTIONS_MAX: usize = 256;
-/// Largest message, in words of 8 bytes: 32 MiB.
+/// Maximum size of a message, in words of 8 bytes: 32 MiB.
 const WORDS_MAX: usize = 4 * 1024 * 1024;
-/// Longest wait for a connection.
+/// Time limit for establishing a connection to another daemon.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 type Network = VatNetwork<BufReader<tokio_util::compat::Compat<tokio::net::tcp::OwnedReadHalf>>>;
 
 /// A connection to another daemon; dropping it closes it.
 pub struct RpcConnection {
-    /// Calls go through this.
+    /// Client for calls to the other daemon.
     pub peer: peer::Client,
     task: tokio::task::AbortHandle,
 }
@@ -50,8 +50,8 @@
 /// Connects to the daemon at `address`. Must be called on a `LocalSet`.
 ///
 /// # Errors
-/// [`AuthError`] when no connection is made within [`CONNECT_TIMEOUT`], or the
-/// other daemon does not know a key of `keys`.
+/// [`AuthError`] if no connection is established within [`CONNECT_TIMEOUT`] or the
+/// handshake with `keys` fails.
 pub async fn connect(address: SocketAddr, keys: &Keys) -> Result<RpcConnection, AuthError> {
     let mut stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
@@ -76,11 +76,11 @@
     Ok(())
 }
 
-/// Accepts connections from other daemons for ever, each served by a clone of
+/// Accepts connections from other daemons without end and serves each with a clone of
 /// `service`. Must run on a `LocalSet`.
 ///
 /// # Errors
-/// When the listener fails.
+/// Currently none: a failed accept is logged and retried after 100 ms.
 pub async fn accept(listener: TcpListener, service: peer::Client, keys: Keys) -> io::Result<()> {
     let open = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server on threads of its own, with limits on connections and time.
+//! An HTTP/1.1 server on its own threads, with connection limits and timeouts.
 
 use bytes::Bytes;
 use socket2::SockRef;
@@ -17,34 +17,34 @@
 use xitca_web::service::fn_build;
 use xitca_web::service::ready::ReadyService;
 
-/// Largest head of a request, in bytes; a larger one is answered 431.
+/// Maximum size of a request head, in bytes; a larger one gets status 431.
 pub const HEAD_MAX: usize = 32 * 1024;
-/// Most headers in one request; more are answered 431.
+/// Maximum number of headers in a request; more get status 431.
 pub const HEADERS_MAX: usize = 64;
-/// Bytes of an answer buffered per connection.
+/// Maximum size of the write buffer of a connection, in bytes.
 const WRITE_BUFFER: usize = 256 * 1024;
-/// Longest wait for the threads of a server that was told to stop at once.
+/// Time to wait for the server's threads after a forced stop; after it they are detached.
 const FORCED_WAIT: Duration = Duration::from_secs(1);
 
-/// What answers requests on one thread. Made anew for each thread, so it may
-/// hold connections and caches that threads do not share.
+/// Request handler of one thread. Each thread creates its own, so a handler may hold
+/// connections and caches that are not shared between threads.
 pub trait Handler: 'static {
-    /// Answers one request; a panic or a dropped future closes the connection.
+    /// Handles one request. A panic or a dropped future closes the connection.
     fn handle(&self, req: WebRequest) -> impl Future<Output = WebResponse>;
 }
 
-/// Limits of one server.
+/// Limits of an HTTP server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Threads that answer.
+    /// Number of threads that handle requests.
     pub threads: usize,
-    /// Connections at once; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time in which the head of a request must come.
+    /// Time limit for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time that a connection may stay without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
-    /// Time that a caller may leave sent bytes untaken; then its connection is closed.
+    /// Time after which a connection is closed whose caller does not accept sent bytes.
     pub stall_timeout: Duration,
 }
 
@@ -63,7 +63,8 @@
 /// A running server.
 pub struct Server {
     address: SocketAddr,
-    /// Tells the server to stop; the library does not export its handle's type.
+    /// Stops the server, gracefully if the argument is true. A closure, because the library does
+    /// not export the type of its handle.
     tell_stop: Box<dyn Fn(bool) + Send + Sync>,
     thread: Option<thread::JoinHandle<io::Result<()>>>,
 }
@@ -82,7 +83,7 @@
 impl<H> ReadyService for PerThread<H> {
     type Ready = Option<OwnedSemaphorePermit>;
 
-    /// The permit is kept by the connection that is accepted next, until it closes.
+    /// Waits for a connection permit, which the next accepted connection holds until it closes.
     async fn ready(&self) -> Self::Ready {
         self.open.clone().acquire_owned().await.ok()
     }
@@ -101,20 +102,20 @@
 }
 
 impl Server {
-    /// Starts threads that accept from `listener` and answer with what `make`
-    /// makes once on each thread.
+    /// Starts threads that accept connections from `listener`. Each thread handles requests with
+    /// the handler that `make` creates for it.
     ///
     /// # Errors
-    /// When the listener or a thread cannot be set up.
+    /// If the listener or a thread cannot be set up.
     pub fn start<F, H>(listener: TcpListener, limits: ServerLimits, make: F) -> io::Result<Self>
     where
         F: Fn() -> H + Send + Sync + Clone + 'static,
         H: Handler,
     {
         let address = listener.local_addr()?;
-        // A caller that stops reading leaves a write hanging, which the server's own
-        // timers do not see: it would hold its connection until it pleases. The
-        // system closes it; accepted connections take the setting from here.
+        // A caller that stops reading blocks a write, which the server's own timers do not
+        // cover, so it could hold its connection without limit. TCP_USER_TIMEOUT makes the
+        // kernel close the connection; accepted sockets inherit it from the listener.
         SockRef::from(&listener).set_tcp_user_timeout(Some(limits.stall_timeout))?;
         let open = Arc::new(Semaphore::new(limits.connections.max(1)));
         let build = fn_build(async move |()| {
@@ -139,14 +140,14 @@
         Ok(Self { address, tell_stop, thread: Some(thread) })
     }
 
-    /// Where it listens; tells the port when 0 was asked for.
+    /// Address of the listener, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, lets connections end for at most `grace`, and closes the
-    /// rest. Idle connections never end by themselves in that time: what is in
-    /// flight is to be waited for before.
+    /// Stops accepting, waits at most `grace` for open connections to end and closes the
+    /// rest. Idle connections do not end by themselves in that time, so the caller should
+    /// wait for requests in flight before it calls this.
     pub fn stop(self, grace: Duration) {
         if !grace.is_zero() {
             (self.tell_stop)(true);
@@ -168,23 +169,24 @@
     }
 }
 
-/// What is wrong with the body of a request.
+/// Why the body of a request cannot be read.
 #[derive(Debug, displaydoc::Display)]
 pub enum RequestBodyError {
     /// the body is over {0} bytes; send less
     TooLarge(usize),
-    /// the body did not come in time; send it without pauses
+    /// the body was not received in time; send it without pauses
     TooSlow,
-    /// the body broke off; send it whole
+    /// the body ended early; send all of it
     Broken,
 }
 
 impl std::error::Error for RequestBodyError {}
 
-/// Reads a whole body of at most `limit` bytes within `time`.
+/// Reads a complete body of at most `limit` bytes within `time`.
 ///
 /// # Errors
-/// [`RequestBodyError`]; the rest of the body is not read.
+/// [`RequestBodyError`] if the body is too large, too slow or truncated; the rest of it is not
+/// read.
 pub async fn read_body(
     body: RequestBody,
     limit: usize,
--- a/crates/transport/tests/auth.rs
+++ b/crates/transport/tests/auth.rs
@@ -1,4 +1,4 @@
-//! Daemons prove to each other that they know a shared key.
+//! Mutual authentication of daemons with a shared key.
 
 use std::fs;
 use std::path::PathBuf;
@@ -47,8 +47,8 @@
     }
 }
 
-/// The key of a running system is exchanged in three steps, one daemon after the
-/// other. At no moment do two daemons distrust each other.
+/// Rotating the key of a running system in three steps, one daemon at a time, never breaks the
+/// connections between daemons.
 #[tokio::test]
 async fn a_key_is_exchanged_without_a_stop() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -66,8 +66,8 @@
     }
 }
 
-/// An operator's editor empties the file for a moment, or it is lost. The daemons
-/// go on trusting each other by the keys that they read before.
+/// If the key file is truncated by an editor or removed, daemons still connect with the keys that
+/// they read before.
 #[tokio::test]
 async fn an_emptied_file_changes_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -79,7 +79,7 @@
     assert!(meet(&keys, &keys).await.iter().all(Result::is_ok));
 }
 
-/// Somebody who knows no key sends back what it hears, or nonsense.
+/// A peer without a key that reflects the handshake or sends arbitrary bytes is rejected.
 #[tokio::test]
 async fn an_echo_and_nonsense_are_not_trusted() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -96,7 +96,7 @@
         keys.prove(&mut stream).await
     };
     let (result, ()) = tokio::join!(prove, echo);
-    assert!(result.is_err(), "an echo was trusted");
+    assert!(result.is_err(), "a reflected handshake was accepted");
     let nonsense = async {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("sent");
