--- a/crates/protocol/src/api.rs
+++ b/crates/protocol/src/api.rs
@@ -111,10 +111,10 @@
 /// assert_ne!(held_digest([held(7, 2)]), held_digest([held(7, 3)]));
 /// ```
 pub fn held_digest(held: impl IntoIterator<Item = ReportedTask>) -> u32 {
-    const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
+    const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
     held.into_iter().fold(0, |sum, ReportedTask { task, epoch }| {
-        let mixed = task.0.wrapping_mul(31).wrapping_add(epoch.0).wrapping_mul(MIX);
-        sum.wrapping_add((mixed >> 32) as u32)
+        let hash = task.0.wrapping_mul(31).wrapping_add(epoch.0).wrapping_mul(MULTIPLIER);
+        sum.wrapping_add((hash >> 32) as u32)
     })
 }
 
@@ -241,7 +241,7 @@
     /// The kind of task.
     pub kind: Name,
     /// Number of tasks; 1 if absent.
-    #[serde(default = "one")]
+    #[serde(default = "default_count")]
     pub count: u32,
     /// Whether the tasks are placed before all other tasks.
     #[serde(default)]
@@ -251,7 +251,7 @@
     pub payload: Box<str>,
 }
 
-fn one() -> u32 {
+fn default_count() -> u32 {
     1
 }
 
--- a/crates/protocol/src/document.rs
+++ b/crates/protocol/src/document.rs
@@ -1,7 +1,10 @@
 //! Parses and validates the TOML text of a service document. All errors are reported
 //! at once, each with its position and its remedy.
 
-use crate::fields::{Collector, Section, ValidationErrors, flag, text, thousandths, unit, whole};
+use crate::fields::{
+    ErrorCollector, Section, ValidationErrors, boolean, integer, map_unit_error, string,
+    thousandths,
+};
 use crate::units::{mebibytes, millis, minute_of_day};
 use sha2::{Digest as _, Sha256};
 use toml::de::{DeTable, DeValue};
@@ -38,25 +41,29 @@
 /// # Ok::<(), yuccalink_protocol::fields::ValidationErrors>(())
 /// ```
 pub fn read(source: &str) -> Result<Document, ValidationErrors> {
-    let mut out = Collector::new(source);
+    let mut errors = ErrorCollector::new(source);
     if source.len() > TEXT_MAX {
         let what =
             format!("the document has {} bytes, the limit is {TEXT_MAX}; shorten it", source.len());
-        out.add(0, "", what);
-        return Err(out.finish());
+        errors.add(0, "", what);
+        return Err(errors.finish());
     }
-    let (table, broken) = DeTable::parse_recoverable(source);
-    for error in &broken {
-        let at = error.span().map_or(0, |span| span.start);
-        out.add(at, "", format!("not TOML: {}; correct it at this position", error.message()));
+    let (table, syntax_errors) = DeTable::parse_recoverable(source);
+    for error in &syntax_errors {
+        let offset = error.span().map_or(0, |span| span.start);
+        errors.add(
+            offset,
+            "",
+            format!("not TOML: {}; correct it at this position", error.message()),
+        );
     }
-    if !out.is_clean() {
-        return Err(out.finish());
+    if !errors.is_empty() {
+        return Err(errors.finish());
     }
-    let document = whole_document(table.get_ref(), &mut out);
+    let document = parse_document(table.get_ref(), &mut errors);
     match document {
-        Some(document) if out.is_clean() => Ok(document),
-        _ => Err(out.finish()),
+        Some(document) if errors.is_empty() => Ok(document),
+        _ => Err(errors.finish()),
     }
 }
 
@@ -70,19 +77,19 @@
     Sha256::digest(source.as_bytes()).into()
 }
 
-fn whole_document(table: &DeTable<'_>, out: &mut Collector<'_>) -> Option<Document> {
+fn parse_document(table: &DeTable<'_>, errors: &mut ErrorCollector<'_>) -> Option<Document> {
     let mut root = Section::new(table, String::new(), 0);
-    let service = root.required(out, "service", "\"quotes\"", name);
-    let team = root.required(out, "team", "\"sales\"", name);
-    let version = root.required(out, "version", "1", |v| whole(v, 1, u64::MAX >> 1));
-    let peak = root.section(out, "peak").map(|section| peak(section, out));
-    let disruption_tolerance = root.section(out, "gives-up").map_or_else(
+    let service = root.required(errors, "service", "\"quotes\"", name);
+    let team = root.required(errors, "team", "\"sales\"", name);
+    let version = root.required(errors, "version", "1", |v| integer(v, 1, u64::MAX >> 1));
+    let peak = root.section(errors, "peak").map(|section| peak(section, errors));
+    let disruption_tolerance = root.section(errors, "gives-up").map_or_else(
         || Some(DisruptionTolerance::default()),
-        |section| disruption_tolerance(section, out),
+        |section| disruption_tolerance(section, errors),
     );
-    let requests = requests(root.sections(out, "request", KINDS_MAX), out);
-    let tasks = tasks(root.sections(out, "task", KINDS_MAX), out);
-    root.close(out);
+    let requests = requests(root.sections(errors, "request", KINDS_MAX), errors);
+    let tasks = tasks(root.sections(errors, "task", KINDS_MAX), errors);
+    root.report_unknown_fields(errors);
     Some(Document {
         service: service?,
         team: team?,
@@ -98,23 +105,27 @@
 }
 
 fn name(value: &DeValue<'_>) -> Result<Name, Box<str>> {
-    Name::new(text(value)?).map_err(|bad| bad.to_string().into())
+    Name::new(string(value)?).map_err(|error| error.to_string().into())
 }
 
-fn peak(mut section: Section<'_, '_>, out: &mut Collector<'_>) -> Option<Peak> {
-    let zone = section.required(out, "time-zone", "\"Europe/Prague\"", time_zone);
-    let minute = |v: &DeValue<'_>| unit(minute_of_day(text(v)?));
-    let start = section.required(out, "start", "\"08:30\"", minute);
-    let end = section.required(out, "end", "\"17:30\"", minute);
+fn peak(mut section: Section<'_, '_>, errors: &mut ErrorCollector<'_>) -> Option<Peak> {
+    let zone = section.required(errors, "time-zone", "\"Europe/Prague\"", time_zone);
+    let minute = |v: &DeValue<'_>| map_unit_error(minute_of_day(string(v)?));
+    let start = section.required(errors, "start", "\"08:30\"", minute);
+    let end = section.required(errors, "end", "\"17:30\"", minute);
     if start.is_some() && start == end {
-        section.fault(out, "end", "equals start, so the peak is empty; change it or remove [peak]");
+        section.add_error(
+            errors,
+            "end",
+            "equals start, so the peak is empty; change it or remove [peak]",
+        );
     }
-    section.close(out);
+    section.report_unknown_fields(errors);
     Some(Peak { time_zone: zone?, start_minute: start?, end_minute: end? })
 }
 
 fn time_zone(value: &DeValue<'_>) -> Result<Box<str>, Box<str>> {
-    let zone = text(value)?;
+    let zone = string(value)?;
     match jiff::tz::TimeZone::get(zone) {
         Ok(_) => Ok(zone.into()),
         Err(_) => {
@@ -125,58 +136,60 @@
 
 fn disruption_tolerance(
     mut section: Section<'_, '_>,
-    out: &mut Collector<'_>,
+    errors: &mut ErrorCollector<'_>,
 ) -> Option<DisruptionTolerance> {
-    let throttle = section.optional(out, "throttle", flag).unwrap_or(false);
-    let checkpoint = section.optional(out, "checkpoint", flag).unwrap_or(false);
-    let stop = section.optional(out, "stop", flag).unwrap_or(false);
-    let evictions = section.optional(out, "evictions", |v| whole(v, 0, EVICTIONS_MAX)).unwrap_or(0);
-    let wait = section.optional(out, "batch-wait", |v| unit(millis(text(v)?))).unwrap_or(0);
+    let throttle = section.optional(errors, "throttle", boolean).unwrap_or(false);
+    let checkpoint = section.optional(errors, "checkpoint", boolean).unwrap_or(false);
+    let stop = section.optional(errors, "stop", boolean).unwrap_or(false);
+    let evictions =
+        section.optional(errors, "evictions", |v| integer(v, 0, EVICTIONS_MAX)).unwrap_or(0);
+    let wait =
+        section.optional(errors, "batch-wait", |v| map_unit_error(millis(string(v)?))).unwrap_or(0);
     if evictions > 0 && !checkpoint && !stop {
         let what = "needs `checkpoint = true` or `stop = true`, the only ways to evict a task";
-        section.fault(out, "evictions", what);
+        section.add_error(errors, "evictions", what);
     }
     if evictions == 0 && (checkpoint || stop) {
         let what = "must be at least 1 if checkpoint or stop is true; set it or remove those";
-        section.fault(out, "evictions", what);
+        section.add_error(errors, "evictions", what);
     }
-    section.close(out);
+    section.report_unknown_fields(errors);
     let evictions = u32::try_from(evictions).ok()?;
     Some(DisruptionTolerance { throttle, checkpoint, stop, evictions, batch_wait_ms: wait })
 }
 
-fn requests(sections: Vec<Section<'_, '_>>, out: &mut Collector<'_>) -> Vec<RequestKind> {
+fn requests(sections: Vec<Section<'_, '_>>, errors: &mut ErrorCollector<'_>) -> Vec<RequestKind> {
     let mut kinds: Vec<RequestKind> = Vec::new();
     for mut section in sections {
         let start = section.start();
         let label = section.path("name");
-        let Some(kind) = request(&mut section, out) else {
-            section.close(out);
+        let Some(kind) = request(&mut section, errors) else {
+            section.report_unknown_fields(errors);
             continue;
         };
-        section.close(out);
+        section.report_unknown_fields(errors);
         if kinds.iter().any(|other| other.name == kind.name) {
-            out.add(start, &label, format!("`{}` is there twice; rename one", kind.name));
+            errors.add(start, &label, format!("`{}` is there twice; rename one", kind.name));
         }
         if kinds.iter().any(|other| other.method == kind.method && other.path == kind.path) {
             let what = format!(
                 "`{}` is never reached: an earlier kind matches the same requests",
                 kind.name
             );
-            out.add(start, &label, format!("{what}; change its method or path"));
+            errors.add(start, &label, format!("{what}; change its method or path"));
         }
         kinds.push(kind);
     }
     kinds
 }
 
-fn request(section: &mut Section<'_, '_>, out: &mut Collector<'_>) -> Option<RequestKind> {
-    let name = section.required(out, "name", "\"draft\"", name);
-    let method = section.optional(out, "method", method);
-    let path = section.required(out, "path", "\"/drafts/*\"", path);
-    let idempotent = section.required(out, "idempotent", "true", flag);
-    let deadline = section.required(out, "deadline", "\"2s\"", deadline);
-    let worth = section.optional(out, "worth", |v| whole(v, 1, WORTH_MAX)).unwrap_or(1);
+fn request(section: &mut Section<'_, '_>, errors: &mut ErrorCollector<'_>) -> Option<RequestKind> {
+    let name = section.required(errors, "name", "\"draft\"", name);
+    let method = section.optional(errors, "method", method);
+    let path = section.required(errors, "path", "\"/drafts/*\"", path);
+    let idempotent = section.required(errors, "idempotent", "true", boolean);
+    let deadline = section.required(errors, "deadline", "\"2s\"", deadline);
+    let worth = section.optional(errors, "worth", |v| integer(v, 1, WORTH_MAX)).unwrap_or(1);
     Some(RequestKind {
         name: name?,
         method,
@@ -189,7 +202,7 @@
 
 fn method(value: &DeValue<'_>) -> Result<Box<str>, Box<str>> {
     const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
-    let method = text(value)?;
+    let method = string(value)?;
     if METHODS.contains(&method) {
         return Ok(method.into());
     }
@@ -198,7 +211,7 @@
 }
 
 fn path(value: &DeValue<'_>) -> Result<Box<str>, Box<str>> {
-    let path = text(value)?;
+    let path = string(value)?;
     if !path.starts_with('/') || path.contains(['?', '#', ' ']) {
         return Err(format!("`{path}` is not a path; write one such as \"/drafts/*\"").into());
     }
@@ -215,38 +228,40 @@
 }
 
 fn deadline(value: &DeValue<'_>) -> Result<u64, Box<str>> {
-    let ms = unit(millis(text(value)?))?;
+    let ms = map_unit_error(millis(string(value)?))?;
     if (1..=DEADLINE_MAX_MS).contains(&ms) {
         return Ok(ms);
     }
     Err("must be from 1ms to 10m; run longer work as a task".into())
 }
 
-fn tasks(sections: Vec<Section<'_, '_>>, out: &mut Collector<'_>) -> Vec<TaskKind> {
+fn tasks(sections: Vec<Section<'_, '_>>, errors: &mut ErrorCollector<'_>) -> Vec<TaskKind> {
     let mut kinds: Vec<TaskKind> = Vec::new();
     for mut section in sections {
         let start = section.start();
         let label = section.path("name");
-        let kind = task(&mut section, out);
-        section.close(out);
+        let kind = task(&mut section, errors);
+        section.report_unknown_fields(errors);
         let Some(kind) = kind else { continue };
         if kinds.iter().any(|other| other.name == kind.name) {
-            out.add(start, &label, format!("`{}` is there twice; rename one", kind.name));
+            errors.add(start, &label, format!("`{}` is there twice; rename one", kind.name));
         }
         kinds.push(kind);
     }
     kinds
 }
 
-fn task(section: &mut Section<'_, '_>, out: &mut Collector<'_>) -> Option<TaskKind> {
-    let name = section.required(out, "name", "\"watcher\"", name);
-    let processors = section.required(out, "processors", "0.5", |v| thousandths(v, PROCESSORS_MAX));
-    let memory = section.required(out, "memory", "\"512MiB\"", memory);
+fn task(section: &mut Section<'_, '_>, errors: &mut ErrorCollector<'_>) -> Option<TaskKind> {
+    let name = section.required(errors, "name", "\"watcher\"", name);
+    let processors =
+        section.required(errors, "processors", "0.5", |v| thousandths(v, PROCESSORS_MAX));
+    let memory = section.required(errors, "memory", "\"512MiB\"", memory);
     let accelerators =
-        section.optional(out, "accelerators", |v| whole(v, 0, ACCELERATORS_MAX)).unwrap_or(0);
-    let duration = section.required(out, "duration", "\"30m\"", |v| unit(millis(text(v)?)));
-    let class = section.optional(out, "class", class).unwrap_or_default();
-    let spread = section.optional(out, "spread", spread).unwrap_or_default();
+        section.optional(errors, "accelerators", |v| integer(v, 0, ACCELERATORS_MAX)).unwrap_or(0);
+    let duration =
+        section.required(errors, "duration", "\"30m\"", |v| map_unit_error(millis(string(v)?)));
+    let class = section.optional(errors, "class", class).unwrap_or_default();
+    let spread = section.optional(errors, "spread", spread).unwrap_or_default();
     let need = Resources {
         millicores: processors?,
         memory_mib: memory?,
@@ -256,7 +271,7 @@
 }
 
 fn memory(value: &DeValue<'_>) -> Result<u64, Box<str>> {
-    let amount = unit(mebibytes(text(value)?))?;
+    let amount = map_unit_error(mebibytes(string(value)?))?;
     if (1..=MEMORY_MAX_MIB).contains(&amount) {
         return Ok(amount);
     }
@@ -264,7 +279,7 @@
 }
 
 fn class(value: &DeValue<'_>) -> Result<TaskClass, Box<str>> {
-    match text(value)? {
+    match string(value)? {
         "latency-critical" => Ok(TaskClass::LatencyCritical),
         "batch" => Ok(TaskClass::Batch),
         other => Err(format!("`{other}` is neither \"latency-critical\" nor \"batch\"").into()),
@@ -272,7 +287,7 @@
 }
 
 fn spread(value: &DeValue<'_>) -> Result<Spread, Box<str>> {
-    match text(value)? {
+    match string(value)? {
         "none" => Ok(Spread::None),
         "racks" => Ok(Spread::Racks),
         "zones" => Ok(Spread::Zones),
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -167,7 +167,7 @@
 }
 
 impl PeerEntry {
-    /// Returns the entries that requests can be forwarded to: those that the leader `told` of and,
+    /// Returns the entries that requests can be forwarded to: those that the leader `reported` and,
     /// until the leader's table is `complete`, also the `former` entries that have not yet reported
     /// to it. Right after its election a leader knows only itself, and without the former entries
     /// no runner would have a reachable owner.
@@ -184,13 +184,14 @@
     /// assert_eq!(PeerEntry::known(vec![entry("e2")?], &former, true).len(), 1);
     /// # Ok::<(), BadName>(())
     /// ```
-    pub fn known(told: Vec<Self>, former: &[Self], complete: bool) -> Vec<Self> {
+    pub fn known(reported: Vec<Self>, former: &[Self], complete: bool) -> Vec<Self> {
         if complete {
-            return told;
+            return reported;
         }
-        let is_told = |entry: &Self| told.iter().any(|other| other.name == entry.name);
-        let untold: Vec<Self> = former.iter().filter(|entry| !is_told(entry)).cloned().collect();
-        told.into_iter().chain(untold).collect()
+        let is_reported = |entry: &Self| reported.iter().any(|other| other.name == entry.name);
+        let unreported: Vec<Self> =
+            former.iter().filter(|entry| !is_reported(entry)).cloned().collect();
+        reported.into_iter().chain(unreported).collect()
     }
 }
 
@@ -314,7 +315,7 @@
     postcard::from_bytes(bytes).map_err(BadMessage::Codec)
 }
 
-fn name(reader: capnp::text::Reader<'_>) -> Result<Name, BadMessage> {
+fn parse_name(reader: capnp::text::Reader<'_>) -> Result<Name, BadMessage> {
     Ok(Name::new(reader.to_str()?)?)
 }
 
@@ -340,8 +341,8 @@
 where
     T: Serialize,
 {
-    for (at, value) in (0..).zip(values) {
-        list.set(at, &encode(value)?);
+    for (index, value) in (0..).zip(values) {
+        list.set(index, &encode(value)?);
     }
     Ok(())
 }
@@ -371,8 +372,8 @@
         to.set_leaving(self.leaving);
         to.set_settled(self.runner_table_complete);
         let mut released_runners = to.reborrow().init_let_go(count(&self.released_runners));
-        for (at, name) in (0..).zip(&self.released_runners) {
-            released_runners.set(at, name.as_str());
+        for (index, name) in (0..).zip(&self.released_runners) {
+            released_runners.set(index, name.as_str());
         }
         fill_parts(to.init_owned(count(&self.owned)), &self.owned)
     }
@@ -383,12 +384,12 @@
     /// [`BadMessage`] if the message is malformed.
     pub fn read(from: crate::peer_capnp::entry_state::Reader<'_>) -> Result<Self, BadMessage> {
         let released_runners =
-            from.get_let_go()?.iter().map(|text| name(text?)).collect::<Result<_, _>>()?;
+            from.get_let_go()?.iter().map(|text| parse_name(text?)).collect::<Result<_, _>>()?;
         Ok(Self {
-            entry: name(from.get_entry()?)?,
+            entry: parse_name(from.get_entry()?)?,
             incarnation: Incarnation(from.get_incarnation()),
             caller_address: from.get_callers()?.to_str()?.into(),
-            zone: name(from.get_zone()?)?,
+            zone: parse_name(from.get_zone()?)?,
             acked_revision: from.get_acked(),
             draining: from.get_draining(),
             term: from.get_term(),
@@ -414,8 +415,8 @@
         fill_parts(to.reborrow().init_documents(count(&self.documents)), &self.documents)?;
         fill_parts(to.reborrow().init_runners(count(&self.runners)), &self.runners)?;
         let mut entries = to.init_entries(count(&self.entries));
-        for (at, entry) in (0..).zip(&self.entries) {
-            let mut to = entries.reborrow().get(at);
+        for (index, entry) in (0..).zip(&self.entries) {
+            let mut to = entries.reborrow().get(index);
             to.set_name(entry.name.as_str());
             to.set_callers(&*entry.caller_address);
             to.set_zone(entry.zone.as_str());
@@ -432,9 +433,9 @@
         let mut entries = Vec::new();
         for entry in from.get_entries()?.iter() {
             entries.push(PeerEntry {
-                name: name(entry.get_name()?)?,
+                name: parse_name(entry.get_name()?)?,
                 caller_address: entry.get_callers()?.to_str()?.into(),
-                zone: name(entry.get_zone()?)?,
+                zone: parse_name(entry.get_zone()?)?,
                 draining: entry.get_draining(),
             });
         }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -42,19 +42,19 @@
 /// ```
 pub fn kind<'a>(document: &'a Document, method: &str, path: &str) -> Option<&'a RequestKind> {
     document.requests.iter().find(|kind| {
-        let method_fits = kind.method.as_deref().is_none_or(|want| want == method);
-        method_fits && path_fits(&kind.path, path)
+        let method_matches = kind.method.as_deref().is_none_or(|expected| expected == method);
+        method_matches && path_matches(&kind.path, path)
     })
 }
 
-fn path_fits(pattern: &str, path: &str) -> bool {
+fn path_matches(pattern: &str, path: &str) -> bool {
     let mut segments = path.split('/');
-    for want in pattern.split('/') {
-        if want == "**" {
+    for expected in pattern.split('/') {
+        if expected == "**" {
             return true;
         }
         match segments.next() {
-            Some(found) if want == found || (want == "*" && !found.is_empty()) => {}
+            Some(segment) if expected == segment || (expected == "*" && !segment.is_empty()) => {}
             _ => return false,
         }
     }
--- a/crates/protocol/src/units.rs
+++ b/crates/protocol/src/units.rs
@@ -3,10 +3,10 @@
 use std::fmt;
 
 /// Units of time with their length in milliseconds, longest first.
-const TIMES: [(&str, u64); 5] =
+const TIME_UNITS: [(&str, u64); 5] =
     [("d", 86_400_000), ("h", 3_600_000), ("m", 60_000), ("s", 1_000), ("ms", 1)];
 /// Units of memory with their size in MiB.
-const MEMORIES: [(&str, u64); 3] = [("MiB", 1), ("GiB", 1024), ("TiB", 1024 * 1024)];
+const MEMORY_UNITS: [(&str, u64); 3] = [("MiB", 1), ("GiB", 1024), ("TiB", 1024 * 1024)];
 
 /// Error for a malformed quantity; its message names the expected format.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
@@ -33,7 +33,7 @@
 /// # Ok::<(), yuccalink_protocol::units::BadUnit>(())
 /// ```
 pub fn millis(text: &str) -> Result<u64, BadUnit> {
-    amount(text, &TIMES).ok_or_else(|| BadUnit::Time(text.into()))
+    parse_quantity(text, &TIME_UNITS).ok_or_else(|| BadUnit::Time(text.into()))
 }
 
 /// Parses an amount of memory into MiB.
@@ -47,7 +47,7 @@
 /// # Ok::<(), yuccalink_protocol::units::BadUnit>(())
 /// ```
 pub fn mebibytes(text: &str) -> Result<u64, BadUnit> {
-    amount(text, &MEMORIES).ok_or_else(|| BadUnit::Memory(text.into()))
+    parse_quantity(text, &MEMORY_UNITS).ok_or_else(|| BadUnit::Memory(text.into()))
 }
 
 /// Parses a time of day into minutes since midnight.
@@ -62,21 +62,21 @@
 /// # Ok::<(), yuccalink_protocol::units::BadUnit>(())
 /// ```
 pub fn minute_of_day(text: &str) -> Result<u16, BadUnit> {
-    let bad = || BadUnit::TimeOfDay(text.into());
-    let (hours, minutes) = text.split_once(':').ok_or_else(bad)?;
+    let invalid = || BadUnit::TimeOfDay(text.into());
+    let (hours, minutes) = text.split_once(':').ok_or_else(invalid)?;
     let digits = |part: &str| part.len() == 2 && part.bytes().all(|b| b.is_ascii_digit());
     if !digits(hours) || !digits(minutes) {
-        return Err(bad());
+        return Err(invalid());
     }
-    let hours: u16 = hours.parse().map_err(|_| bad())?;
-    let minutes: u16 = minutes.parse().map_err(|_| bad())?;
+    let hours: u16 = hours.parse().map_err(|_| invalid())?;
+    let minutes: u16 = minutes.parse().map_err(|_| invalid())?;
     if hours > 23 || minutes > 59 {
-        return Err(bad());
+        return Err(invalid());
     }
     Ok(hours * 60 + minutes)
 }
 
-fn amount(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_quantity(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
     let (_, size) = units.iter().find(|(name, _)| *name == unit)?;
@@ -95,8 +95,9 @@
 
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = TIMES.iter().find(|(_, size)| self.0 >= *size && self.0.is_multiple_of(*size));
-        let (unit, size) = whole.unwrap_or(&("ms", 1));
+        let largest =
+            TIME_UNITS.iter().find(|(_, size)| self.0 >= *size && self.0.is_multiple_of(*size));
+        let (unit, size) = largest.unwrap_or(&("ms", 1));
         write!(f, "{}{unit}", self.0 / size)
     }
 }
--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -5,11 +5,11 @@
 use yuccalink_protocol::document::read;
 use yuccalink_protocol::{peer, request};
 
-const GOOD: &str = include_str!("../../../examples/quotes.toml");
+const VALID: &str = include_str!("../../../examples/quotes.toml");
 
 #[test]
-fn the_examples_are_good() {
-    for text in [GOOD, include_str!("../../../examples/duty-desk.toml")] {
+fn the_examples_are_valid() {
+    for text in [VALID, include_str!("../../../examples/duty-desk.toml")] {
         read(text).expect("a good document");
     }
 }
@@ -17,7 +17,7 @@
 /// A document with many errors gets all of them reported at once, each with its position and
 /// remedy, so that its author need not fix and resubmit one at a time.
 #[test]
-fn all_faults_are_reported_at_once_with_their_places() {
+fn all_errors_are_reported_at_once_with_their_positions() {
     let text = "service = \"Quotes\"\nversoin = 1\n\n[peak]\ntime-zone = \"Europe/Brno\"\n\
                 start = \"8:30\"\nend = \"17:30\"\n\n[[request]]\nname = \"draft\"\n\
                 path = \"drafts\"\nidempotent = \"yes\"\ndeadline = \"2 seconds\"\n\n\
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_contradicts_itself_is_a_fault() {
+fn contradictions_are_rejected() {
     let base = "service='s'\nteam='t'\nversion=1\n";
     let request = |name: &str, path: &str| {
         format!("[[request]]\nname='{name}'\npath='{path}'\nidempotent=true\ndeadline='1s'\n")
@@ -92,10 +92,10 @@
         at in any::<prop::sample::Index>(),
         piece in "[\\[\\]=\"'a-z0-9.\\n{}-]{0,8}",
     ) {
-        let mut text = GOOD.to_string();
-        let places: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
-        let start = places[at.index(places.len())];
-        let end = places.iter().copied().find(|p| *p >= start + piece.len()).unwrap_or(text.len());
+        let mut text = VALID.to_string();
+        let offsets: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
+        let start = offsets[at.index(offsets.len())];
+        let end = offsets.iter().copied().find(|p| *p >= start + piece.len()).unwrap_or(text.len());
         text.replace_range(start..end, &piece);
         if let Err(faults) = read(&text) {
             prop_assert!(!faults.0.is_empty());
@@ -113,7 +113,7 @@
 
     #[test]
     fn any_path_is_mapped_or_not(path in "\\PC{0,60}") {
-        let document = read(GOOD).expect("a good document");
+        let document = read(VALID).expect("a good document");
         if let Some((service, inner)) = request::split(&path) {
             prop_assert!(!service.is_empty() && inner.starts_with('/'));
             let _ = request::kind(&document, "POST", inner);
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn kinds_are_matched_in_order() {
-    let document = read(GOOD).expect("a good document");
+fn request_kinds_are_matched_in_order() {
+    let document = read(VALID).expect("a good document");
     let kind = |method, path| request::kind(&document, method, path).map(|k| k.name.to_string());
     assert_eq!(kind("GET", "/prices/nets/40mm").as_deref(), Some("price-list"));
     assert_eq!(kind("GET", "/prices").as_deref(), Some("price-list"));
--- a/crates/protocol/tests/neighbours.rs
+++ b/crates/protocol/tests/peer_entries.rs
@@ -23,13 +23,14 @@
 /// Guards against a new leader without runners of its own that answers callers that no runner is
 /// known, because the other entries have not reported to it yet.
 #[test]
-fn entries_that_a_new_leader_has_not_heard_yet_are_still_handed_requests() {
+fn entries_that_have_not_reported_to_a_new_leader_still_get_forwarded_requests() {
     let former = [entry("e1", false), entry("e2", false), entry("e3", true)];
-    let at_once = PeerEntry::known(vec![entry("e2", false)], &former, false);
-    assert_eq!(names(&at_once), ["e2", "e1", "e3"]);
-    assert!(at_once[2].draining, "one that is about to stop stays known as such");
-    let heard = PeerEntry::known(vec![entry("e2", false), entry("e1", true)], &at_once, false);
-    assert!(heard[1].draining, "a newer word counts");
-    let settled = PeerEntry::known(vec![entry("e2", false)], &heard, true);
-    assert_eq!(names(&settled), ["e2"], "one that is gone is forgotten");
+    let after_election = PeerEntry::known(vec![entry("e2", false)], &former, false);
+    assert_eq!(names(&after_election), ["e2", "e1", "e3"]);
+    assert!(after_election[2].draining, "one that is about to stop stays known as such");
+    let after_report =
+        PeerEntry::known(vec![entry("e2", false), entry("e1", true)], &after_election, false);
+    assert!(after_report[1].draining, "a newer word counts");
+    let complete = PeerEntry::known(vec![entry("e2", false)], &after_report, true);
+    assert_eq!(names(&complete), ["e2"], "one that is gone is forgotten");
 }
--- a/crates/transport/src/auth.rs
+++ b/crates/transport/src/auth.rs
@@ -22,13 +22,13 @@
 /// Maximum number of keys in a file.
 pub const KEYS_MAX: usize = 16;
 /// Time limit of the handshake; after it the connection is given up.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 const MAGIC: &[u8; 6] = b"YUCCA1";
-const NONCE: usize = 32;
-const ID: usize = 8;
-const MAC: usize = 32;
-const NO_KEY: [u8; ID] = [0; ID];
-const TAKEN: u8 = 1;
+const NONCE_LEN: usize = 32;
+const KEY_ID_LEN: usize = 8;
+const MAC_LEN: usize = 32;
+const NO_KEY_ID: [u8; KEY_ID_LEN] = [0; KEY_ID_LEN];
+const ACCEPTED: u8 = 1;
 
 /// Why the handshake between two daemons failed.
 #[derive(Debug, displaydoc::Display)]
@@ -57,7 +57,7 @@
 
 /// Why a key file cannot be used.
 #[derive(Debug, displaydoc::Display)]
-pub enum BadKeys {
+pub enum KeyFileError {
     /// cannot read {path}: {source}
     Read {
         /// Path of the key file.
@@ -84,11 +84,11 @@
     },
 }
 
-impl std::error::Error for BadKeys {}
+impl std::error::Error for KeyFileError {}
 
 #[derive(Clone)]
 struct Key {
-    id: [u8; ID],
+    id: [u8; KEY_ID_LEN],
     secret: Box<[u8]>,
 }
 
@@ -98,7 +98,7 @@
 pub struct Keys {
     file: Option<PathBuf>,
     /// Keys from the last time that the file was valid.
-    last: Arc<Mutex<Vec<Key>>>,
+    loaded: Arc<Mutex<Vec<Key>>>,
 }
 
 impl std::fmt::Debug for Keys {
@@ -111,28 +111,28 @@
     /// Reads the keys from `file`; without a file, connections are not authenticated.
     ///
     /// # Errors
-    /// [`BadKeys`] if the file cannot be read or its content is invalid.
+    /// [`KeyFileError`] if the file cannot be read or its content is invalid.
     ///
     /// ```
     /// # use yuccalink_transport::auth::Keys;
     /// assert!(Keys::open(None).is_ok());
     /// assert!(Keys::open(Some("/nowhere".into())).is_err());
     /// ```
-    pub fn open(file: Option<PathBuf>) -> Result<Self, BadKeys> {
-        let keys = file.as_deref().map(read).transpose()?.unwrap_or_default();
-        Ok(Self { file, last: Arc::new(Mutex::new(keys)) })
+    pub fn open(file: Option<PathBuf>) -> Result<Self, KeyFileError> {
+        let keys = file.as_deref().map(read_keys).transpose()?.unwrap_or_default();
+        Ok(Self { file, loaded: Arc::new(Mutex::new(keys)) })
     }
 
     fn load(&self) -> Option<Vec<Key>> {
         let file = self.file.as_ref()?;
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        match read(file) {
-            Ok(keys) => *last = keys,
+        let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
+        match read_keys(file) {
+            Ok(keys) => *loaded = keys,
             // An editor may truncate the file before it writes the new content. Connections
             // between daemons must not fail in that moment.
             Err(error) => log::error!("{error}; the keys read before stay in use"),
         }
-        Some(last.clone())
+        Some(loaded.clone())
     }
 
     /// Runs the handshake on an outgoing connection: verifies the proof of the other daemon and
@@ -140,31 +140,33 @@
     ///
     /// # Errors
     /// [`AuthError`] if the handshake fails; the connection must then be dropped.
-    pub async fn prove(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
-        timeout(TIMEOUT, self.prove_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
+    pub async fn outgoing_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(HANDSHAKE_TIMEOUT, self.run_outgoing_handshake(stream))
+            .await
+            .unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn prove_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+    async fn run_outgoing_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
         let key = keys.as_ref().map(|keys| keys.first().ok_or(AuthError::NoKey)).transpose()?;
-        let nonce = nonce();
-        let id = key.map_or(NO_KEY, |key| key.id);
+        let nonce = random_nonce();
+        let id = key.map_or(NO_KEY_ID, |key| key.id);
         stream.write_all(&[MAGIC.as_slice(), &id, &nonce].concat()).await?;
-        let (their_id, their_nonce) = read_hello(stream).await?;
+        let (peer_key_id, peer_nonce) = read_hello(stream).await?;
         let Some(key) = key else {
-            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
+            return if peer_key_id == NO_KEY_ID { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
-        if their_id == NO_KEY {
+        if peer_key_id == NO_KEY_ID {
             return Err(AuthError::NoKey);
         }
-        let mut proof = [0; MAC];
+        let mut proof = [0; MAC_LEN];
         stream.read_exact(&mut proof).await?;
-        check(key, b"accepts", &nonce, &their_nonce, &proof)?;
+        verify_proof(key, b"accepts", &nonce, &peer_nonce, &proof)?;
         stream
-            .write_all(&mac(key, b"connects", &nonce, &their_nonce).finalize().into_bytes())
+            .write_all(&mac(key, b"connects", &nonce, &peer_nonce).finalize().into_bytes())
             .await?;
         match stream.read_u8().await? {
-            TAKEN => Ok(()),
+            ACCEPTED => Ok(()),
             _ => Err(AuthError::NotADaemon),
         }
     }
@@ -174,41 +176,45 @@
     ///
     /// # Errors
     /// [`AuthError`] if the handshake fails; the connection must then be dropped.
-    pub async fn check(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
-        timeout(TIMEOUT, self.check_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
+    pub async fn incoming_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(HANDSHAKE_TIMEOUT, self.run_incoming_handshake(stream))
+            .await
+            .unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn check_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+    async fn run_incoming_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
-        let (their_id, their_nonce) = read_hello(stream).await?;
-        let nonce = nonce();
+        let (peer_key_id, peer_nonce) = read_hello(stream).await?;
+        let nonce = random_nonce();
         let Some(keys) = keys else {
-            stream.write_all(&[MAGIC.as_slice(), &NO_KEY, &nonce].concat()).await?;
-            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
+            stream.write_all(&[MAGIC.as_slice(), &NO_KEY_ID, &nonce].concat()).await?;
+            return if peer_key_id == NO_KEY_ID { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
-        if their_id == NO_KEY {
+        if peer_key_id == NO_KEY_ID {
             return Err(AuthError::NoKey);
         }
-        let key = keys.iter().find(|key| key.id == their_id).ok_or(AuthError::UnknownKey)?;
-        let own = mac(key, b"accepts", &their_nonce, &nonce).finalize().into_bytes();
-        stream.write_all(&[MAGIC.as_slice(), &key.id, &nonce, &own].concat()).await?;
-        let mut proof = [0; MAC];
+        let key = keys.iter().find(|key| key.id == peer_key_id).ok_or(AuthError::UnknownKey)?;
+        let own_proof = mac(key, b"accepts", &peer_nonce, &nonce).finalize().into_bytes();
+        stream.write_all(&[MAGIC.as_slice(), &key.id, &nonce, &own_proof].concat()).await?;
+        let mut proof = [0; MAC_LEN];
         stream.read_exact(&mut proof).await?;
-        check(key, b"connects", &their_nonce, &nonce, &proof)?;
-        stream.write_u8(TAKEN).await?;
+        verify_proof(key, b"connects", &peer_nonce, &nonce, &proof)?;
+        stream.write_u8(ACCEPTED).await?;
         Ok(())
     }
 }
 
-async fn read_hello(stream: &mut TcpStream) -> Result<([u8; ID], [u8; NONCE]), AuthError> {
+async fn read_hello(
+    stream: &mut TcpStream,
+) -> Result<([u8; KEY_ID_LEN], [u8; NONCE_LEN]), AuthError> {
     let mut magic = [0; MAGIC.len()];
     stream.read_exact(&mut magic).await?;
     if magic != *MAGIC {
         return Err(AuthError::NotADaemon);
     }
-    let mut id = [0; ID];
+    let mut id = [0; KEY_ID_LEN];
     stream.read_exact(&mut id).await?;
-    let mut nonce = [0; NONCE];
+    let mut nonce = [0; NONCE_LEN];
     stream.read_exact(&mut nonce).await?;
     Ok((id, nonce))
 }
@@ -223,7 +229,7 @@
     mac
 }
 
-fn check(
+fn verify_proof(
     key: &Key,
     role: &[u8],
     connecting: &[u8],
@@ -233,34 +239,34 @@
     mac(key, role, connecting, accepting).verify_slice(proof).map_err(|_| AuthError::WrongProof)
 }
 
-fn nonce() -> [u8; NONCE] {
-    let mut nonce = [0; NONCE];
+fn random_nonce() -> [u8; NONCE_LEN] {
+    let mut nonce = [0; NONCE_LEN];
     if rand::rngs::SysRng.try_fill_bytes(&mut nonce).is_err() {
         log::error!("the system random number generator failed; connections between daemons fail");
     }
     nonce
 }
 
-fn read(file: &Path) -> Result<Vec<Key>, BadKeys> {
+fn read_keys(file: &Path) -> Result<Vec<Key>, KeyFileError> {
     let path: Box<str> = file.display().to_string().into();
-    let text =
-        fs::read_to_string(file).map_err(|source| BadKeys::Read { path: path.clone(), source })?;
+    let text = fs::read_to_string(file)
+        .map_err(|source| KeyFileError::Read { path: path.clone(), source })?;
     let mut keys = Vec::new();
-    for (at, line) in text.lines().map(str::trim).enumerate() {
+    for (index, line) in text.lines().map(str::trim).enumerate() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         if line.len() < KEY_MIN {
-            return Err(BadKeys::Short { path, line: at + 1 });
+            return Err(KeyFileError::Short { path, line: index + 1 });
         }
         let digest = Sha256::new().chain_update(b"yuccalink key ").chain_update(line).finalize();
-        let mut id = [0; ID];
-        id.copy_from_slice(&digest[..ID]);
+        let mut id = [0; KEY_ID_LEN];
+        id.copy_from_slice(&digest[..KEY_ID_LEN]);
         keys.push(Key { id, secret: line.as_bytes().into() });
     }
     match keys.len() {
-        0 => Err(BadKeys::Empty { path }),
-        count if count > KEYS_MAX => Err(BadKeys::Many { path }),
+        0 => Err(KeyFileError::Empty { path }),
+        count if count > KEYS_MAX => Err(KeyFileError::Many { path }),
         _ => Ok(keys),
     }
 }
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -8,7 +8,7 @@
 use xitca_web::error::BodyError;
 
 /// Maximum number of chunks buffered for a slow caller.
-pub const CHUNKS: usize = 8;
+pub const BUFFERED_CHUNKS_MAX: usize = 8;
 
 /// Why a streamed body ended early. The caller's connection is closed, so that a
 /// truncated response is never taken for a complete one.
@@ -34,7 +34,7 @@
     End,
 }
 
-struct Passed {
+struct StreamedBody {
     rx: mpsc::Receiver<BodyChunk>,
     size: Option<u64>,
     ended: bool,
@@ -42,11 +42,11 @@
 
 /// Creates a body that is fed through the returned sender, of `size` bytes if that is known.
 pub fn streamed_body(size: Option<u64>) -> (mpsc::Sender<BodyChunk>, ResponseBody) {
-    let (tx, rx) = mpsc::channel(CHUNKS);
-    (tx, ResponseBody::boxed(Passed { rx, size, ended: false }))
+    let (tx, rx) = mpsc::channel(BUFFERED_CHUNKS_MAX);
+    (tx, ResponseBody::boxed(StreamedBody { rx, size, ended: false }))
 }
 
-impl Body for Passed {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -18,9 +18,9 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Maximum size of a response head, in bytes.
-const HEAD_MAX: usize = 64 * 1024;
+const RESPONSE_HEAD_MAX: usize = 64 * 1024;
 /// Time after which an idle connection is closed; shorter than the idle timeout of most servers.
-const IDLE_MAX: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why an upstream request got no response.
 #[derive(Debug, displaydoc::Display)]
@@ -51,7 +51,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     since: Instant,
 }
@@ -90,7 +90,7 @@
 /// Connection pool of one thread.
 #[derive(Clone)]
 pub struct Pool {
-    idle: Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     settings: PoolSettings,
 }
 
@@ -126,24 +126,24 @@
     {
         let to = to.into();
         let mut req = req;
-        while let Some(sender) = self.take(to.address) {
-            match self.exchange(to, sender, req, deadline).await {
+        while let Some(sender) = self.take_idle(to.address) {
+            match self.send_on(to, sender, req, deadline).await {
                 // The other side closed the idle connection before anything was sent, so
                 // the request can be sent on another connection.
                 Err((UpstreamError::NotSent(_), Some(unsent))) => req = unsent,
-                done => return done.map_err(|(error, _)| error),
+                result => return result.map_err(|(error, _)| error),
             }
         }
         let sender = self.connect(to.address, deadline).await?;
-        self.exchange(to, sender, req, deadline).await.map_err(|(error, _)| error)
+        self.send_on(to, sender, req, deadline).await.map_err(|(error, _)| error)
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
-        let mut all = self.idle.borrow_mut();
-        let idle = all.get_mut(&address)?;
-        while let Some(found) = idle.pop() {
-            if !found.sender.is_closed() && found.since.elapsed() < IDLE_MAX {
-                return Some(found.sender);
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.get_mut(&address)?;
+        while let Some(connection) = idle.pop() {
+            if !connection.sender.is_closed() && connection.since.elapsed() < IDLE_TIMEOUT {
+                return Some(connection.sender);
             }
         }
         None
@@ -153,17 +153,17 @@
         if sender.is_closed() {
             return;
         }
-        let mut all = self.idle.borrow_mut();
-        let idle = all.entry(to.address).or_default();
+        let mut pool = self.idle.borrow_mut();
+        let idle = pool.entry(to.address).or_default();
         if idle.len() < to.idle.unwrap_or(self.settings.idle_per_address) {
-            idle.push(Idle { sender, since: Instant::now() });
+            idle.push(IdleConnection { sender, since: Instant::now() });
         }
     }
 
     /// Closes connections that were idle for longer than the limit.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
-            idle.retain(|i| !i.sender.is_closed() && i.since.elapsed() < IDLE_MAX);
+            idle.retain(|i| !i.sender.is_closed() && i.since.elapsed() < IDLE_TIMEOUT);
             !idle.is_empty()
         });
     }
@@ -180,7 +180,7 @@
             .map_err(UpstreamError::NotConnected)?;
         stream.set_nodelay(true).map_err(UpstreamError::NotConnected)?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(HEAD_MAX)
+            .max_buf_size(RESPONSE_HEAD_MAX)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(UpstreamError::NotSent)?;
@@ -192,7 +192,7 @@
         Ok(sender)
     }
 
-    async fn exchange(
+    async fn send_on(
         &self,
         to: Destination,
         mut sender: Sender,
@@ -256,20 +256,20 @@
     /// # Errors
     /// If the connection failed before the end of the body.
     pub async fn collect_body(&mut self, limit: usize) -> Result<Option<Bytes>, hyper::Error> {
-        let mut whole: Vec<Bytes> = Vec::new();
+        let mut chunks: Vec<Bytes> = Vec::new();
         let mut size = 0;
         while let Some(chunk) = self.next().await? {
             size += chunk.len();
             if size > limit {
                 return Ok(None);
             }
-            whole.push(chunk);
+            chunks.push(chunk);
         }
-        if whole.len() == 1
-            && let Some(only) = whole.pop()
+        if chunks.len() == 1
+            && let Some(only) = chunks.pop()
         {
             return Ok(Some(only));
         }
-        Ok(Some(whole.concat().into()))
+        Ok(Some(chunks.concat().into()))
     }
 }
--- a/crates/transport/src/reply.rs
+++ b/crates/transport/src/reply.rs
@@ -28,11 +28,11 @@
     with_body(status, "text/plain; charset=utf-8", body.as_bytes().to_vec())
 }
 
-/// Builds a response with `body` of the media type `kind`.
-pub fn with_body(status: StatusCode, kind: &'static str, body: Vec<u8>) -> WebResponse {
+/// Builds a response with `body` of the media type `media_type`.
+pub fn with_body(status: StatusCode, media_type: &'static str, body: Vec<u8>) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::bytes(body));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media_type));
     response
 }
 
--- a/crates/transport/src/rpc.rs
+++ b/crates/transport/src/rpc.rs
@@ -18,7 +18,7 @@
 /// Maximum number of open connections from other daemons; further ones wait to be accepted.
 pub const CONNECTIONS_MAX: usize = 256;
 /// Maximum size of a message, in words of 8 bytes: 32 MiB.
-const WORDS_MAX: usize = 4 * 1024 * 1024;
+const MESSAGE_WORDS_MAX: usize = 4 * 1024 * 1024;
 /// Time limit for establishing a connection to another daemon.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -41,7 +41,7 @@
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.into_split();
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(WORDS_MAX));
+    options.traversal_limit_in_words(Some(MESSAGE_WORDS_MAX));
     let reader = BufReader::new(reader.compat());
     let writer = BufWriter::new(writer.compat_write());
     Ok(VatNetwork::new(reader, writer, side, options))
@@ -56,7 +56,7 @@
     let mut stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    keys.prove(&mut stream).await?;
+    keys.outgoing_handshake(&mut stream).await?;
     let mut system = RpcSystem::new(Box::new(network(stream, Side::Client)?), None);
     let peer: peer::Client = system.bootstrap(Side::Server);
     let task = tokio::task::spawn_local(async move {
@@ -68,7 +68,7 @@
 }
 
 async fn serve(mut stream: TcpStream, service: peer::Client, keys: &Keys) -> Result<(), AuthError> {
-    keys.check(&mut stream).await?;
+    keys.incoming_handshake(&mut stream).await?;
     let system = RpcSystem::new(Box::new(network(stream, Side::Server)?), Some(service.client));
     if let Err(error) = system.await {
         log::debug!("a daemon's connection ended: {error}");
@@ -82,11 +82,11 @@
 /// # Errors
 /// Currently none: a failed accept is logged and retried after 100 ms.
 pub async fn accept(listener: TcpListener, service: peer::Client, keys: Keys) -> io::Result<()> {
-    let open = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
-        let Ok(permit) = open.clone().acquire_owned().await else { return Ok(()) };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return Ok(()) };
         let (stream, from) = match listener.accept().await {
-            Ok(found) => found,
+            Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("cannot accept a daemon's connection: {error}; trying again");
                 tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -22,9 +22,9 @@
 /// Maximum number of headers in a request; more get status 431.
 pub const HEADERS_MAX: usize = 64;
 /// Maximum size of the write buffer of a connection, in bytes.
-const WRITE_BUFFER: usize = 256 * 1024;
+const WRITE_BUFFER_BYTES: usize = 256 * 1024;
 /// Time to wait for the server's threads after a forced stop; after it they are detached.
-const FORCED_WAIT: Duration = Duration::from_secs(1);
+const FORCED_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Request handler of one thread. Each thread creates its own, so a handler may hold
 /// connections and caches that are not shared between threads.
@@ -65,7 +65,7 @@
     address: SocketAddr,
     /// Stops the server, gracefully if the argument is true. A closure, because the library does
     /// not export the type of its handle.
-    tell_stop: Box<dyn Fn(bool) + Send + Sync>,
+    stop_server: Box<dyn Fn(bool) + Send + Sync>,
     thread: Option<thread::JoinHandle<io::Result<()>>>,
 }
 
@@ -75,21 +75,21 @@
     }
 }
 
-struct PerThread<H> {
+struct ThreadService<H> {
     handler: Rc<H>,
-    open: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-impl<H> ReadyService for PerThread<H> {
+impl<H> ReadyService for ThreadService<H> {
     type Ready = Option<OwnedSemaphorePermit>;
 
     /// Waits for a connection permit, which the next accepted connection holds until it closes.
     async fn ready(&self) -> Self::Ready {
-        self.open.clone().acquire_owned().await.ok()
+        self.permits.clone().acquire_owned().await.ok()
     }
 }
 
-impl<H> Service<WebRequest> for PerThread<H>
+impl<H> Service<WebRequest> for ThreadService<H>
 where
     H: Handler,
 {
@@ -103,11 +103,15 @@
 
 impl Server {
     /// Starts threads that accept connections from `listener`. Each thread handles requests with
-    /// the handler that `make` creates for it.
+    /// the handler that `make_handler` creates for it.
     ///
     /// # Errors
     /// If the listener or a thread cannot be set up.
-    pub fn start<F, H>(listener: TcpListener, limits: ServerLimits, make: F) -> io::Result<Self>
+    pub fn start<F, H>(
+        listener: TcpListener,
+        limits: ServerLimits,
+        make_handler: F,
+    ) -> io::Result<Self>
     where
         F: Fn() -> H + Send + Sync + Clone + 'static,
         H: Handler,
@@ -117,9 +121,12 @@
         // cover, so it could hold its connection without limit. TCP_USER_TIMEOUT makes the
         // kernel close the connection; accepted sockets inherit it from the listener.
         SockRef::from(&listener).set_tcp_user_timeout(Some(limits.stall_timeout))?;
-        let open = Arc::new(Semaphore::new(limits.connections.max(1)));
+        let permits = Arc::new(Semaphore::new(limits.connections.max(1)));
         let build = fn_build(async move |()| {
-            Ok::<_, Infallible>(PerThread { handler: Rc::new(make()), open: open.clone() })
+            Ok::<_, Infallible>(ThreadService {
+                handler: Rc::new(make_handler()),
+                permits: permits.clone(),
+            })
         });
         let mut server = HttpServer::serve(build)
             .server_threads(1)
@@ -128,7 +135,7 @@
             .keep_alive_timeout(limits.idle_timeout)
             .request_head_timeout(limits.head_timeout)
             .max_read_buf_size::<HEAD_MAX>()
-            .max_write_buf_size::<WRITE_BUFFER>()
+            .max_write_buf_size::<WRITE_BUFFER_BYTES>()
             .max_request_headers::<HEADERS_MAX>()
             .listen(listener)?
             .run();
@@ -136,8 +143,8 @@
         let thread = thread::Builder::new()
             .name(format!("http-{}", address.port()))
             .spawn(move || server.wait())?;
-        let tell_stop = Box::new(move |graceful| stop.stop(graceful));
-        Ok(Self { address, tell_stop, thread: Some(thread) })
+        let stop_server = Box::new(move |graceful| stop.stop(graceful));
+        Ok(Self { address, stop_server, thread: Some(thread) })
     }
 
     /// Address of the listener, with the actual port if port 0 was requested.
@@ -150,22 +157,22 @@
     /// wait for requests in flight before it calls this.
     pub fn stop(self, grace: Duration) {
         if !grace.is_zero() {
-            (self.tell_stop)(true);
-            if self.ended_within(grace) {
+            (self.stop_server)(true);
+            if self.wait_for_exit(grace) {
                 return;
             }
         }
-        (self.tell_stop)(false);
-        self.ended_within(FORCED_WAIT);
+        (self.stop_server)(false);
+        self.wait_for_exit(FORCED_STOP_TIMEOUT);
     }
 
-    fn ended_within(&self, time: Duration) -> bool {
+    fn wait_for_exit(&self, time: Duration) -> bool {
         let started = std::time::Instant::now();
-        let ended = || self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished);
-        while !ended() && started.elapsed() < time {
+        let finished = || self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished);
+        while !finished() && started.elapsed() < time {
             thread::sleep(Duration::from_millis(5));
         }
-        ended()
+        finished()
     }
 }
 
@@ -196,11 +203,11 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let whole = collect(body, limit);
-    tokio::time::timeout(time, whole).await.unwrap_or(Err(RequestBodyError::TooSlow))
+    let complete_body = collect_body(body, limit);
+    tokio::time::timeout(time, complete_body).await.unwrap_or(Err(RequestBodyError::TooSlow))
 }
 
-async fn collect(body: RequestBody, limit: usize) -> Result<Bytes, RequestBodyError> {
+async fn collect_body(body: RequestBody, limit: usize) -> Result<Bytes, RequestBodyError> {
     use xitca_web::body::{Body, Frame};
     let mut body = std::pin::pin!(body);
     let mut first: Option<Bytes> = None;
