--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -10,7 +10,7 @@
 #[test]
 fn the_examples_are_valid() {
     for text in [VALID, include_str!("../../../examples/duty-desk.toml")] {
-        read(text).expect("a good document");
+        read(text).expect("a valid document");
     }
 }
 
@@ -113,7 +113,7 @@
 
     #[test]
     fn any_path_is_mapped_or_not(path in "\\PC{0,60}") {
-        let document = read(VALID).expect("a good document");
+        let document = read(VALID).expect("a valid document");
         if let Some((service, inner)) = request::split(&path) {
             prop_assert!(!service.is_empty() && inner.starts_with('/'));
             let _ = request::kind(&document, "POST", inner);
@@ -123,7 +123,7 @@
 
 #[test]
 fn request_kinds_are_matched_in_order() {
-    let document = read(VALID).expect("a good document");
+    let document = read(VALID).expect("a valid document");
     let kind = |method, path| request::kind(&document, method, path).map(|k| k.name.to_string());
     assert_eq!(kind("GET", "/prices/nets/40mm").as_deref(), Some("price-list"));
     assert_eq!(kind("GET", "/prices").as_deref(), Some("price-list"));
--- a/crates/protocol/tests/peer_entries.rs
+++ b/crates/protocol/tests/peer_entries.rs
@@ -27,10 +27,14 @@
     let former = [entry("e1", false), entry("e2", false), entry("e3", true)];
     let after_election = PeerEntry::known(vec![entry("e2", false)], &former, false);
     assert_eq!(names(&after_election), ["e2", "e1", "e3"]);
-    assert!(after_election[2].draining, "one that is about to stop stays known as such");
+    assert!(after_election[2].draining, "a draining entry stays draining");
     let after_report =
         PeerEntry::known(vec![entry("e2", false), entry("e1", true)], &after_election, false);
-    assert!(after_report[1].draining, "a newer word counts");
+    assert!(after_report[1].draining, "a newer report replaces the former state");
     let complete = PeerEntry::known(vec![entry("e2", false)], &after_report, true);
-    assert_eq!(names(&complete), ["e2"], "one that is gone is forgotten");
+    assert_eq!(
+        names(&complete),
+        ["e2"],
+        "an entry that is gone is removed once the table is complete"
+    );
 }
