--- a/crates/daemon/benches/entry_path.rs
+++ b/crates/daemon/benches/entry_path.rs
@@ -23,8 +23,8 @@
 const RUNNERS: usize = 2;
 const SLOTS: u32 = 512;
 const LOAD_THREADS: usize = 2;
-const WARM_UP: Duration = Duration::from_millis(500);
-const RUN: Duration = Duration::from_secs(3);
+const WARM_UP_DURATION: Duration = Duration::from_millis(500);
+const RUN_DURATION: Duration = Duration::from_secs(3);
 const ROUNDS: usize = 3;
 const DOCUMENT: &str = "service='q'\nteam='t'\nversion=1\n[[request]]\nname='echo'\n\
     path='/**'\nidempotent=true\ndeadline='5s'\n";
@@ -76,9 +76,9 @@
         "| connections | direct/s | entry/s | ratio | direct p50/p99/p99.9 us | entry p50/p99/p99.9 us |"
     );
     println!("|---|---|---|---|---|---|");
-    let mut most = 0.0;
+    let mut peak_rate = 0.0;
     for connections in [1, 64, 512] {
-        let (a, b) = paired(&direct, &entry, connections, None);
+        let (a, b) = measure_alternately(&direct, &entry, connections, None);
         println!(
             "| {connections} | {:.0} | {:.0} | {:.2} | {} | {} |",
             a.per_second,
@@ -87,14 +87,14 @@
             quantiles(&a),
             quantiles(&b)
         );
-        if b.per_second > most {
-            most = b.per_second;
+        if b.per_second > peak_rate {
+            peak_rate = b.per_second;
         }
     }
     println!("\n| rate/s | direct p50/p99/p99.9 us | entry p50/p99/p99.9 us | added p99 us |");
     println!("|---|---|---|---|");
-    let rate = most / 2.0;
-    let (a, b) = paired(&direct, &entry, 64, Some(rate));
+    let rate = peak_rate / 2.0;
+    let (a, b) = measure_alternately(&direct, &entry, 64, Some(rate));
     let added = b.micros(0.99).saturating_sub(a.micros(0.99));
     println!("| {rate:.0} | {} | {} | {added} |", quantiles(&a), quantiles(&b));
     println!("\nfailed requests: direct {}, entry {}", a.failed, b.failed);
@@ -110,7 +110,7 @@
 }
 
 /// Runs both in turn and keeps the median run of each by throughput or by p99.
-fn paired(
+fn measure_alternately(
     direct: &[SocketAddr],
     entry: &[SocketAddr],
     connections: usize,
@@ -119,8 +119,8 @@
     let mut a = Vec::new();
     let mut b = Vec::new();
     for _ in 0..ROUNDS {
-        a.push(load(direct, connections, rate));
-        b.push(load(entry, connections, rate));
+        a.push(generate_load(direct, connections, rate));
+        b.push(generate_load(entry, connections, rate));
     }
     (median(a, rate.is_some()), median(b, rate.is_some()))
 }
@@ -134,7 +134,7 @@
 }
 
 /// A closed loop on each connection, or an open one at `rate` over all of them.
-fn load(to: &[SocketAddr], connections: usize, rate: Option<f64>) -> Measured {
+fn generate_load(to: &[SocketAddr], connections: usize, rate: Option<f64>) -> Measured {
     let threads = LOAD_THREADS.min(connections);
     let failed = Arc::new(AtomicU64::new(0));
     let handles: Vec<_> = (0..threads)
@@ -142,9 +142,9 @@
             let share = connections / threads;
             let to: Vec<SocketAddr> =
                 (0..share).map(|at| to[(thread * share + at) % to.len()]).collect();
-            let gap = rate.map(|rate| Duration::from_secs_f64(connections as f64 / rate));
+            let interval = rate.map(|rate| Duration::from_secs_f64(connections as f64 / rate));
             let failed = failed.clone();
-            thread::spawn(move || load_thread(&to, gap, &failed))
+            thread::spawn(move || load_thread(&to, interval, &failed))
         })
         .collect();
     let mut times = new_histogram();
@@ -153,7 +153,7 @@
             let _ = times.add(part);
         }
     }
-    let per_second = times.len() as f64 / RUN.as_secs_f64();
+    let per_second = times.len() as f64 / RUN_DURATION.as_secs_f64();
     Measured { per_second, times, failed: failed.load(Ordering::Relaxed) }
 }
 
@@ -161,7 +161,11 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("constant bounds")
 }
 
-fn load_thread(to: &[SocketAddr], gap: Option<Duration>, failed: &AtomicU64) -> Histogram<u64> {
+fn load_thread(
+    to: &[SocketAddr],
+    interval: Option<Duration>,
+    failed: &AtomicU64,
+) -> Histogram<u64> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return new_histogram() };
     let local = LocalSet::new();
@@ -172,9 +176,9 @@
             .iter()
             .enumerate()
             .map(|(at, to)| {
-                let offset =
-                    gap.map_or(Duration::ZERO, |gap| gap.mul_f64(at as f64 / count as f64));
-                tokio::task::spawn_local(connection(*to, start + offset, gap))
+                let offset = interval
+                    .map_or(Duration::ZERO, |interval| interval.mul_f64(at as f64 / count as f64));
+                tokio::task::spawn_local(connection(*to, start + offset, interval))
             })
             .collect();
         let mut all = new_histogram();
@@ -192,27 +196,28 @@
 async fn connection(
     to: SocketAddr,
     start: Instant,
-    gap: Option<Duration>,
+    interval: Option<Duration>,
 ) -> (Histogram<u64>, u64) {
     let pool = Pool::new(PoolSettings::default());
     let caller = Caller::new(to);
     let mut times = new_histogram();
     let mut failed = 0;
     let mut due = start;
-    while start.elapsed() < WARM_UP + RUN {
-        if let Some(gap) = gap {
+    while start.elapsed() < WARM_UP_DURATION + RUN_DURATION {
+        if let Some(interval) = interval {
             // The runtime's timer is too coarse here: it wakes up to 1 ms late.
             while Instant::now() < due {
                 tokio::task::yield_now().await;
             }
-            due += gap;
+            due += interval;
         }
-        let began = if gap.is_some() { due - gap.unwrap_or_default() } else { Instant::now() };
+        let started_at =
+            if interval.is_some() { due - interval.unwrap_or_default() } else { Instant::now() };
         let reply = caller.send_on(&pool, "GET", "/q/echo", b"").await;
         if !reply.is_ok_and(|reply| reply.status == 200) {
             failed += 1;
-        } else if began.duration_since(start) >= WARM_UP {
-            let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
+        } else if started_at.duration_since(start) >= WARM_UP_DURATION {
+            let micros = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
             let _ = times.record(micros.max(1));
         }
     }
--- a/crates/daemon/benches/memory.rs
+++ b/crates/daemon/benches/memory.rs
@@ -15,7 +15,7 @@
 const TARGETS: usize = 2000;
 const RECORDS: u64 = 20_000;
 
-fn memory() -> u64 {
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS"));
     line.and_then(|l| l.split_whitespace().nth(1)?.parse::<u64>().ok()).unwrap_or(0) * 1024
@@ -31,7 +31,7 @@
         std::thread::yield_now();
     }
 
-    let before = memory();
+    let before = resident_bytes();
     let mut open = Vec::new();
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(daemon.callers())?;
@@ -40,10 +40,10 @@
         std::io::Read::read_exact(&mut stream, &mut head)?;
         open.push(stream);
     }
-    println!("per caller's connection: {} bytes", (memory() - before) / CONNECTIONS as u64);
+    println!("per caller's connection: {} bytes", (resident_bytes() - before) / CONNECTIONS as u64);
     drop(open);
 
-    let before = memory();
+    let before = resident_bytes();
     for at in 0..TARGETS {
         let body = format!(
             r#"{{"kind":"runner","name":"r{at}","incarnation":1,"service":"q",
@@ -51,12 +51,12 @@
         );
         assert_eq!(caller.post("/v1/targets", body.as_bytes())?.status, 200);
     }
-    println!("per target: {} bytes", memory().saturating_sub(before) / TARGETS as u64);
+    println!("per target: {} bytes", resident_bytes().saturating_sub(before) / TARGETS as u64);
     daemon.kill();
-    log()
+    measure_log()
 }
 
-fn log() -> Result<(), Box<dyn std::error::Error>> {
+fn measure_log() -> Result<(), Box<dyn std::error::Error>> {
     println!("\n| records a sync | appends/s | bytes a record |");
     println!("|---|---|---|");
     let record: Box<[u8]> = store::encode(&Command::Cancel([].into()))?.into();
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -24,11 +24,11 @@
 use yuccalink_transport::server::{Handler, read_body};
 
 /// Largest body on this interface, in bytes.
-const BODY_MAX: usize = 4 * 1024 * 1024;
+const BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
 /// Time in which a body must come.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait until a document is in force everywhere.
-const FORCE_WAIT: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Header that names who applies a document.
 const AUTHOR: &str = "yuccalink-author";
 
@@ -38,7 +38,7 @@
 }
 
 /// A request that has been taken apart.
-struct Asked<'a> {
+struct AdminRequest<'a> {
     method: &'a Method,
     path: Vec<&'a str>,
     query: &'a str,
@@ -46,13 +46,13 @@
     body: RequestBody,
 }
 
-type Response = Result<WebResponse, Problem>;
+type AdminResult = Result<WebResponse, Problem>;
 
 impl Handler for Admin {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let (head, ext) = req.into_parts();
         let (_, body) = ext.replace_body(());
-        self.answer(&head, body).await.unwrap_or_else(|problem| reply::problem(&problem))
+        self.handle_request(&head, body).await.unwrap_or_else(|problem| reply::problem(&problem))
     }
 }
 
@@ -61,91 +61,92 @@
         Self { shared, rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)) }
     }
 
-    async fn answer(&self, head: &Parts, body: RequestBody) -> Response {
+    async fn handle_request(&self, head: &Parts, body: RequestBody) -> AdminResult {
         let path: Vec<&str> = head.uri.path().split('/').skip(1).collect();
         let query = head.uri.query().unwrap_or_default();
-        let asked = Asked { method: &head.method, path, query, headers: &head.headers, body };
-        match asked.path.as_slice() {
+        let request =
+            AdminRequest { method: &head.method, path, query, headers: &head.headers, body };
+        match request.path.as_slice() {
             ["livez"] => Ok(reply::text(StatusCode::OK, "alive\n")),
-            ["readyz"] => Ok(self.ready()),
-            ["v1", "targets", ..] => self.targets(asked).await,
-            ["v1", "services", ..] => self.services(asked).await,
-            ["v1", "tasks", ..] => self.tasks(asked).await,
-            ["v1", "status"] => self.status(&asked).await,
-            ["v1", "decisions"] => self.decisions(&asked).await,
+            ["readyz"] => Ok(self.readiness()),
+            ["v1", "targets", ..] => self.targets(request).await,
+            ["v1", "services", ..] => self.services(request).await,
+            ["v1", "tasks", ..] => self.tasks(request).await,
+            ["v1", "status"] => self.status(&request).await,
+            ["v1", "decisions"] => self.decisions(&request).await,
             ["v1", "snapshot"] => {
-                only_get(&asked)?;
-                self.pass(LeaderRequest::Snapshot).await
+                require_get(&request)?;
+                self.ask_leader(LeaderRequest::Snapshot).await
             }
-            _ => Err(no_path(head.uri.path())),
+            _ => Err(path_problem(head.uri.path())),
         }
     }
 
-    fn ready(&self) -> WebResponse {
-        let red = |why: &str| reply::text(StatusCode::SERVICE_UNAVAILABLE, why);
+    fn readiness(&self) -> WebResponse {
+        let not_ready = |why: &str| reply::text(StatusCode::SERVICE_UNAVAILABLE, why);
         if self.shared.is_draining() {
-            return red("draining\n");
+            return not_ready("draining\n");
         }
         if !self.shared.has_lease() {
-            return red("out of touch with the leader\n");
+            return not_ready("out of touch with the leader\n");
         }
         if !self.shared.is_informed() {
-            return red("waiting to be told of the runners\n");
+            return not_ready("waiting to be told of the runners\n");
         }
         reply::text(StatusCode::OK, "ready\n")
     }
 
-    async fn targets(&self, asked: Asked<'_>) -> Response {
-        let path = asked.path.clone();
-        match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "targets"]) => self.pass(LeaderRequest::Targets).await,
+    async fn targets(&self, request: AdminRequest<'_>) -> AdminResult {
+        let path = request.path.clone();
+        match (request.method.as_str(), path.as_slice()) {
+            ("GET", ["v1", "targets"]) => self.ask_leader(LeaderRequest::Targets).await,
             ("POST", ["v1", "targets"]) => {
-                let announce: Announce = json(asked.body).await?;
+                let announce: Announce = read_json(request.body).await?;
                 let (target, busy) = announce.into_parts();
                 check_target(&target)?;
-                self.pass(LeaderRequest::Announce { target, busy }).await
+                self.ask_leader(LeaderRequest::Announce { target, busy }).await
             }
             ("POST", ["v1", "targets", name, "heartbeat"]) => {
-                let name = named(name)?;
-                let beat: Heartbeat = json(asked.body).await?;
+                let name = parse_name(name)?;
+                let beat: Heartbeat = read_json(request.body).await?;
                 let held = beat.held.as_ref().map_or(0, Vec::len);
                 if held > LIST_MAX || beat.reports.len() > LIST_MAX {
                     let what =
                         format!("more than {LIST_MAX} items in a list; send several heartbeats");
                     return Err(Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, what));
                 }
-                self.pass(LeaderRequest::Heartbeat { name, beat }).await
+                self.ask_leader(LeaderRequest::Heartbeat { name, beat }).await
             }
             ("POST", ["v1", "targets", name, "leave"]) => {
-                let name = named(name)?;
-                let leave: Leave = json(asked.body).await?;
-                self.pass(LeaderRequest::Leave { name, incarnation: leave.incarnation }).await
+                let name = parse_name(name)?;
+                let leave: Leave = read_json(request.body).await?;
+                self.ask_leader(LeaderRequest::Leave { name, incarnation: leave.incarnation }).await
             }
-            _ => Err(no_method(&asked)),
+            _ => Err(method_problem(&request)),
         }
     }
 
-    async fn services(&self, asked: Asked<'_>) -> Response {
-        let path = asked.path.clone();
-        match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "services"]) => self.pass(LeaderRequest::Services).await,
+    async fn services(&self, request: AdminRequest<'_>) -> AdminResult {
+        let path = request.path.clone();
+        match (request.method.as_str(), path.as_slice()) {
+            ("GET", ["v1", "services"]) => self.ask_leader(LeaderRequest::Services).await,
             ("GET", ["v1", "services", name]) => {
-                self.pass(LeaderRequest::Service(named(name)?)).await
+                self.ask_leader(LeaderRequest::Service(parse_name(name)?)).await
             }
-            ("PUT", ["v1", "services", name]) => self.apply(named(name)?, asked).await,
+            ("PUT", ["v1", "services", name]) => self.apply(parse_name(name)?, request).await,
             ("POST", ["v1", "services", name, "check"]) => {
-                read_document(&named(name)?, asked.body).await?;
+                read_document(&parse_name(name)?, request.body).await?;
                 Ok(reply::json(StatusCode::OK, &serde_json::json!({ "ok": true })))
             }
-            _ => Err(no_method(&asked)),
+            _ => Err(method_problem(&request)),
         }
     }
 
-    async fn apply(&self, name: Name, asked: Asked<'_>) -> Response {
-        let wait = !asked.query.split('&').any(|part| part == "wait=false");
-        let author = asked.headers.get(AUTHOR).and_then(|value| value.to_str().ok());
+    async fn apply(&self, name: Name, request: AdminRequest<'_>) -> AdminResult {
+        let wait = !request.query.split('&').any(|part| part == "wait=false");
+        let author = request.headers.get(AUTHOR).and_then(|value| value.to_str().ok());
         let author = author.filter(|text| text.len() <= 255).unwrap_or("unnamed").into();
-        let text = read_document(&name, asked.body).await?;
+        let text = read_document(&name, request.body).await?;
         match self.shared.ask(LeaderRequest::Apply { text, author }).await {
             LeaderResponse::Applied(mut applied) => {
                 if wait {
@@ -153,13 +154,13 @@
                 }
                 Ok(reply::json(StatusCode::OK, &applied))
             }
-            other => answer(other),
+            other => to_response(other),
         }
     }
 
     async fn wait_in_force(&self, applied: &mut Applied) {
-        let until = Instant::now() + FORCE_WAIT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + IN_FORCE_TIMEOUT;
+        while Instant::now() < deadline {
             match self.shared.ask(LeaderRequest::InForce { revision: applied.revision }).await {
                 LeaderResponse::InForce { everywhere, waiting_for } => {
                     applied.in_force_everywhere = everywhere;
@@ -173,24 +174,28 @@
         }
     }
 
-    async fn tasks(&self, asked: Asked<'_>) -> Response {
-        let path = asked.path.clone();
-        match (asked.method.as_str(), path.as_slice()) {
-            ("GET", ["v1", "tasks"]) => self.pass(LeaderRequest::Tasks(filter(asked.query)?)).await,
+    async fn tasks(&self, request: AdminRequest<'_>) -> AdminResult {
+        let path = request.path.clone();
+        match (request.method.as_str(), path.as_slice()) {
+            ("GET", ["v1", "tasks"]) => {
+                self.ask_leader(LeaderRequest::Tasks(task_filter(request.query)?)).await
+            }
             ("POST", ["v1", "tasks"]) => {
-                let key = self.submission_key(asked.headers)?;
-                let tasks: SubmitTasks = json(asked.body).await?;
-                self.pass(LeaderRequest::Submit { key, tasks }).await
+                let key = self.submission_key(request.headers)?;
+                let tasks: SubmitTasks = read_json(request.body).await?;
+                self.ask_leader(LeaderRequest::Submit { key, tasks }).await
             }
             ("POST", ["v1", "tasks", "cancel"]) => {
-                let cancel: CancelTasks = json(asked.body).await?;
-                self.pass(LeaderRequest::Cancel(cancel.tasks)).await
+                let cancel: CancelTasks = read_json(request.body).await?;
+                self.ask_leader(LeaderRequest::Cancel(cancel.tasks)).await
+            }
+            ("GET", ["v1", "tasks", id]) => {
+                self.ask_leader(LeaderRequest::Task(task_id(id)?)).await
             }
-            ("GET", ["v1", "tasks", id]) => self.pass(LeaderRequest::Task(task_id(id)?)).await,
             ("POST", ["v1", "tasks", id, "cancel"]) => {
-                self.pass(LeaderRequest::Cancel(vec![task_id(id)?])).await
+                self.ask_leader(LeaderRequest::Cancel(vec![task_id(id)?])).await
             }
-            _ => Err(no_method(&asked)),
+            _ => Err(method_problem(&request)),
         }
     }
 
@@ -207,20 +212,20 @@
         }
     }
 
-    async fn status(&self, asked: &Asked<'_>) -> Response {
-        only_get(asked)?;
+    async fn status(&self, request: &AdminRequest<'_>) -> AdminResult {
+        require_get(request)?;
         match self.shared.ask(LeaderRequest::Status).await {
             LeaderResponse::Status(mut status) => {
                 status.entry = self.shared.config.name.clone();
                 Ok(reply::json(StatusCode::OK, &status))
             }
-            other => answer(other),
+            other => to_response(other),
         }
     }
 
     /// This daemon's routing decisions and the leader's placements.
-    async fn decisions(&self, asked: &Asked<'_>) -> Response {
-        only_get(asked)?;
+    async fn decisions(&self, request: &AdminRequest<'_>) -> AdminResult {
+        require_get(request)?;
         let mut all = self.shared.decisions.list();
         if let LeaderResponse::Decisions(others) = self.shared.ask(LeaderRequest::Decisions).await {
             let own = &self.shared.config.name;
@@ -230,14 +235,14 @@
         Ok(reply::json(StatusCode::OK, &all))
     }
 
-    async fn pass(&self, ask: LeaderRequest) -> Response {
-        answer(self.shared.ask(ask).await)
+    async fn ask_leader(&self, ask: LeaderRequest) -> AdminResult {
+        to_response(self.shared.ask(ask).await)
     }
 }
 
-fn answer(answer: LeaderResponse) -> Response {
+fn to_response(response: LeaderResponse) -> AdminResult {
     let ok = StatusCode::OK;
-    Ok(match answer {
+    Ok(match response {
         LeaderResponse::Applied(value) => reply::json(ok, &value),
         LeaderResponse::InForce { everywhere, waiting_for } => reply::json(
             ok,
@@ -263,11 +268,11 @@
     })
 }
 
-async fn json<T>(body: RequestBody) -> Result<T, Problem>
+async fn read_json<T>(body: RequestBody) -> Result<T, Problem>
 where
     T: DeserializeOwned,
 {
-    let bytes = bytes(body).await?;
+    let bytes = read_bytes(body).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
         let what =
             format!("the body is not the JSON expected here: {error}; see docs/PROTOCOLS.md");
@@ -275,8 +280,8 @@
     })
 }
 
-async fn bytes(body: RequestBody) -> Result<bytes::Bytes, Problem> {
-    read_body(body, BODY_MAX, BODY_TIME).await.map_err(|bad| {
+async fn read_bytes(body: RequestBody) -> Result<bytes::Bytes, Problem> {
+    read_body(body, BODY_MAX_BYTES, BODY_TIMEOUT).await.map_err(|bad| {
         let kind = match bad {
             yuccalink_transport::server::RequestBodyError::TooLarge(_) => ProblemKind::TooLarge,
             _ => ProblemKind::BadRequest,
@@ -286,7 +291,7 @@
 }
 
 async fn read_document(name: &Name, body: RequestBody) -> Result<Box<str>, Problem> {
-    let bytes = bytes(body).await?;
+    let bytes = read_bytes(body).await?;
     let text = std::str::from_utf8(&bytes).map_err(|_| {
         Problem::new(
             ProblemKind::BadRequest,
@@ -326,7 +331,7 @@
     }
 }
 
-fn named(text: &str) -> Result<Name, Problem> {
+fn parse_name(text: &str) -> Result<Name, Problem> {
     Name::new(text).map_err(|bad| {
         Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
     })
@@ -338,15 +343,15 @@
     })
 }
 
-fn filter(query: &str) -> Result<TaskFilter, Problem> {
-    const PAGE: u32 = 100;
-    let mut filter = TaskFilter { limit: PAGE, ..TaskFilter::default() };
+fn task_filter(query: &str) -> Result<TaskFilter, Problem> {
+    const DEFAULT_LIMIT: u32 = 100;
+    let mut filter = TaskFilter { limit: DEFAULT_LIMIT, ..TaskFilter::default() };
     let bad = |what: String| Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what);
     for part in query.split('&').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         let number = || value.parse().map_err(|_| bad(format!("{name} must be a whole number")));
         match name {
-            "service" => filter.service = Some(named(value)?),
+            "service" => filter.service = Some(parse_name(value)?),
             "phase" => filter.phase = Some(value.into()),
             "after" => filter.after = number()?,
             "limit" => filter.limit = u32::try_from(number()?).unwrap_or(u32::MAX),
@@ -359,20 +364,20 @@
     Ok(filter)
 }
 
-fn only_get(asked: &Asked<'_>) -> Result<(), Problem> {
-    match *asked.method {
+fn require_get(request: &AdminRequest<'_>) -> Result<(), Problem> {
+    match *request.method {
         Method::GET => Ok(()),
-        _ => Err(no_method(asked)),
+        _ => Err(method_problem(request)),
     }
 }
 
-fn no_method(asked: &Asked<'_>) -> Problem {
-    let path = asked.path.join("/");
-    let what = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", asked.method);
+fn method_problem(request: &AdminRequest<'_>) -> Problem {
+    let path = request.path.join("/");
+    let what = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", request.method);
     Problem::new(ProblemKind::MethodNotAllowed, ExecutionStatus::NotRun, what)
 }
 
-fn no_path(path: &str) -> Problem {
+fn path_problem(path: &str) -> Problem {
     let what = format!("there is nothing at {path}; see docs/PROTOCOLS.md");
     Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what)
 }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -29,8 +29,8 @@
 }
 
 /// Whole milliseconds of a span.
-pub(crate) fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+pub(crate) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Moments since some start on the clock that goes on while the machine is
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -95,14 +95,14 @@
     /// The defaults: a daemon that runs alone on the loopback address.
     pub fn builder() -> ConfigBuilder {
         let name = Name::new("entry").unwrap_or_else(|_| unreachable!("a constant name"));
-        let at = |port: u16| SocketAddr::from((LOOPBACK, port));
+        let loopback = |port: u16| SocketAddr::from((LOOPBACK, port));
         let config = Self {
             name: name.clone(),
             zone: name,
-            callers: at(8080),
+            callers: loopback(8080),
             callers_advertised: None,
-            control: at(8081),
-            peer: at(8082),
+            control: loopback(8081),
+            peer: loopback(8082),
             data: None,
             voters: Vec::new(),
             peer_keys: None,
@@ -197,46 +197,52 @@
     /// [`Error::Setting`] with the flag and the remedy.
     pub fn build(self) -> Result<Config> {
         let mut config = self.config;
-        config.name = named("name", &self.name)?;
-        config.zone = named("zone", &self.zone)?;
+        config.name = parse_name("name", &self.name)?;
+        config.zone = parse_name("zone", &self.zone)?;
         check(config)
     }
 }
 
-fn wrong(flag: &'static str, what: impl Into<Box<str>>) -> Error {
+fn setting_error(flag: &'static str, what: impl Into<Box<str>>) -> Error {
     Error::Setting { flag, what: what.into() }
 }
 
-fn named(flag: &'static str, text: &str) -> Result<Name> {
-    Name::new(text).map_err(|bad| wrong(flag, bad.to_string()))
+fn parse_name(flag: &'static str, text: &str) -> Result<Name> {
+    Name::new(text).map_err(|bad| setting_error(flag, bad.to_string()))
 }
 
 fn check(config: Config) -> Result<Config> {
-    let listens = [config.callers, config.control, config.peer];
-    let clash = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-    if clash(listens[0], listens[1])
-        || clash(listens[1], listens[2])
-        || clash(listens[0], listens[2])
+    let addresses = [config.callers, config.control, config.peer];
+    let is_same_port = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+    if is_same_port(addresses[0], addresses[1])
+        || is_same_port(addresses[1], addresses[2])
+        || is_same_port(addresses[0], addresses[2])
     {
-        return Err(wrong("control", "callers, control and peer need three different ports"));
+        return Err(setting_error(
+            "control",
+            "callers, control and peer need three different ports",
+        ));
     }
     if config.voters.len().is_multiple_of(2) && !config.voters.is_empty() {
         let what = format!("names {} daemons; name 1, 3 or 5", config.voters.len());
-        return Err(wrong("voters", what));
+        return Err(setting_error("voters", what));
     }
     for (at, voter) in config.voters.iter().enumerate() {
         if config.voters[..at].iter().any(|v| v.name == voter.name || v.address == voter.address) {
-            return Err(wrong("voters", format!("names {} twice; name each once", voter.name)));
+            return Err(setting_error(
+                "voters",
+                format!("names {} twice; name each once", voter.name),
+            ));
         }
     }
     match (config.is_voter(), config.data.is_some()) {
         (true, false) => {
             let what = "is needed by a daemon that keeps the state; name a folder on a disk";
-            return Err(wrong("data", what));
+            return Err(setting_error("data", what));
         }
         (false, true) => {
             let what = "is for voters, and this daemon is not among --voters; leave it out or add it there";
-            return Err(wrong("data", what));
+            return Err(setting_error("data", what));
         }
         _ => {}
     }
@@ -253,7 +259,7 @@
     ];
     for (flag, time) in times {
         if time.is_zero() {
-            return Err(wrong(flag, "must be longer than nothing"));
+            return Err(setting_error(flag, "must be longer than nothing"));
         }
     }
     Ok(config)
@@ -261,7 +267,7 @@
 
 fn at_least_one(flag: &'static str, value: usize) -> Result<()> {
     match value {
-        0 => Err(wrong(flag, "must be at least 1")),
+        0 => Err(setting_error(flag, "must be at least 1")),
         _ => Ok(()),
     }
 }
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -7,39 +7,39 @@
 use yuccalink_state::id::Name;
 
 /// Decisions kept.
-pub(crate) const KEPT: usize = 1000;
+pub(crate) const MAX_DECISIONS: usize = 1000;
 /// Log target of decisions, for filters.
 pub(crate) const TARGET: &str = "yuccalink::decision";
 
 #[derive(Debug)]
 pub(crate) struct Decisions {
     entry: Name,
-    ring: Mutex<VecDeque<(u64, Box<str>)>>,
+    recent: Mutex<VecDeque<(u64, Box<str>)>>,
 }
 
 impl Decisions {
     pub(crate) fn new(entry: Name) -> Self {
-        Self { entry, ring: Mutex::new(VecDeque::with_capacity(KEPT)) }
+        Self { entry, recent: Mutex::new(VecDeque::with_capacity(MAX_DECISIONS)) }
     }
 
     /// Logs a decision and keeps it.
     pub(crate) fn note(&self, line: String) {
         log::info!(target: TARGET, "{line}");
-        let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        if ring.len() == KEPT {
-            ring.pop_front();
+        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        if recent.len() == MAX_DECISIONS {
+            recent.pop_front();
         }
-        ring.push_back((unix_ms(), line.into()));
+        recent.push_back((unix_ms(), line.into()));
     }
 
     /// Newest first.
     pub(crate) fn list(&self) -> Vec<DecisionView> {
-        let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
+        let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let view = |(at_ms, line): &(u64, Box<str>)| DecisionView {
             at_ms: *at_ms,
             entry: self.entry.clone(),
             line: line.clone(),
         };
-        ring.iter().rev().map(view).collect()
+        recent.iter().rev().map(view).collect()
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -7,26 +7,26 @@
 
 const PREFIX: &str = "yuccalink";
 /// Metrics waiting to be sent; more are dropped.
-const QUEUE: usize = 64 * 1024;
+const QUEUE_CAPACITY: usize = 64 * 1024;
 
 /// Sends metrics, or nothing where no address is set.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     client: StatsdClient,
-    on: bool,
+    enabled: bool,
 }
 
 /// How a caller's request ended, as a metric's tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Result {
+pub(crate) enum RequestResult {
     Answered,
     NotRun,
     Unknown,
     Failed,
 }
 
-impl Result {
-    fn name(self) -> &'static str {
+impl RequestResult {
+    fn tag(self) -> &'static str {
         match self {
             Self::Answered => "answered",
             Self::NotRun => "not_run",
@@ -39,30 +39,30 @@
 impl Metrics {
     pub(crate) fn new(statsd: Option<SocketAddr>) -> Self {
         let sink = statsd.and_then(|address| {
-            let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-            let socket = UdpSocket::bind(any).ok()?;
+            let local = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+            let socket = UdpSocket::bind(local).ok()?;
             socket.set_nonblocking(true).ok()?;
             BufferedUdpMetricSink::from(address, socket).ok()
         });
         match sink {
             Some(sink) => {
-                let queue = QueuingMetricSink::with_capacity(sink, QUEUE);
-                Self { client: StatsdClient::from_sink(PREFIX, queue), on: true }
+                let queue = QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY);
+                Self { client: StatsdClient::from_sink(PREFIX, queue), enabled: true }
             }
             None => {
                 if let Some(address) = statsd {
                     log::error!("cannot send metrics to {address}; check --statsd");
                 }
-                Self { client: StatsdClient::from_sink(PREFIX, NopMetricSink), on: false }
+                Self { client: StatsdClient::from_sink(PREFIX, NopMetricSink), enabled: false }
             }
         }
     }
 
-    pub(crate) fn request(&self, service: &str, result: Result, took: Duration) {
-        if !self.on {
+    pub(crate) fn request(&self, service: &str, result: RequestResult, took: Duration) {
+        if !self.enabled {
             return;
         }
-        let result = result.name();
+        let result = result.tag();
         let count = self.client.count_with_tags("requests", 1);
         let _ = count.with_tag("service", service).with_tag("result", result).try_send();
         let time = self.client.time_with_tags("request_time", took);
@@ -70,13 +70,13 @@
     }
 
     pub(crate) fn count(&self, name: &str, by: u64) {
-        if self.on {
+        if self.enabled {
             let _ = self.client.count(name, i64::try_from(by).unwrap_or(i64::MAX));
         }
     }
 
     pub(crate) fn gauge(&self, name: &str, value: u64) {
-        if self.on {
+        if self.enabled {
             let _ = self.client.gauge(name, value);
         }
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -28,7 +28,7 @@
 /// Requests to the control thread that may wait; more are refused at once.
 pub(crate) const CONTROL_QUEUE: usize = 4096;
 /// Pause before the next leader is asked.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Longest wait for the leader's answer.
 pub(crate) const ASK_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -58,15 +58,15 @@
 pub(crate) struct Routing {
     pub(crate) router: Router,
     waiting: HashMap<Ticket, oneshot::Sender<Grant>>,
-    turns: Vec<DequeuedRequest>,
+    dequeued: Vec<DequeuedRequest>,
 }
 
 /// How a request is let in.
 #[derive(Debug)]
-pub(crate) enum Entrance {
-    Go(Grant),
-    Wait(Ticket, oneshot::Receiver<Grant>),
-    Refuse(Refusal, Duration),
+pub(crate) enum Admitted {
+    Granted(Grant),
+    Queued(Ticket, oneshot::Receiver<Grant>),
+    Refused(Refusal, Duration),
 }
 
 #[derive(Debug)]
@@ -104,7 +104,7 @@
             view: ArcSwap::default(),
             in_flight: AtomicUsize::new(0),
             keys,
-            routing: Mutex::new(Routing { router, waiting: HashMap::new(), turns: Vec::new() }),
+            routing: Mutex::new(Routing { router, waiting: HashMap::new(), dequeued: Vec::new() }),
             lease_until: AtomicU64::new(0),
             draining: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
@@ -176,23 +176,25 @@
                 Ok(Ok(answer)) => return answer,
                 // The leader lost its office meanwhile: the next one is asked, which
                 // does no harm when this one had decided already.
-                Ok(Err(_)) if Instant::now() + ASK_AGAIN < deadline => sleep(ASK_AGAIN).await,
+                Ok(Err(_)) if Instant::now() + LEADER_RETRY_DELAY < deadline => {
+                    sleep(LEADER_RETRY_DELAY).await
+                }
                 Ok(Err(_)) | Err(_) => return LeaderResponse::Problem(no_leader()),
             }
         }
     }
 
-    pub(crate) fn admit(&self, arrival: RoutingRequest<'_>) -> Entrance {
+    pub(crate) fn admit(&self, arrival: RoutingRequest<'_>) -> Admitted {
         let now = self.clock.now();
         let mut routing = self.routing();
         match routing.router.admit(now, arrival) {
-            Admission::Granted(grant) => Entrance::Go(grant),
+            Admission::Granted(grant) => Admitted::Granted(grant),
             Admission::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 routing.waiting.insert(ticket, tx);
-                Entrance::Wait(ticket, rx)
+                Admitted::Queued(ticket, rx)
             }
-            Admission::Refuse(why, retry) => Entrance::Refuse(why, retry),
+            Admission::Refuse(why, retry) => Admitted::Refused(why, retry),
         }
     }
 
@@ -239,9 +241,9 @@
 
 impl Routing {
     fn release(&mut self, now: Moment, grant: Grant, ended: RunnerOutcome) {
-        let mut turns = std::mem::take(&mut self.turns);
-        self.router.release(now, grant, ended, &mut turns);
-        self.hand_out(now, turns);
+        let mut dequeued = std::mem::take(&mut self.dequeued);
+        self.router.release(now, grant, ended, &mut dequeued);
+        self.grant_dequeued(now, dequeued);
     }
 
     /// Changes the router and hands out the turns that come of it.
@@ -249,20 +251,20 @@
     where
         F: FnOnce(&mut Router, &mut Vec<DequeuedRequest>),
     {
-        let mut turns = std::mem::take(&mut self.turns);
-        change(&mut self.router, &mut turns);
-        self.hand_out(now, turns);
+        let mut dequeued = std::mem::take(&mut self.dequeued);
+        change(&mut self.router, &mut dequeued);
+        self.grant_dequeued(now, dequeued);
     }
 
-    fn hand_out(&mut self, now: Moment, mut turns: Vec<DequeuedRequest>) {
-        while let Some(turn) = turns.pop() {
-            let waiting = self.waiting.remove(&turn.ticket);
-            let taken = waiting.is_some_and(|tx| tx.send(turn.grant).is_ok());
-            if !taken {
+    fn grant_dequeued(&mut self, now: Moment, mut dequeued: Vec<DequeuedRequest>) {
+        while let Some(request) = dequeued.pop() {
+            let waiting = self.waiting.remove(&request.ticket);
+            let accepted = waiting.is_some_and(|tx| tx.send(request.grant).is_ok());
+            if !accepted {
                 // Its caller has just gone: the slot goes to the next one.
-                self.router.release(now, turn.grant, RunnerOutcome::Abandoned, &mut turns);
+                self.router.release(now, request.grant, RunnerOutcome::Abandoned, &mut dequeued);
             }
         }
-        self.turns = turns;
+        self.dequeued = dequeued;
     }
 }
--- a/crates/daemon/src/traffic/once.rs
+++ b/crates/daemon/src/traffic/at_most_once.rs
@@ -5,23 +5,23 @@
 impl Traffic {
     /// Lets a request with a key run if it is the first, and otherwise says what
     /// became of the first.
-    pub(super) async fn once(
+    pub(super) async fn run_at_most_once(
         &self,
-        serving: &Arc<Serving>,
+        inbound: &Arc<InboundRequest>,
         key: &RequestKey,
     ) -> Result<WebResponse, Problem> {
         // An entry without runners of the service hands the request on before it
         // is noted, so that the entry that sends it also notes it.
-        if !serving.handed_on && !self.owns(&serving.document) {
-            return self.hand_on(serving, Refusal::NoRunner, Duration::from_secs(1)).await;
+        if !inbound.is_forwarded && !self.owns_runners(&inbound.document) {
+            return self.forward(inbound, Refusal::NoRunner, Duration::from_secs(1)).await;
         }
         let attempt = self.rng.borrow_mut().next_u64();
-        let mut pause = RUNNING_PAUSE;
+        let mut pause = INITIAL_POLL_DELAY;
         loop {
-            match self.begin(serving, key, attempt).await? {
-                Verdict::Go => return self.run_once(serving, key, attempt).await,
-                Verdict::Answered(kept) => return Ok(again(&kept)),
-                Verdict::Running if Instant::now() + pause < serving.deadline => {
+            match self.record_begin(inbound, key, attempt).await? {
+                Verdict::Go => return self.route_recorded(inbound, key, attempt).await,
+                Verdict::Answered(kept) => return Ok(replayed_response(&kept)),
+                Verdict::Running if Instant::now() + pause < inbound.deadline => {
                     sleep(pause).await;
                     pause = (pause * 2).min(Duration::from_secs(1));
                 }
@@ -61,21 +61,21 @@
                 }
                 Verdict::Full => {
                     let what = "too many requests with keys are remembered; send it again later";
-                    return Err(self.come_back(ProblemKind::Overloaded, what, 5000));
+                    return Err(self.retry_later_problem(ProblemKind::Overloaded, what, 5000));
                 }
             }
         }
     }
 
-    pub(super) async fn begin(
+    pub(super) async fn record_begin(
         &self,
-        serving: &Serving,
+        inbound: &InboundRequest,
         key: &RequestKey,
         attempt: u64,
     ) -> Result<Verdict, Problem> {
-        let call = &serving.call;
+        let call = &inbound.request;
         let at_ms = unix_ms();
-        let left = millis(serving.deadline.saturating_duration_since(Instant::now()));
+        let left = millis(inbound.deadline.saturating_duration_since(Instant::now()));
         let ask = LeaderRequest::RequestBegin(RequestBegin {
             key: key.clone(),
             digest: request::digest(call.method.as_str(), call.path(), &call.body),
@@ -84,46 +84,51 @@
             until_ms: at_ms.saturating_add(left).saturating_add(LEDGER_GRACE_MS),
         });
         match self.shared.ask(ask).await {
-            LeaderAnswer::Request(verdict) => Ok(verdict),
-            LeaderAnswer::Problem(mut problem) => {
+            LeaderResponse::Request(verdict) => Ok(verdict),
+            LeaderResponse::Problem(mut problem) => {
                 // Nothing has been sent to a runner, whatever the leader noted.
                 problem.ran = ExecutionStatus::NotRun;
-                self.end(key, attempt, Outcome::NotRun).await;
+                self.record_end(key, attempt, RequestOutcome::NotRun).await;
                 Err(problem)
             }
-            _ => Err(self.come_back(ProblemKind::NotServing, "the leader gave no verdict", 1000)),
+            _ => Err(self.retry_later_problem(
+                ProblemKind::NotServing,
+                "the leader gave no verdict",
+                1000,
+            )),
         }
     }
 
-    pub(super) async fn run_once(
+    pub(super) async fn route_recorded(
         &self,
-        serving: &Arc<Serving>,
+        inbound: &Arc<InboundRequest>,
         key: &RequestKey,
         attempt: u64,
     ) -> Result<WebResponse, Problem> {
-        let mut noted = Noted { shared: self.shared.clone(), key: Some(key.clone()), attempt };
-        let result = self.route(serving, Some(&mut noted)).await;
-        let (Err(problem), Some(key)) = (&result, noted.key.take()) else { return result };
+        let mut recorded =
+            RecordedRequest { shared: self.shared.clone(), key: Some(key.clone()), attempt };
+        let result = self.route(inbound, Some(&mut recorded)).await;
+        let (Err(problem), Some(key)) = (&result, recorded.key.take()) else { return result };
         let outcome = match problem.ran {
-            ExecutionStatus::NotRun => Outcome::NotRun,
-            ExecutionStatus::Ran | ExecutionStatus::Unknown => Outcome::Unknown,
+            ExecutionStatus::NotRun => RequestOutcome::NotRun,
+            ExecutionStatus::Ran | ExecutionStatus::Unknown => RequestOutcome::Unknown,
         };
-        let not_run = outcome == Outcome::NotRun;
-        self.end(&key, attempt, outcome).await;
+        let not_run = outcome == RequestOutcome::NotRun;
+        self.record_end(&key, attempt, outcome).await;
         // Its runners may have gone to another entry meanwhile: that one notes the
         // request anew, now that the key is free again.
         let view = self.shared.view.load_full();
         if not_run
-            && !serving.handed_on
-            && Instant::now() < serving.deadline
-            && self.other_owner(&view, &serving.document, &[]).is_some()
+            && !inbound.is_forwarded
+            && Instant::now() < inbound.deadline
+            && self.pick_other_owner(&view, &inbound.document, &[]).is_some()
         {
-            return self.hand_on(serving, Refusal::NoneHealthy, Duration::from_secs(1)).await;
+            return self.forward(inbound, Refusal::NoneHealthy, Duration::from_secs(1)).await;
         }
         result
     }
 
-    pub(super) async fn end(&self, key: &RequestKey, attempt: u64, ended: Outcome) {
+    pub(super) async fn record_end(&self, key: &RequestKey, attempt: u64, ended: RequestOutcome) {
         let end = RequestEnd { key: key.clone(), attempt, ended };
         let _ = self.shared.ask(LeaderRequest::RequestEnd(end)).await;
     }
--- a/crates/daemon/src/traffic/hand_on.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -5,34 +5,34 @@
 impl Traffic {
     /// Hands a request to another entry that owns runners of the service, and to
     /// the next one when that could not let it run.
-    pub(super) async fn hand_on(
+    pub(super) async fn forward(
         &self,
-        serving: &Arc<Serving>,
+        inbound: &Arc<InboundRequest>,
         why: Refusal,
         retry: Duration,
     ) -> Result<WebResponse, Problem> {
         let mut tried: Vec<Name> = Vec::new();
         loop {
             let view = self.shared.view.load_full();
-            let Some(owner) = self.other_owner(&view, &serving.document, &tried) else {
-                return Err(self.refusal(serving, why, retry));
+            let Some(owner) = self.pick_other_owner(&view, &inbound.document, &tried) else {
+                return Err(self.refusal_problem(inbound, why, retry));
             };
-            self.decide(serving, &format!("handed on to entry {}: {why}", owner.name));
-            let last = tried.len() + 1 == HAND_ON_TRIES;
-            match self.hand_to(serving, &owner).await {
+            self.log_decision(inbound, &format!("handed on to entry {}: {why}", owner.name));
+            let last = tried.len() + 1 == MAX_FORWARD_ATTEMPTS;
+            match self.send_to_entry(inbound, &owner).await {
                 Ok(answer) if last || !refused_before_start(&answer) => {
-                    self.shared.routing().router.earn_retry(&serving.document.service);
-                    return Ok(self.pass_back(serving, answer));
+                    self.shared.routing().router.earn_retry(&inbound.document.service);
+                    return Ok(self.relay_from_entry(inbound, answer));
                 }
                 Ok(_) => {}
                 Err(error) if error.is_unsent() && last => {
-                    return Err(self.refusal(serving, why, retry));
+                    return Err(self.refusal_problem(inbound, why, retry));
                 }
                 Err(error) if error.is_unsent() => {}
                 Err(error) => {
-                    let miss = miss(&owner.name, &error);
-                    if last || !self.may_try_again(serving, &miss, None) {
-                        return Err(self.missed(miss));
+                    let error = attempt_error(&owner.name, &error);
+                    if last || !self.may_retry_attempt(inbound, &error, None) {
+                        return Err(self.attempt_problem(error));
                     }
                 }
             }
@@ -40,39 +40,39 @@
         }
     }
 
-    pub(super) async fn hand_to(
+    pub(super) async fn send_to_entry(
         &self,
-        serving: &Serving,
+        inbound: &InboundRequest,
         owner: &Owner,
     ) -> Result<pool::UpstreamResponse, UpstreamError> {
-        let mut call = serving.call.clone();
+        let mut call = inbound.request.clone();
         if let Ok(value) = HeaderValue::from_str(self.shared.config.name.as_str()) {
             call.headers.insert(HeaderName::from_static(FORWARDED_BY), value);
         }
-        let left = serving.deadline.saturating_duration_since(Instant::now());
-        let req = call.request(owner.callers, left);
-        self.pool.send(owner.callers, req, serving.deadline).await
+        let left = inbound.deadline.saturating_duration_since(Instant::now());
+        let req = call.build_upstream_request(owner.callers, left);
+        self.pool.send(owner.callers, req, inbound.deadline).await
     }
 
     /// Gives another entry's answer to the caller as it comes.
-    pub(super) fn pass_back(
+    pub(super) fn relay_from_entry(
         &self,
-        serving: &Serving,
+        inbound: &InboundRequest,
         answer: pool::UpstreamResponse,
     ) -> WebResponse {
         let size = answer.content_length();
-        let mut response = head_of(&answer);
-        if serving.call.method == Method::HEAD {
+        let mut response = response_head(&answer);
+        if inbound.request.method == Method::HEAD {
             return response;
         }
         let (tx, body) = streamed_body(size);
         *response.body_mut() = body;
-        tokio::task::spawn_local(self.pump(serving).run(answer, (), tx, Bytes::new()));
+        tokio::task::spawn_local(self.body_forwarder(inbound).run(answer, (), tx, Bytes::new()));
         response
     }
 
     /// One of the other owners, drawn by their slots.
-    pub(super) fn other_owner(
+    pub(super) fn pick_other_owner(
         &self,
         view: &RoutingTable,
         document: &Document,
--- /dev/null
+++ b/crates/daemon/src/traffic/runner_attempt.rs
@@ -0,0 +1,102 @@
+//! One try at one runner, and its answer on the way back.
+
+use super::*;
+
+impl Traffic {
+    pub(super) async fn try_runner(
+        &self,
+        inbound: &Arc<InboundRequest>,
+        mut slot: Slot,
+        recorded: Option<&mut RecordedRequest>,
+    ) -> Result<WebResponse, AttemptError> {
+        // The VM may have been frozen since the request came: by now another document
+        // may be in force, and the runner somebody else's.
+        if !self.shared.has_lease() {
+            return Err(AttemptError::NotRun("this entry is out of touch with the others".into()));
+        }
+        let Some((to, name)) = self.shared.runner_of(slot.grant) else {
+            return Err(AttemptError::NotRun("the runner has just left".into()));
+        };
+        self.log_decision(inbound, &format!("to runner {name} at {}", to.address));
+        let left = inbound.deadline.saturating_duration_since(Instant::now());
+        let req = inbound.request.build_upstream_request(to.address, left);
+        let answer = match self.pool.send(to, req, inbound.deadline).await {
+            Ok(answer) => answer,
+            Err(error) => {
+                slot.ended = RunnerOutcome::Failed;
+                return Err(attempt_error(&name, &error));
+            }
+        };
+        if answer.head.headers.contains_key(NOT_RUN_HEADER) {
+            return Err(AttemptError::NotRun(
+                format!("runner {name} refused it before starting").into(),
+            ));
+        }
+        let failed = answer.head.status.is_server_error();
+        let mut response = self.relay_response(inbound, answer, slot, recorded, failed).await?;
+        if let Ok(value) = HeaderValue::from_str(name.as_str()) {
+            response.headers_mut().insert(HeaderName::from_static(RUNNER_HEADER), value);
+        }
+        Ok(response)
+    }
+
+    pub(super) async fn relay_response(
+        &self,
+        inbound: &Arc<InboundRequest>,
+        mut answer: pool::UpstreamResponse,
+        mut slot: Slot,
+        recorded: Option<&mut RecordedRequest>,
+        failed: bool,
+    ) -> Result<WebResponse, AttemptError> {
+        let ended = if failed { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
+        let no_body = inbound.request.method == Method::HEAD;
+        let size = answer.content_length();
+        let mut response = response_head(&answer);
+        let keep = recorded.is_some();
+        let small = size.is_some_and(|size| size <= BUFFERED_RESPONSE_MAX_BYTES);
+        let may_be_recorded = keep && size.is_none_or(|size| size <= ANSWER_MAX as u64);
+        if no_body || small || may_be_recorded {
+            let limit = if keep { ANSWER_MAX } else { BUFFERED_RESPONSE_MAX_BYTES as usize };
+            let start = read_prefix(&mut answer, limit, inbound.deadline).await;
+            let (start, complete) = start.inspect_err(|_| slot.ended = RunnerOutcome::Failed)?;
+            if complete {
+                slot.ended = ended;
+                drop(slot);
+                if let Some(recorded) = recorded {
+                    recorded.record_response(&response, &start).await;
+                }
+                if !no_body {
+                    *response.body_mut() = ResponseBody::bytes(start);
+                }
+                return Ok(response);
+            }
+            return Ok(self
+                .stream_response(inbound, answer, slot, recorded, response, (start, None))
+                .await);
+        }
+        Ok(self
+            .stream_response(inbound, answer, slot, recorded, response, (Bytes::new(), size))
+            .await)
+    }
+
+    /// Passes a large answer on as it comes, within a bounded buffer.
+    pub(super) async fn stream_response(
+        &self,
+        inbound: &Arc<InboundRequest>,
+        answer: pool::UpstreamResponse,
+        slot: Slot,
+        recorded: Option<&mut RecordedRequest>,
+        mut response: WebResponse,
+        (start, size): (Bytes, Option<u64>),
+    ) -> WebResponse {
+        if let Some(recorded) = recorded
+            && let Some(key) = recorded.key.take()
+        {
+            self.record_end(&key, recorded.attempt, RequestOutcome::AnsweredTooLarge).await;
+        }
+        let (tx, body) = streamed_body(size);
+        *response.body_mut() = body;
+        tokio::task::spawn_local(self.body_forwarder(inbound).run(answer, slot, tx, start));
+        response
+    }
+}
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -25,7 +25,11 @@
     }
 
     /// The request for `to`, with what is left of its deadline.
-    pub(crate) fn request(&self, to: SocketAddr, left: Duration) -> Request<Full<Bytes>> {
+    pub(crate) fn build_upstream_request(
+        &self,
+        to: SocketAddr,
+        left: Duration,
+    ) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
         let target = self.uri.path_and_query().map_or("/", |target| target.as_str());
@@ -47,7 +51,7 @@
 /// Copies all headers but those of the connection, and those that the
 /// `Connection` header names.
 pub(crate) fn copy_end_to_end(from: &HeaderMap, to: &mut HeaderMap) {
-    let named: Vec<&str> = from
+    let connection_options: Vec<&str> = from
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -55,28 +59,28 @@
         .map(str::trim)
         .collect();
     for (name, value) in from {
-        let hop = HOP_BY_HOP.contains(&name.as_str())
-            || named.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
-        if !hop {
+        let hop_by_hop = HOP_BY_HOP.contains(&name.as_str())
+            || connection_options.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
+        if !hop_by_hop {
             to.append(name, value.clone());
         }
     }
 }
 
 /// Headers as the ledger keeps them.
-pub(crate) fn to_ledger(headers: &HeaderMap) -> Box<[Header]> {
-    let mut kept = HeaderMap::new();
-    copy_end_to_end(headers, &mut kept);
-    kept.remove(header::CONTENT_LENGTH);
+pub(crate) fn ledger_headers(headers: &HeaderMap) -> Box<[Header]> {
+    let mut end_to_end = HeaderMap::new();
+    copy_end_to_end(headers, &mut end_to_end);
+    end_to_end.remove(header::CONTENT_LENGTH);
     let header = |(name, value): (&HeaderName, &HeaderValue)| Header {
         name: name.as_str().into(),
         value: value.as_bytes().into(),
     };
-    kept.iter().map(header).collect()
+    end_to_end.iter().map(header).collect()
 }
 
 /// Headers as the ledger kept them.
-pub(crate) fn from_ledger(answer: &ledger::StoredResponse) -> HeaderMap {
+pub(crate) fn headers_from_ledger(answer: &ledger::StoredResponse) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for header in &answer.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -22,13 +22,13 @@
     [[task]]\nname = 'k'\nprocessors = 1\nmemory = '10MiB'\nduration = '1s'\n\
     [gives-up]\ncheckpoint = true\nevictions = 3\n";
 
-pub fn any() -> SocketAddr {
+pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// Waits as [`yuccalink_fakes::wait::wait_until`] does.
-pub fn until<T>(what: &str, found: impl FnMut() -> Option<T>) -> T {
-    yuccalink_fakes::wait::wait_until(Duration::from_secs(60), what, found)
+pub fn wait_until<T>(what: &str, condition: impl FnMut() -> Option<T>) -> T {
+    yuccalink_fakes::wait::wait_until(Duration::from_secs(60), what, condition)
 }
 
 pub struct System {
@@ -42,9 +42,14 @@
     pub tasks: Arc<Mutex<TaskChecker>>,
 }
 
-pub fn base(entry: &str) -> ConfigBuilder {
+pub fn daemon_config(entry: &str) -> ConfigBuilder {
     let quick = Duration::from_millis(50);
-    Config::builder().name(entry).callers(any()).control(any()).peer(any()).drain_delay(quick)
+    Config::builder()
+        .name(entry)
+        .callers(loopback())
+        .control(loopback())
+        .peer(loopback())
+        .drain_delay(quick)
 }
 
 impl System {
@@ -56,12 +61,13 @@
     pub fn start_with(followers: usize, set: fn(ConfigBuilder) -> ConfigBuilder) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         // The first daemon runs alone as far as it knows: it keeps the state.
-        let config = set(base("e1").data(folder.path().join("e1"))).build().expect("settings");
+        let config =
+            set(daemon_config("e1").data(folder.path().join("e1"))).build().expect("settings");
         let first = Daemon::start(config).expect("a daemon");
         let voter = Peer { name: name("e1"), address: first.peer() };
         let mut daemons = vec![first];
         for at in 0..followers {
-            let config = set(base(&format!("e{}", at + 2))).voters(vec![voter.clone()]);
+            let config = set(daemon_config(&format!("e{}", at + 2))).voters(vec![voter.clone()]);
             daemons.push(Daemon::start(config.build().expect("settings")).expect("a daemon"));
         }
         let system = Self {
@@ -75,7 +81,7 @@
             tasks: Arc::default(),
         };
         for at in 0..=followers {
-            until("a ready entry", || system.is_ready(at).then_some(()));
+            wait_until("a ready entry", || system.is_ready(at).then_some(()));
         }
         system
     }
@@ -111,7 +117,7 @@
             zone: name("zone"),
             slots,
             connections: 64,
-            listen: any(),
+            listen: loopback(),
             entries: self.controls.clone(),
             threads: 1,
         }
@@ -124,12 +130,12 @@
             runner.set_checker(self.requests.clone());
             self.runners.push(runner);
         }
-        until("an owner of each runner", || {
+        wait_until("an owner of each runner", || {
             let owned = self.targets().iter().filter(|target| target.owner.is_some()).count();
             (owned >= count).then_some(())
         });
         for at in 0..self.callers.len() {
-            until("a routed request", || {
+            wait_until("a routed request", || {
                 let reply = self.caller(at).get("/q/ready").ok()?;
                 (reply.status == 200).then_some(())
             });
@@ -143,7 +149,7 @@
             capacity: Resources { millicores: cores * 1000, memory_mib: 100_000, accelerators: 0 },
             rack: name(&format!("rack{}", at % 2)),
             zone: name("zone"),
-            listen: any(),
+            listen: loopback(),
             entries: self.controls.clone(),
         })
         .expect("a worker");
@@ -173,7 +179,7 @@
         }
     }
 
-    pub fn no_breach(&self) {
+    pub fn assert_no_violations(&self) {
         let requests = self.requests.lock().expect("a lock").violations();
         assert!(requests.is_empty(), "{requests:?}");
         let tasks = self.tasks.lock().expect("a lock");
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{DOCUMENT, System, base, until};
+use common::{DOCUMENT, System, daemon_config, wait_until};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::thread;
@@ -22,7 +22,7 @@
 /// Operators race through different entries with one version number. Exactly one
 /// text wins everywhere, and every other operator is told so.
 #[test]
-fn operators_who_race_have_one_winner() {
+fn concurrent_changes_of_one_version_have_one_winner() {
     let system = Arc::new(System::start(2).with_document());
     let threads: Vec<_> = (0..9usize)
         .map(|at| {
@@ -36,21 +36,21 @@
         })
         .collect();
     let results: Vec<_> = threads.into_iter().map(|t| t.join().expect("an operator")).collect();
-    let won: Vec<_> = results.iter().filter(|(status, _)| *status == 200).collect();
-    assert_eq!(won.len(), 1, "{:?}", results.iter().map(|(s, _)| s).collect::<Vec<_>>());
+    let accepted: Vec<_> = results.iter().filter(|(status, _)| *status == 200).collect();
+    assert_eq!(accepted.len(), 1, "{:?}", results.iter().map(|(s, _)| s).collect::<Vec<_>>());
     assert!(results.iter().all(|(status, _)| matches!(status, 200 | 409)));
     for at in 0..3 {
         let found: ServiceView = system.get(at, "/v1/services/q");
-        assert_eq!(found.text.as_deref(), Some(won[0].1.as_str()));
+        assert_eq!(found.text.as_deref(), Some(accepted[0].1.as_str()));
     }
-    let again = system.apply(2, &won[0].1);
+    let again = system.apply(2, &accepted[0].1);
     assert!(again.text().contains("\"resent\":true"), "{}", again.text());
 }
 
 /// The daemon that keeps the state dies after hundreds of changes. After a restart
 /// every acknowledged one is there, and the followers come back to it.
 #[test]
-fn a_restart_loses_nothing_acknowledged() {
+fn acknowledged_changes_survive_a_restart() {
     let mut system = System::start(1);
     let mut last = 0;
     for version in 1..=120u64 {
@@ -62,7 +62,8 @@
     }
     let tasks = submit(&system, 1, "k", r#"{"service":"q","kind":"k","count":50}"#);
     system.kill(0);
-    let config = base("e1").data(system.folder.path().join("e1")).build().expect("settings");
+    let config =
+        daemon_config("e1").data(system.folder.path().join("e1")).build().expect("settings");
     let daemon = Daemon::start(config).expect("a daemon");
     system.controls[0] = daemon.control();
     system.daemons[0] = Some(daemon);
@@ -79,10 +80,10 @@
 fn ten_thousand_tasks_cost_a_sync_per_batch() {
     let mut system = System::start(0).with_document();
     system.add_worker(0, 100_000);
-    until("the worker", || (!system.targets().is_empty()).then_some(()));
+    wait_until("the worker", || (!system.targets().is_empty()).then_some(()));
     let before = system.status(0).log;
     submit(&system, 0, "k", r#"{"service":"q","kind":"k","count":10000,"payload":"run=1h"}"#);
-    let after = until("all placed", || {
+    let after = wait_until("all placed", || {
         let status = system.status(0);
         (status.waiting == 0 && status.on_workers == 10_000).then_some(status.log)
     });
@@ -100,81 +101,83 @@
     for at in 0..3 {
         system.add_worker(at, 8);
     }
-    until("the workers", || (system.targets().len() == 3).then_some(()));
+    wait_until("the workers", || (system.targets().len() == 3).then_some(()));
     submit(&system, 1, "a", r#"{"service":"q","kind":"k","count":60,"payload":"run=50ms"}"#);
     submit(&system, 0, "b", r#"{"service":"q","kind":"k","count":2,"payload":"run=10ms fail"}"#);
-    until("all ended", || {
+    wait_until("all ended", || {
         (count(&system, "finished") == 60 && count(&system, "failed") == 2).then_some(())
     });
     assert_eq!(system.workers.iter().map(|worker| worker.overcommit_count()).sum::<u64>(), 0);
-    system.no_breach();
+    system.assert_no_violations();
     let reason: Vec<TaskView> = system.get(0, "/v1/tasks?phase=failed");
     assert_eq!(reason[0].reason.as_deref(), Some("the payload asked for it"));
 }
 
 /// A wave of cancellations meets waiting and running tasks.
 #[test]
-fn a_wave_of_cancellations_is_answered_and_takes_effect() {
+fn waiting_and_running_tasks_are_cancelled_in_bulk() {
     let mut system = System::start(1).with_document();
     system.add_worker(0, 4);
-    until("the worker", || (!system.targets().is_empty()).then_some(()));
+    wait_until("the worker", || (!system.targets().is_empty()).then_some(()));
     let tasks =
         submit(&system, 0, "a", r#"{"service":"q","kind":"k","count":40,"payload":"run=1h"}"#);
-    until("four run", || (count(&system, "running") == 4).then_some(()));
+    wait_until("four run", || (count(&system, "running") == 4).then_some(()));
     let ids: Vec<u64> = (0..40).map(|at| tasks.first.0 + at).collect();
     let body = serde_json::json!({ "tasks": ids }).to_string();
     let reply = system.control(1).post("/v1/tasks/cancel", body.as_bytes()).expect("an answer");
     assert_eq!(reply.text().matches("\"not-run\"").count(), 36, "{}", reply.text());
     assert_eq!(reply.text().matches("\"stopping\"").count(), 4);
-    until("all cancelled", || (count(&system, "cancelled") == 40).then_some(()));
+    wait_until("all cancelled", || (count(&system, "cancelled") == 40).then_some(()));
     assert_eq!(system.workers[0].running(), 0);
-    system.no_breach();
+    system.assert_no_violations();
 }
 
 /// A worker is cut off while it runs tasks. They run elsewhere only after it has
 /// dropped them, and never in two places.
 #[test]
-fn a_cut_off_worker_never_runs_what_runs_elsewhere() {
+fn tasks_of_a_partitioned_worker_never_run_twice_at_once() {
     let mut system = System::start(1).with_document();
     for at in 0..2 {
         system.add_worker(at, 8);
     }
-    until("the workers", || (system.targets().len() == 2).then_some(()));
+    wait_until("the workers", || (system.targets().len() == 2).then_some(()));
     submit(&system, 0, "a", r#"{"service":"q","kind":"k","count":8,"payload":"run=1h"}"#);
-    until("all run", || (count(&system, "running") == 8).then_some(()));
+    wait_until("all run", || (count(&system, "running") == 8).then_some(()));
     let lost = system.workers.iter().position(|worker| worker.running() > 0).expect("a holder");
     let held = system.workers[lost].running() as u64;
     system.workers[lost].set_partitioned(true);
-    until("the other runs all", || (system.workers[1 - lost].running() == 8).then_some(()));
+    wait_until("the other runs all", || (system.workers[1 - lost].running() == 8).then_some(()));
     assert_eq!(system.workers[lost].dropped(), held);
-    system.no_breach();
+    system.assert_no_violations();
 }
 
 /// Batch tasks use far more than they declared, on a worker where a latency-critical
 /// task runs. They are throttled, that one is not, and when it has gone they run on.
 #[test]
-fn batch_is_throttled_while_latency_critical_work_needs_room() {
+fn batch_tasks_are_throttled_beside_a_latency_critical_task() {
     let mut system = System::start(1).with_document();
     let text = DOCUMENT.replace("version = 1", "version = 2").replace("[gives-up]", "[[task]]\nname = 'lc'\nprocessors = 1\nmemory = '10MiB'\nduration = '1h'\nclass = 'latency-critical'\n[gives-up]\nthrottle = true");
     assert_eq!(system.apply(0, &text).status, 200);
     system.add_worker(0, 4);
-    until("the worker", || (!system.targets().is_empty()).then_some(()));
+    wait_until("the worker", || (!system.targets().is_empty()).then_some(()));
     let critical = submit(&system, 0, "a", r#"{"service":"q","kind":"lc"}"#);
     let batch = r#"{"service":"q","kind":"k","count":2,"payload":"run=1h use=1600"}"#;
     submit(&system, 0, "b", batch);
-    until("both are throttled", || (system.workers[0].throttled() == 2).then_some(()));
+    wait_until("both are throttled", || (system.workers[0].throttled() == 2).then_some(()));
     let cancel = format!("/v1/tasks/{}/cancel", critical.first);
     assert_eq!(system.control(1).post(&cancel, b"").expect("an answer").status, 200);
-    until("they run at full speed again", || (system.workers[0].throttled() == 0).then_some(()));
+    wait_until("they run at full speed again", || {
+        (system.workers[0].throttled() == 0).then_some(())
+    });
     let decisions = system.control(0).get("/v1/decisions").expect("an answer").text();
     assert!(decisions.contains("throttling 2 batch tasks"), "{decisions}");
 }
 
 #[test]
-fn what_can_never_run_is_refused_with_its_remedy() {
+fn invalid_submissions_are_refused_with_a_remedy() {
     let mut system = System::start(0).with_document();
     system.add_worker(0, 4);
-    until("the worker", || (!system.targets().is_empty()).then_some(()));
+    wait_until("the worker", || (!system.targets().is_empty()).then_some(()));
     let large =
         DOCUMENT.replace("version = 1", "version = 2").replace("processors = 1", "processors = 9");
     assert_eq!(system.apply(0, &large).status, 200);
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn a_document_with_faults_changes_nothing() {
+fn an_invalid_document_changes_nothing() {
     let system = System::start(0).with_document();
     let reply = system.apply(0, "service = 'q'\nversion = 'x'\n");
     assert_eq!(reply.status, 422);
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{System, until};
+use common::{System, wait_until};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 /// Many callers ask through every entry at once. Each gets the whole answer to its
 /// own request, and no runner ever holds more than its slots.
 #[test]
-fn every_caller_gets_its_own_answer_and_no_runner_is_overfull() {
+fn concurrent_callers_get_their_own_responses_within_slot_limits() {
     let system = Arc::new(System::start(2).with_document().with_runners(3, 2));
     let threads: Vec<_> = (0..24u64)
         .map(|caller| {
@@ -33,20 +33,20 @@
                     let entry = entry.header("fake-tag", &tag.to_string());
                     let entry = entry.header("fake-name", &name).header("fake-delay-ms", "2");
                     let reply = entry.post("/q/work", b"x").expect("an answer");
-                    let told = match reply.status {
+                    let outcome = match reply.status {
                         200 => CallerOutcome::Answer(reply.text().parse().expect("a tag")),
                         _ => match ran(&reply) {
                             ExecutionStatus::NotRun => CallerOutcome::NotRun,
                             _ => CallerOutcome::Unknown,
                         },
                     };
-                    system.requests.lock().expect("a lock").record_outcome(&name, told);
+                    system.requests.lock().expect("a lock").record_outcome(&name, outcome);
                 }
             })
         })
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
-    system.no_breach();
+    system.assert_no_violations();
     assert!(system.runners.iter().all(|runner| runner.peak_requests() <= 2));
     assert!(system.runners.iter().map(|runner| runner.served()).sum::<u64>() > 100);
 }
@@ -81,7 +81,7 @@
 /// The runner's answer to an invoice is cut. Nobody knows whether it took effect:
 /// the caller is told so, and the same key never runs it again.
 #[test]
-fn a_lost_answer_of_a_request_with_a_key_stays_unknown() {
+fn a_truncated_response_to_a_keyed_request_stays_unknown() {
     let system = System::start(1).with_document().with_runners(1, 8);
     let cut = system.caller(0).header("idempotency-key", "k").header("fake-size", "1000");
     let reply = cut.header("fake-cut", "1").post("/q/once", b"").expect("an answer");
@@ -111,7 +111,7 @@
 /// A runner breaks off in the middle of an answer. The caller must see a broken
 /// answer, never a short one that looks whole; also when another entry is between.
 #[test]
-fn a_cut_answer_is_never_taken_for_a_whole_one() {
+fn a_truncated_response_is_never_passed_on_as_complete() {
     let system = System::start(1).with_document().with_runners(1, 8);
     for entry in 0..2 {
         for (size, chunked) in
@@ -198,14 +198,14 @@
 /// A caller takes its large answer too slowly. Its connection is cut, and the
 /// runner's only slot is free again for others.
 #[test]
-fn a_caller_that_stalls_gives_the_slot_back() {
+fn a_stalled_caller_releases_its_slot() {
     let system = System::start_with(0, |c| c.stall_timeout(Duration::from_millis(100)))
         .with_document()
         .with_runners(1, 1);
     let mut stalled = TcpStream::connect(system.callers[0]).expect("a connection");
     let head = "GET /q/large HTTP/1.1\r\nhost: x\r\nfake-size: 200000000\r\n\r\n";
     stalled.write_all(head.as_bytes()).expect("sent");
-    until("the slot", || {
+    wait_until("the slot", || {
         let reply = system.caller(0).get("/q/next").ok()?;
         (reply.status == 200).then_some(())
     });
@@ -214,7 +214,7 @@
 /// The same caller also holds a connection. With all connections held so nobody
 /// else would be served: the connection itself is closed, not only the answer.
 #[test]
-fn a_caller_that_stalls_loses_its_connection() {
+fn a_stalled_caller_is_disconnected() {
     let system =
         System::start_with(0, |c| c.stall_timeout(Duration::from_millis(300)).connections(1))
             .with_document()
@@ -222,7 +222,7 @@
     let mut stalled = TcpStream::connect(system.callers[0]).expect("a connection");
     let head = "GET /q/large HTTP/1.1\r\nhost: x\r\nfake-size: 200000000\r\n\r\n";
     stalled.write_all(head.as_bytes()).expect("sent");
-    until("the connection of another caller", || {
+    wait_until("the connection of another caller", || {
         let reply = system.caller(0).get("/q/next").ok()?;
         (reply.status == 200).then_some(())
     });
@@ -231,17 +231,17 @@
 /// An entry stops while requests are in flight. They are finished, and the health
 /// check is red before anything is refused.
 #[test]
-fn a_stop_finishes_what_is_in_flight() {
+fn draining_finishes_requests_in_flight() {
     let mut system = System::start_with(0, |c| c.drain_delay(Duration::from_millis(300)))
         .with_document()
         .with_runners(1, 8);
     let slow = system.caller(0).header("fake-delay-ms", "1500");
     let served = system.runners[0].served();
     let in_flight = thread::spawn(move || slow.get("/q/slow"));
-    until("the request at the runner", || (system.runners[0].served() > served).then_some(()));
+    wait_until("the request at the runner", || (system.runners[0].served() > served).then_some(()));
     let daemon = system.daemons[0].take().expect("a daemon");
     let stopping = thread::spawn(move || daemon.drain());
-    until("a red health check", || (!system.is_ready(0)).then_some(()));
+    wait_until("a red health check", || (!system.is_ready(0)).then_some(()));
     assert_eq!(system.caller(0).get("/q/still").expect("an answer").status, 200);
     let reply = in_flight.join().expect("a caller").expect("a whole answer");
     assert_eq!(reply.status, 200);
@@ -250,14 +250,14 @@
 
 /// A runner says that it leaves. No entry sends it anything new.
 #[test]
-fn a_leaving_runner_gets_nothing_new_at_any_entry() {
+fn a_leaving_runner_gets_no_new_requests() {
     let system = System::start(2).with_document().with_runners(2, 4);
     system.runners[0].leave();
-    until("it is known to leave", || {
+    wait_until("it is known to leave", || {
         let targets = system.targets();
         targets.iter().any(|target| &*target.health == "leaving").then_some(())
     });
-    until("no entry sends to it", || {
+    wait_until("no entry sends to it", || {
         let before = system.runners[0].served();
         for entry in (0..3).cycle().take(12) {
             assert_eq!(system.caller(entry).get("/q/x").expect("an answer").status, 200);
@@ -269,7 +269,7 @@
 /// A runner's process is gone without a word. Idempotent requests go to another,
 /// within the budget of retries.
 #[test]
-fn a_dead_runner_costs_no_idempotent_request() {
+fn idempotent_requests_survive_a_dead_runner() {
     let mut system = System::start(0).with_document().with_runners(2, 8);
     system.runners[0].stop_heartbeats();
     let mut dead = system.runners.remove(0);
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn every_decision_is_kept_for_operators() {
+fn decisions_are_listed_for_operators() {
     let system = System::start(1).with_document().with_runners(1, 8);
     system.caller(0).get("/q/seen").expect("an answer");
     system.caller(1).get("/q/seen").expect("an answer");
