--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -108,14 +108,18 @@
             }
             ("POST", ["v1", "targets", name, "heartbeat"]) => {
                 let name = parse_name(name)?;
-                let beat: Heartbeat = read_json(request.body).await?;
-                let held = beat.held.as_ref().map_or(0, Vec::len);
-                if held > LIST_MAX || beat.reports.len() > LIST_MAX {
-                    let what =
+                let heartbeat: Heartbeat = read_json(request.body).await?;
+                let held_count = heartbeat.held.as_ref().map_or(0, Vec::len);
+                if held_count > LIST_MAX || heartbeat.reports.len() > LIST_MAX {
+                    let detail =
                         format!("more than {LIST_MAX} items in a list; send several heartbeats");
-                    return Err(Problem::new(ProblemKind::TooLarge, ExecutionStatus::NotRun, what));
+                    return Err(Problem::new(
+                        ProblemKind::TooLarge,
+                        ExecutionStatus::NotRun,
+                        detail,
+                    ));
                 }
-                self.ask_leader(LeaderRequest::Heartbeat { name, beat }).await
+                self.ask_leader(LeaderRequest::Heartbeat { name, beat: heartbeat }).await
             }
             ("POST", ["v1", "targets", name, "leave"]) => {
                 let name = parse_name(name)?;
@@ -202,8 +206,8 @@
     /// Without a key a submission that is sent again adds tasks again.
     fn submission_key(&self, headers: &HeaderMap) -> Result<Box<str>, Problem> {
         match headers.get(IDEMPOTENCY_KEY) {
-            Some(value) => check_key(value.as_bytes()).map(Into::into).map_err(|bad| {
-                Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+            Some(value) => check_key(value.as_bytes()).map(Into::into).map_err(|error| {
+                Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, error.to_string())
             }),
             None => {
                 let mut rng = self.rng.borrow_mut();
@@ -226,17 +230,20 @@
     /// This daemon's routing decisions and the leader's placements.
     async fn decisions(&self, request: &AdminRequest<'_>) -> AdminResult {
         require_get(request)?;
-        let mut all = self.shared.decisions.list();
-        if let LeaderResponse::Decisions(others) = self.shared.ask(LeaderRequest::Decisions).await {
+        let mut decisions = self.shared.decisions.list();
+        if let LeaderResponse::Decisions(leader_decisions) =
+            self.shared.ask(LeaderRequest::Decisions).await
+        {
             let own = &self.shared.config.name;
-            all.extend(others.into_iter().filter(|decision| decision.entry != *own));
+            decisions
+                .extend(leader_decisions.into_iter().filter(|decision| decision.entry != *own));
         }
-        all.sort_by_key(|decision| std::cmp::Reverse(decision.at_ms));
-        Ok(reply::json(StatusCode::OK, &all))
+        decisions.sort_by_key(|decision| std::cmp::Reverse(decision.at_ms));
+        Ok(reply::json(StatusCode::OK, &decisions))
     }
 
-    async fn ask_leader(&self, ask: LeaderRequest) -> AdminResult {
-        to_response(self.shared.ask(ask).await)
+    async fn ask_leader(&self, request: LeaderRequest) -> AdminResult {
+        to_response(self.shared.ask(request).await)
     }
 }
 
@@ -274,19 +281,19 @@
 {
     let bytes = read_bytes(body).await?;
     serde_json::from_slice(&bytes).map_err(|error| {
-        let what =
+        let detail =
             format!("the body is not the JSON expected here: {error}; see docs/PROTOCOLS.md");
-        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what)
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, detail)
     })
 }
 
 async fn read_bytes(body: RequestBody) -> Result<bytes::Bytes, Problem> {
-    read_body(body, BODY_MAX_BYTES, BODY_TIMEOUT).await.map_err(|bad| {
-        let kind = match bad {
+    read_body(body, BODY_MAX_BYTES, BODY_TIMEOUT).await.map_err(|error| {
+        let kind = match error {
             yuccalink_transport::server::RequestBodyError::TooLarge(_) => ProblemKind::TooLarge,
             _ => ProblemKind::BadRequest,
         };
-        Problem::new(kind, ExecutionStatus::NotRun, bad.to_string())
+        Problem::new(kind, ExecutionStatus::NotRun, error.to_string())
     })
 }
 
@@ -301,19 +308,20 @@
     })?;
     let document = document::read(text).map_err(|faults| unacceptable_document(&faults))?;
     if document.service != *name {
-        let what = format!(
+        let detail = format!(
             "the document is for `{}` and was sent for `{name}`; make both the same",
             document.service
         );
-        return Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what));
+        return Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, detail));
     }
     Ok(text.into())
 }
 
 fn check_target(target: &yuccalink_state::target::TargetSpec) -> Result<(), Problem> {
     use yuccalink_state::target::TargetSpec;
-    let unacceptable =
-        |what: &str| Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what));
+    let unacceptable = |detail: &str| {
+        Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, detail))
+    };
     if target.address().parse::<std::net::SocketAddr>().is_err() {
         return unacceptable("address must be IP:PORT, such as 10.0.0.7:9000");
     }
@@ -332,32 +340,34 @@
 }
 
 fn parse_name(text: &str) -> Result<Name, Problem> {
-    Name::new(text).map_err(|bad| {
-        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    Name::new(text).map_err(|error| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, error.to_string())
     })
 }
 
 fn task_id(text: &str) -> Result<TaskId, Problem> {
-    text.parse().map_err(|bad: BadTaskId| {
-        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    text.parse().map_err(|error: BadTaskId| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, error.to_string())
     })
 }
 
 fn task_filter(query: &str) -> Result<TaskFilter, Problem> {
     const DEFAULT_LIMIT: u32 = 100;
     let mut filter = TaskFilter { limit: DEFAULT_LIMIT, ..TaskFilter::default() };
-    let bad = |what: String| Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what);
+    let bad_request =
+        |detail: String| Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, detail);
     for part in query.split('&').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
-        let number = || value.parse().map_err(|_| bad(format!("{name} must be a whole number")));
+        let number =
+            || value.parse().map_err(|_| bad_request(format!("{name} must be a whole number")));
         match name {
             "service" => filter.service = Some(parse_name(value)?),
             "phase" => filter.phase = Some(value.into()),
             "after" => filter.after = number()?,
             "limit" => filter.limit = u32::try_from(number()?).unwrap_or(u32::MAX),
             _ => {
-                let what = format!("`{name}` is not known; use service, phase, after or limit");
-                return Err(bad(what));
+                let detail = format!("`{name}` is not known; use service, phase, after or limit");
+                return Err(bad_request(detail));
             }
         }
     }
@@ -373,11 +383,11 @@
 
 fn method_problem(request: &AdminRequest<'_>) -> Problem {
     let path = request.path.join("/");
-    let what = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", request.method);
-    Problem::new(ProblemKind::MethodNotAllowed, ExecutionStatus::NotRun, what)
+    let detail = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", request.method);
+    Problem::new(ProblemKind::MethodNotAllowed, ExecutionStatus::NotRun, detail)
 }
 
 fn path_problem(path: &str) -> Problem {
-    let what = format!("there is nothing at {path}; see docs/PROTOCOLS.md");
-    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what)
+    let detail = format!("there is nothing at {path}; see docs/PROTOCOLS.md");
+    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, detail)
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -161,7 +161,7 @@
     pub(crate) async fn ask(&self, ask: LeaderRequest) -> LeaderResponse {
         let deadline = Instant::now() + ASK_TIMEOUT;
         loop {
-            let (reply, answer) = oneshot::channel();
+            let (reply, response) = oneshot::channel();
             if self.leader.try_send(ToLeader { ask: ask.clone(), reply }).is_err() {
                 return LeaderResponse::Problem(
                     Problem::new(
@@ -172,8 +172,8 @@
                     .retry_after(500),
                 );
             }
-            match timeout_at(deadline, answer).await {
-                Ok(Ok(answer)) => return answer,
+            match timeout_at(deadline, response).await {
+                Ok(Ok(response)) => return response,
                 // The leader lost its office meanwhile: the next one is asked, which
                 // does no harm when this one had decided already.
                 Ok(Err(_)) if Instant::now() + LEADER_RETRY_DELAY < deadline => {
@@ -184,17 +184,17 @@
         }
     }
 
-    pub(crate) fn admit(&self, arrival: RoutingRequest<'_>) -> Admitted {
+    pub(crate) fn admit(&self, request: RoutingRequest<'_>) -> Admitted {
         let now = self.clock.now();
         let mut routing = self.routing();
-        match routing.router.admit(now, arrival) {
+        match routing.router.admit(now, request) {
             Admission::Granted(grant) => Admitted::Granted(grant),
             Admission::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 routing.waiting.insert(ticket, tx);
                 Admitted::Queued(ticket, rx)
             }
-            Admission::Refuse(why, retry) => Admitted::Refused(why, retry),
+            Admission::Refuse(refusal, retry_after) => Admitted::Refused(refusal, retry_after),
         }
     }
 
@@ -210,9 +210,9 @@
         }
     }
 
-    pub(crate) fn release(&self, grant: Grant, ended: RunnerOutcome) {
+    pub(crate) fn release(&self, grant: Grant, outcome: RunnerOutcome) {
         let now = self.clock.now();
-        self.routing().release(now, grant, ended);
+        self.routing().release(now, grant, outcome);
     }
 
     /// The runner of a grant: its name and how to reach it.
@@ -227,22 +227,22 @@
 
 /// The problem of a request that the leader did not answer.
 pub(crate) fn no_leader() -> Problem {
-    let what = "no leader answered in time; the request may or may not have been decided. Send it \
+    let detail = "no leader answered in time; the request may or may not have been decided. Send it \
                 again with the same key or version";
-    Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, what).retry_after(1000)
+    Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, detail).retry_after(1000)
 }
 
 /// Idle connections that one thread may keep to a runner. Those in use are at
 /// most its slots, so all threads together stay within its connections.
 fn idle_per_thread(spec: &RunnerSpec, threads: usize) -> usize {
-    let spare = spec.connections.saturating_sub(spec.slots) as usize;
-    spare / threads.max(1)
+    let spare_connections = spec.connections.saturating_sub(spec.slots) as usize;
+    spare_connections / threads.max(1)
 }
 
 impl Routing {
-    fn release(&mut self, now: Moment, grant: Grant, ended: RunnerOutcome) {
+    fn release(&mut self, now: Moment, grant: Grant, outcome: RunnerOutcome) {
         let mut dequeued = std::mem::take(&mut self.dequeued);
-        self.router.release(now, grant, ended, &mut dequeued);
+        self.router.release(now, grant, outcome, &mut dequeued);
         self.grant_dequeued(now, dequeued);
     }
 
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -71,12 +71,12 @@
 struct Slot {
     shared: Arc<Shared>,
     grant: Grant,
-    ended: RunnerOutcome,
+    outcome: RunnerOutcome,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.shared.release(self.grant, self.ended);
+        self.shared.release(self.grant, self.outcome);
     }
 }
 
@@ -137,18 +137,18 @@
             ));
         }
         if !self.shared.has_lease() {
-            let what = "this entry is out of touch with the others and must not serve";
-            return Err(self.retry_later_problem(ProblemKind::NotServing, what, 1000));
+            let detail = "this entry is out of touch with the others and must not serve";
+            return Err(self.retry_later_problem(ProblemKind::NotServing, detail, 1000));
         }
         let inbound = self.read_request(req).await?;
         self.dispatch(inbound).await
     }
 
     async fn read_request(&self, req: WebRequest) -> Result<InboundRequest, Problem> {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let (head, body) = req.into_parts();
         let path = head.uri.path().to_string();
-        let (service, inner) = request::split(&path).ok_or_else(|| {
+        let (service, service_path) = request::split(&path).ok_or_else(|| {
             not_found_problem("the path names no service; send requests to /SERVICE/...".into())
         })?;
         let view = self.shared.view.load();
@@ -157,23 +157,24 @@
                 "no service is called `{service}`; check the first part of the path"
             ))
         })?;
-        let kind =
-            request::kind(&document, head.method.as_str(), inner).cloned().ok_or_else(|| {
+        let kind = request::kind(&document, head.method.as_str(), service_path)
+            .cloned()
+            .ok_or_else(|| {
                 not_found_problem(format!(
-                    "`{service}` has no kind of request for {} {inner}; see its document",
+                    "`{service}` has no kind of request for {} {service_path}; see its document",
                     head.method
                 ))
             })?;
-        let deadline = started + request_deadline(&kind, head.headers.get(DEADLINE))?;
+        let deadline = started_at + request_deadline(&kind, head.headers.get(DEADLINE))?;
         let key = ledger_key(&document, &kind, head.headers.get(IDEMPOTENCY_KEY))?;
         let config = &self.shared.config;
         let (_, body) = body.replace_body(());
         let body = read_body(body, config.body_max, config.body_timeout).await;
-        let body = body.map_err(|bad| body_problem(&bad))?;
+        let body = body.map_err(|error| body_problem(&error))?;
         let is_forwarded = head.headers.contains_key(FORWARDED_BY);
-        let call =
+        let request =
             CallerRequest { method: head.method, uri: head.uri, headers: head.headers, body };
-        Ok(InboundRequest { request: call, document, kind, deadline, is_forwarded, key })
+        Ok(InboundRequest { request, document, kind, deadline, is_forwarded, key })
     }
 
     async fn dispatch(&self, inbound: InboundRequest) -> Result<WebResponse, Problem> {
@@ -201,21 +202,21 @@
         loop {
             let slot = match self.acquire_slot(inbound, avoid).await {
                 Ok(slot) => slot,
-                Err(AdmissionError::Refused(why, retry))
+                Err(AdmissionError::Refused(refusal, retry_after))
                     if recorded.is_none() && !inbound.is_forwarded =>
                 {
-                    return self.forward(inbound, why, retry).await;
+                    return self.forward(inbound, refusal, retry_after).await;
                 }
-                Err(AdmissionError::Refused(why, retry)) => {
-                    return Err(self.refusal_problem(inbound, why, retry));
+                Err(AdmissionError::Refused(refusal, retry_after)) => {
+                    return Err(self.refusal_problem(inbound, refusal, retry_after));
                 }
                 Err(AdmissionError::DeadlinePassed) => {
                     self.log_decision(inbound, "gave up waiting; its deadline passed in the queue");
-                    let what = "the deadline passed while the request waited for a runner";
+                    let detail = "the deadline passed while the request waited for a runner";
                     return Err(Problem::new(
                         ProblemKind::DeadlinePassed,
                         ExecutionStatus::NotRun,
-                        what,
+                        detail,
                     )
                     .retry_after(1000));
                 }
@@ -238,18 +239,20 @@
         inbound: &InboundRequest,
         avoid: Option<RunnerKey>,
     ) -> Result<Slot, AdmissionError> {
-        let left = inbound.deadline.saturating_duration_since(Instant::now());
+        let remaining = inbound.deadline.saturating_duration_since(Instant::now());
         let arrival = RoutingRequest {
             service: &inbound.document.service,
-            deadline: self.shared.clock.now() + left,
+            deadline: self.shared.clock.now() + remaining,
             worth: inbound.kind.worth,
             avoid,
         };
         let slot =
-            |grant| Slot { shared: self.shared.clone(), grant, ended: RunnerOutcome::Abandoned };
+            |grant| Slot { shared: self.shared.clone(), grant, outcome: RunnerOutcome::Abandoned };
         match self.shared.admit(arrival) {
             Admitted::Granted(grant) => Ok(slot(grant)),
-            Admitted::Refused(why, retry) => Err(AdmissionError::Refused(why, retry)),
+            Admitted::Refused(refusal, retry_after) => {
+                Err(AdmissionError::Refused(refusal, retry_after))
+            }
             Admitted::Queued(ticket, rx) => {
                 let mut queued =
                     QueuedRequest { shared: &self.shared, waiting: Some((ticket, rx)) };
@@ -285,28 +288,33 @@
 
     fn attempt_problem(&self, error: AttemptError) -> Problem {
         match error {
-            AttemptError::NotRun(what) => {
-                self.retry_later_problem(ProblemKind::RunnerFailed, &what, 1000)
+            AttemptError::NotRun(detail) => {
+                self.retry_later_problem(ProblemKind::RunnerFailed, &detail, 1000)
             }
-            AttemptError::Unknown(what) => {
-                Problem::new(ProblemKind::RunnerFailed, ExecutionStatus::Unknown, what)
+            AttemptError::Unknown(detail) => {
+                Problem::new(ProblemKind::RunnerFailed, ExecutionStatus::Unknown, detail)
             }
             AttemptError::DeadlinePassed => {
-                let what = "the runner did not answer before the deadline";
-                Problem::new(ProblemKind::DeadlinePassed, ExecutionStatus::Unknown, what)
+                let detail = "the runner did not answer before the deadline";
+                Problem::new(ProblemKind::DeadlinePassed, ExecutionStatus::Unknown, detail)
             }
         }
     }
 
-    fn refusal_problem(&self, inbound: &InboundRequest, why: Refusal, retry: Duration) -> Problem {
-        self.log_decision(inbound, &format!("refused: {why}"));
-        let kind = match why {
+    fn refusal_problem(
+        &self,
+        inbound: &InboundRequest,
+        refusal: Refusal,
+        retry_after: Duration,
+    ) -> Problem {
+        self.log_decision(inbound, &format!("refused: {refusal}"));
+        let kind = match refusal {
             Refusal::NoRunner | Refusal::NoneHealthy => ProblemKind::NoRunner,
             Refusal::QueueFull | Refusal::TooLate => ProblemKind::Overloaded,
         };
-        let ms = millis(retry).max(50);
-        let what = format!("{}: {why}; nothing was sent", inbound.document.service);
-        self.retry_later_problem(kind, &what, ms)
+        let min_delay_ms = millis(retry_after).max(50);
+        let detail = format!("{}: {refusal}; nothing was sent", inbound.document.service);
+        self.retry_later_problem(kind, &detail, min_delay_ms)
     }
 
     // ---- answers on their way back ----
@@ -322,12 +330,12 @@
 
     // ---- telling ----
 
-    fn log_decision(&self, inbound: &InboundRequest, what: &str) {
-        let call = &inbound.request;
+    fn log_decision(&self, inbound: &InboundRequest, detail: &str) {
+        let request = &inbound.request;
         self.shared.decisions.note(format!(
-            "{} {} ({}/{}) {what}",
-            call.method,
-            call.path(),
+            "{} {} ({}/{}) {detail}",
+            request.method,
+            request.path(),
             inbound.document.service,
             inbound.kind.name
         ));
@@ -335,10 +343,11 @@
 
     /// A refusal that names a moment to come back, spread so that refused
     /// callers do not all come back at once.
-    fn retry_later_problem(&self, kind: ProblemKind, what: &str, ms: u64) -> Problem {
-        let jittered =
-            self.rng.borrow_mut().random_range(ms..=ms.saturating_mul(2).max(ms.saturating_add(1)));
-        Problem::new(kind, ExecutionStatus::NotRun, what).retry_after(jittered)
+    fn retry_later_problem(&self, kind: ProblemKind, detail: &str, min_delay_ms: u64) -> Problem {
+        let delay_ms = self.rng.borrow_mut().random_range(
+            min_delay_ms..=min_delay_ms.saturating_mul(2).max(min_delay_ms.saturating_add(1)),
+        );
+        Problem::new(kind, ExecutionStatus::NotRun, detail).retry_after(delay_ms)
     }
 }
 
@@ -359,13 +368,13 @@
     /// given the same.
     async fn record_response(&mut self, response: &WebResponse, body: &Bytes) {
         let Some(key) = self.key.take() else { return };
-        let answer = StoredResponse {
+        let stored = StoredResponse {
             status: response.status().as_u16(),
             headers: ledger_headers(response.headers()),
             body: body.as_ref().into(),
         };
         let end =
-            RequestEnd { key, attempt: self.attempt, ended: RequestOutcome::Answered(answer) };
+            RequestEnd { key, attempt: self.attempt, ended: RequestOutcome::Answered(stored) };
         if let LeaderResponse::Problem(problem) =
             self.shared.ask(LeaderRequest::RequestEnd(end)).await
         {
@@ -388,7 +397,7 @@
 
 impl ResponseObserver for Slot {
     fn response_ended(&mut self, complete: bool) {
-        self.ended = if complete { RunnerOutcome::Answered } else { RunnerOutcome::Failed };
+        self.outcome = if complete { RunnerOutcome::Answered } else { RunnerOutcome::Failed };
     }
 }
 
@@ -401,19 +410,19 @@
     /// passes or the caller stalls; the caller's connection is then cut.
     async fn run<H>(
         self,
-        mut answer: pool::UpstreamResponse,
+        mut upstream: pool::UpstreamResponse,
         mut observer: H,
         tx: mpsc::Sender<BodyChunk>,
-        start: Bytes,
+        prefix: Bytes,
     ) where
         H: ResponseObserver,
     {
         let _in_flight = self.in_flight;
-        if !start.is_empty() && tx.send(BodyChunk::Data(start)).await.is_err() {
+        if !prefix.is_empty() && tx.send(BodyChunk::Data(prefix)).await.is_err() {
             return;
         }
         loop {
-            let chunk = match timeout_at(self.deadline, answer.next()).await {
+            let chunk = match timeout_at(self.deadline, upstream.next()).await {
                 Ok(Ok(Some(bytes))) => BodyChunk::Data(bytes),
                 Ok(Ok(None)) => BodyChunk::End,
                 Ok(Err(_)) | Err(_) => return observer.response_ended(false),
@@ -436,7 +445,7 @@
 
 impl Handler for Traffic {
     async fn handle(&self, req: WebRequest) -> WebResponse {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let _in_flight = InFlight::new(&self.shared);
         let service =
             request::split(req.uri().path()).map(|(service, _)| Box::<str>::from(service));
@@ -450,7 +459,7 @@
                 ExecutionStatus::Ran => metrics::RequestResult::Failed,
             },
         };
-        self.shared.metrics.request(&service, outcome, started.elapsed());
+        self.shared.metrics.request(&service, outcome, started_at.elapsed());
         let mut response = result.unwrap_or_else(|problem| reply::problem(&problem));
         if self.shared.is_draining() {
             // The caller's next request goes to another entry, over the balancer.
@@ -462,70 +471,71 @@
 }
 
 /// Status and end-to-end headers of an answer, without its body.
-fn response_head(answer: &pool::UpstreamResponse) -> WebResponse {
+fn response_head(upstream: &pool::UpstreamResponse) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::none());
-    *response.status_mut() = answer.head.status;
-    copy_end_to_end(&answer.head.headers, response.headers_mut());
+    *response.status_mut() = upstream.head.status;
+    copy_end_to_end(&upstream.head.headers, response.headers_mut());
     response
 }
 
 async fn read_prefix(
-    answer: &mut pool::UpstreamResponse,
+    upstream: &mut pool::UpstreamResponse,
     limit: usize,
     deadline: Instant,
 ) -> Result<(Bytes, bool), AttemptError> {
-    let mut start: Vec<Bytes> = Vec::new();
+    let mut prefix: Vec<Bytes> = Vec::new();
     let mut size = 0;
     let complete = loop {
-        let next =
-            timeout_at(deadline, answer.next()).await.map_err(|_| AttemptError::DeadlinePassed)?;
+        let next = timeout_at(deadline, upstream.next())
+            .await
+            .map_err(|_| AttemptError::DeadlinePassed)?;
         match next {
             Ok(None) => break true,
             Ok(Some(chunk)) => {
                 size += chunk.len();
-                start.push(chunk);
+                prefix.push(chunk);
                 if size > limit {
                     break false;
                 }
             }
             Err(error) => {
-                let what = format!("the runner broke off its answer: {error}");
-                return Err(AttemptError::Unknown(what.into()));
+                let detail = format!("the runner broke off its answer: {error}");
+                return Err(AttemptError::Unknown(detail.into()));
             }
         }
     };
-    let bytes = match start.len() {
-        1 => start.pop().unwrap_or_default(),
-        _ => start.concat().into(),
+    let bytes = match prefix.len() {
+        1 => prefix.pop().unwrap_or_default(),
+        _ => prefix.concat().into(),
     };
     Ok((bytes, complete))
 }
 
 /// Whether another entry says that the request did not run there.
-fn refused_before_start(answer: &pool::UpstreamResponse) -> bool {
-    let ran = answer.head.headers.get(RAN);
+fn refused_before_start(upstream: &pool::UpstreamResponse) -> bool {
+    let ran = upstream.head.headers.get(RAN);
     ran.is_some_and(|value| value.as_bytes() == ExecutionStatus::NotRun.token().as_bytes())
-        && answer.head.status == StatusCode::SERVICE_UNAVAILABLE
+        && upstream.head.status == StatusCode::SERVICE_UNAVAILABLE
 }
 
 fn attempt_error(name: &impl std::fmt::Display, error: &UpstreamError) -> AttemptError {
-    let what = format!("{name} did not answer: {error}").into();
+    let detail = format!("{name} did not answer: {error}").into();
     match error {
         UpstreamError::Timeout => AttemptError::DeadlinePassed,
-        other if other.is_unsent() => AttemptError::NotRun(what),
-        _ => AttemptError::Unknown(what),
+        other if other.is_unsent() => AttemptError::NotRun(detail),
+        _ => AttemptError::Unknown(detail),
     }
 }
 
 fn request_deadline(kind: &RequestKind, header: Option<&HeaderValue>) -> Result<Duration, Problem> {
-    let most = kind.deadline_ms;
-    let Some(header) = header else { return Ok(Duration::from_millis(most)) };
-    let asked = header.to_str().ok().and_then(|text| text.parse::<u64>().ok());
-    let Some(asked) = asked else {
-        let what = format!("{DEADLINE} must be a whole number of milliseconds");
-        return Err(Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, what));
+    let max_ms = kind.deadline_ms;
+    let Some(header) = header else { return Ok(Duration::from_millis(max_ms)) };
+    let requested_ms = header.to_str().ok().and_then(|text| text.parse::<u64>().ok());
+    let Some(requested_ms) = requested_ms else {
+        let detail = format!("{DEADLINE} must be a whole number of milliseconds");
+        return Err(Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, detail));
     };
-    Ok(Duration::from_millis(asked.min(most)))
+    Ok(Duration::from_millis(requested_ms.min(max_ms)))
 }
 
 /// The ledger's key of a request that must run at most once. Kinds that are
@@ -536,8 +546,8 @@
     header: Option<&HeaderValue>,
 ) -> Result<Option<RequestKey>, Problem> {
     let Some(header) = header else { return Ok(None) };
-    let key = request::check_key(header.as_bytes()).map_err(|bad| {
-        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, bad.to_string())
+    let key = request::check_key(header.as_bytes()).map_err(|error| {
+        Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, error.to_string())
     })?;
     if kind.idempotent {
         return Ok(None);
@@ -545,22 +555,22 @@
     Ok(Some(RequestKey { service: document.service.clone(), key: key.into() }))
 }
 
-fn body_problem(bad: &RequestBodyError) -> Problem {
-    let kind = match bad {
+fn body_problem(error: &RequestBodyError) -> Problem {
+    let kind = match error {
         RequestBodyError::TooLarge(_) => ProblemKind::TooLarge,
         RequestBodyError::TooSlow | RequestBodyError::Broken => ProblemKind::BadRequest,
     };
-    Problem::new(kind, ExecutionStatus::NotRun, bad.to_string())
+    Problem::new(kind, ExecutionStatus::NotRun, error.to_string())
 }
 
-fn not_found_problem(what: String) -> Problem {
-    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what)
+fn not_found_problem(detail: String) -> Problem {
+    Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, detail)
 }
 
-fn replayed_response(kept: &StoredResponse) -> WebResponse {
-    let mut response = WebResponse::new(ResponseBody::bytes(Bytes::copy_from_slice(&kept.body)));
-    *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    *response.headers_mut() = headers_from_ledger(kept);
+fn replayed_response(stored: &StoredResponse) -> WebResponse {
+    let mut response = WebResponse::new(ResponseBody::bytes(Bytes::copy_from_slice(&stored.body)));
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+    *response.headers_mut() = headers_from_ledger(stored);
     let repeated = HeaderName::from_static("yuccalink-repeated");
     response.headers_mut().insert(repeated, HeaderValue::from_static("true"));
     response
--- a/crates/daemon/src/traffic/at_most_once.rs
+++ b/crates/daemon/src/traffic/at_most_once.rs
@@ -16,52 +16,52 @@
             return self.forward(inbound, Refusal::NoRunner, Duration::from_secs(1)).await;
         }
         let attempt = self.rng.borrow_mut().next_u64();
-        let mut pause = INITIAL_POLL_DELAY;
+        let mut delay = INITIAL_POLL_DELAY;
         loop {
             match self.record_begin(inbound, key, attempt).await? {
                 Verdict::Go => return self.route_recorded(inbound, key, attempt).await,
-                Verdict::Answered(kept) => return Ok(replayed_response(&kept)),
-                Verdict::Running if Instant::now() + pause < inbound.deadline => {
-                    sleep(pause).await;
-                    pause = (pause * 2).min(Duration::from_secs(1));
+                Verdict::Answered(stored) => return Ok(replayed_response(&stored)),
+                Verdict::Running if Instant::now() + delay < inbound.deadline => {
+                    sleep(delay).await;
+                    delay = (delay * 2).min(Duration::from_secs(1));
                 }
                 Verdict::Running => {
-                    let what = "the same request is still under way; ask again with the same key";
+                    let detail = "the same request is still under way; ask again with the same key";
                     return Err(Problem::new(
                         ProblemKind::InProgress,
                         ExecutionStatus::Unknown,
-                        what,
+                        detail,
                     )
                     .retry_after(1000));
                 }
                 Verdict::AnsweredTooLarge => {
-                    let what = "it ran once and was answered; the answer was too large to keep";
+                    let detail = "it ran once and was answered; the answer was too large to keep";
                     return Err(Problem::new(
                         ProblemKind::AnswerNotKept,
                         ExecutionStatus::Ran,
-                        what,
+                        detail,
                     ));
                 }
                 Verdict::Unknown => {
-                    let what = "it was sent once and its outcome was lost; ask the service whether \
+                    let detail = "it was sent once and its outcome was lost; ask the service whether \
                                 it took effect, and use a new key to send it again";
                     return Err(Problem::new(
                         ProblemKind::OutcomeUnknown,
                         ExecutionStatus::Unknown,
-                        what,
+                        detail,
                     ));
                 }
                 Verdict::KeyReused => {
-                    let what = "this Idempotency-Key was used for another request; use a new key";
+                    let detail = "this Idempotency-Key was used for another request; use a new key";
                     return Err(Problem::new(
                         ProblemKind::KeyReused,
                         ExecutionStatus::NotRun,
-                        what,
+                        detail,
                     ));
                 }
                 Verdict::Full => {
-                    let what = "too many requests with keys are remembered; send it again later";
-                    return Err(self.retry_later_problem(ProblemKind::Overloaded, what, 5000));
+                    let detail = "too many requests with keys are remembered; send it again later";
+                    return Err(self.retry_later_problem(ProblemKind::Overloaded, detail, 5000));
                 }
             }
         }
@@ -73,17 +73,17 @@
         key: &RequestKey,
         attempt: u64,
     ) -> Result<Verdict, Problem> {
-        let call = &inbound.request;
+        let request = &inbound.request;
         let at_ms = unix_ms();
-        let left = millis(inbound.deadline.saturating_duration_since(Instant::now()));
-        let ask = LeaderRequest::RequestBegin(RequestBegin {
+        let remaining = millis(inbound.deadline.saturating_duration_since(Instant::now()));
+        let request = LeaderRequest::RequestBegin(RequestBegin {
             key: key.clone(),
-            digest: request::digest(call.method.as_str(), call.path(), &call.body),
+            digest: request::digest(request.method.as_str(), request.path(), &request.body),
             attempt,
             at_ms,
-            until_ms: at_ms.saturating_add(left).saturating_add(LEDGER_GRACE_MS),
+            until_ms: at_ms.saturating_add(remaining).saturating_add(LEDGER_GRACE_MS),
         });
-        match self.shared.ask(ask).await {
+        match self.shared.ask(request).await {
             LeaderResponse::Request(verdict) => Ok(verdict),
             LeaderResponse::Problem(mut problem) => {
                 // Nothing has been sent to a runner, whatever the leader noted.
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -8,25 +8,25 @@
     pub(super) async fn forward(
         &self,
         inbound: &Arc<InboundRequest>,
-        why: Refusal,
-        retry: Duration,
+        refusal: Refusal,
+        retry_after: Duration,
     ) -> Result<WebResponse, Problem> {
         let mut tried: Vec<Name> = Vec::new();
         loop {
             let view = self.shared.view.load_full();
             let Some(owner) = self.pick_other_owner(&view, &inbound.document, &tried) else {
-                return Err(self.refusal_problem(inbound, why, retry));
+                return Err(self.refusal_problem(inbound, refusal, retry_after));
             };
-            self.log_decision(inbound, &format!("handed on to entry {}: {why}", owner.name));
+            self.log_decision(inbound, &format!("handed on to entry {}: {refusal}", owner.name));
             let last = tried.len() + 1 == MAX_FORWARD_ATTEMPTS;
             match self.send_to_entry(inbound, &owner).await {
-                Ok(answer) if last || !refused_before_start(&answer) => {
+                Ok(upstream) if last || !refused_before_start(&upstream) => {
                     self.shared.routing().router.earn_retry(&inbound.document.service);
-                    return Ok(self.relay_from_entry(inbound, answer));
+                    return Ok(self.relay_from_entry(inbound, upstream));
                 }
                 Ok(_) => {}
                 Err(error) if error.is_unsent() && last => {
-                    return Err(self.refusal_problem(inbound, why, retry));
+                    return Err(self.refusal_problem(inbound, refusal, retry_after));
                 }
                 Err(error) if error.is_unsent() => {}
                 Err(error) => {
@@ -45,12 +45,12 @@
         inbound: &InboundRequest,
         owner: &Owner,
     ) -> Result<pool::UpstreamResponse, UpstreamError> {
-        let mut call = inbound.request.clone();
+        let mut request = inbound.request.clone();
         if let Ok(value) = HeaderValue::from_str(self.shared.config.name.as_str()) {
-            call.headers.insert(HeaderName::from_static(FORWARDED_BY), value);
+            request.headers.insert(HeaderName::from_static(FORWARDED_BY), value);
         }
-        let left = inbound.deadline.saturating_duration_since(Instant::now());
-        let req = call.build_upstream_request(owner.callers, left);
+        let remaining = inbound.deadline.saturating_duration_since(Instant::now());
+        let req = request.build_upstream_request(owner.callers, remaining);
         self.pool.send(owner.callers, req, inbound.deadline).await
     }
 
@@ -58,16 +58,16 @@
     pub(super) fn relay_from_entry(
         &self,
         inbound: &InboundRequest,
-        answer: pool::UpstreamResponse,
+        upstream: pool::UpstreamResponse,
     ) -> WebResponse {
-        let size = answer.content_length();
-        let mut response = response_head(&answer);
+        let size = upstream.content_length();
+        let mut response = response_head(&upstream);
         if inbound.request.method == Method::HEAD {
             return response;
         }
         let (tx, body) = streamed_body(size);
         *response.body_mut() = body;
-        tokio::task::spawn_local(self.body_forwarder(inbound).run(answer, (), tx, Bytes::new()));
+        tokio::task::spawn_local(self.body_forwarder(inbound).run(upstream, (), tx, Bytes::new()));
         response
     }
 
@@ -81,16 +81,16 @@
         let owners = view.owners.get(document.service.as_str())?;
         let own = &self.shared.config.name;
         let others = || owners.iter().filter(|o| o.name != *own && !tried.contains(&o.name));
-        let all: u32 = others().map(|owner| owner.slots).sum();
-        if all == 0 {
+        let total_slots: u32 = others().map(|owner| owner.slots).sum();
+        if total_slots == 0 {
             return None;
         }
-        let mut at = self.rng.borrow_mut().random_range(0..all);
+        let mut offset = self.rng.borrow_mut().random_range(0..total_slots);
         for owner in others() {
-            if at < owner.slots {
+            if offset < owner.slots {
                 return Some(owner.clone());
             }
-            at -= owner.slots;
+            offset -= owner.slots;
         }
         None
     }
--- a/crates/daemon/src/traffic/runner_attempt.rs
+++ b/crates/daemon/src/traffic/runner_attempt.rs
@@ -14,26 +14,26 @@
         if !self.shared.has_lease() {
             return Err(AttemptError::NotRun("this entry is out of touch with the others".into()));
         }
-        let Some((to, name)) = self.shared.runner_of(slot.grant) else {
+        let Some((destination, name)) = self.shared.runner_of(slot.grant) else {
             return Err(AttemptError::NotRun("the runner has just left".into()));
         };
-        self.log_decision(inbound, &format!("to runner {name} at {}", to.address));
-        let left = inbound.deadline.saturating_duration_since(Instant::now());
-        let req = inbound.request.build_upstream_request(to.address, left);
-        let answer = match self.pool.send(to, req, inbound.deadline).await {
-            Ok(answer) => answer,
+        self.log_decision(inbound, &format!("to runner {name} at {}", destination.address));
+        let remaining = inbound.deadline.saturating_duration_since(Instant::now());
+        let req = inbound.request.build_upstream_request(destination.address, remaining);
+        let upstream = match self.pool.send(destination, req, inbound.deadline).await {
+            Ok(upstream) => upstream,
             Err(error) => {
-                slot.ended = RunnerOutcome::Failed;
+                slot.outcome = RunnerOutcome::Failed;
                 return Err(attempt_error(&name, &error));
             }
         };
-        if answer.head.headers.contains_key(NOT_RUN_HEADER) {
+        if upstream.head.headers.contains_key(NOT_RUN_HEADER) {
             return Err(AttemptError::NotRun(
                 format!("runner {name} refused it before starting").into(),
             ));
         }
-        let failed = answer.head.status.is_server_error();
-        let mut response = self.relay_response(inbound, answer, slot, recorded, failed).await?;
+        let failed = upstream.head.status.is_server_error();
+        let mut response = self.relay_response(inbound, upstream, slot, recorded, failed).await?;
         if let Ok(value) = HeaderValue::from_str(name.as_str()) {
             response.headers_mut().insert(HeaderName::from_static(RUNNER_HEADER), value);
         }
@@ -43,39 +43,40 @@
     pub(super) async fn relay_response(
         &self,
         inbound: &Arc<InboundRequest>,
-        mut answer: pool::UpstreamResponse,
+        mut upstream: pool::UpstreamResponse,
         mut slot: Slot,
         recorded: Option<&mut RecordedRequest>,
         failed: bool,
     ) -> Result<WebResponse, AttemptError> {
-        let ended = if failed { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
+        let outcome = if failed { RunnerOutcome::Failed } else { RunnerOutcome::Answered };
         let no_body = inbound.request.method == Method::HEAD;
-        let size = answer.content_length();
-        let mut response = response_head(&answer);
-        let keep = recorded.is_some();
+        let size = upstream.content_length();
+        let mut response = response_head(&upstream);
+        let must_record = recorded.is_some();
         let small = size.is_some_and(|size| size <= BUFFERED_RESPONSE_MAX_BYTES);
-        let may_be_recorded = keep && size.is_none_or(|size| size <= ANSWER_MAX as u64);
+        let may_be_recorded = must_record && size.is_none_or(|size| size <= ANSWER_MAX as u64);
         if no_body || small || may_be_recorded {
-            let limit = if keep { ANSWER_MAX } else { BUFFERED_RESPONSE_MAX_BYTES as usize };
-            let start = read_prefix(&mut answer, limit, inbound.deadline).await;
-            let (start, complete) = start.inspect_err(|_| slot.ended = RunnerOutcome::Failed)?;
+            let limit = if must_record { ANSWER_MAX } else { BUFFERED_RESPONSE_MAX_BYTES as usize };
+            let prefix = read_prefix(&mut upstream, limit, inbound.deadline).await;
+            let (prefix, complete) =
+                prefix.inspect_err(|_| slot.outcome = RunnerOutcome::Failed)?;
             if complete {
-                slot.ended = ended;
+                slot.outcome = outcome;
                 drop(slot);
                 if let Some(recorded) = recorded {
-                    recorded.record_response(&response, &start).await;
+                    recorded.record_response(&response, &prefix).await;
                 }
                 if !no_body {
-                    *response.body_mut() = ResponseBody::bytes(start);
+                    *response.body_mut() = ResponseBody::bytes(prefix);
                 }
                 return Ok(response);
             }
             return Ok(self
-                .stream_response(inbound, answer, slot, recorded, response, (start, None))
+                .stream_response(inbound, upstream, slot, recorded, response, (prefix, None))
                 .await);
         }
         Ok(self
-            .stream_response(inbound, answer, slot, recorded, response, (Bytes::new(), size))
+            .stream_response(inbound, upstream, slot, recorded, response, (Bytes::new(), size))
             .await)
     }
 
@@ -83,11 +84,11 @@
     pub(super) async fn stream_response(
         &self,
         inbound: &Arc<InboundRequest>,
-        answer: pool::UpstreamResponse,
+        upstream: pool::UpstreamResponse,
         slot: Slot,
         recorded: Option<&mut RecordedRequest>,
         mut response: WebResponse,
-        (start, size): (Bytes, Option<u64>),
+        (prefix, size): (Bytes, Option<u64>),
     ) -> WebResponse {
         if let Some(recorded) = recorded
             && let Some(key) = recorded.key.take()
@@ -96,7 +97,7 @@
         }
         let (tx, body) = streamed_body(size);
         *response.body_mut() = body;
-        tokio::task::spawn_local(self.body_forwarder(inbound).run(answer, slot, tx, start));
+        tokio::task::spawn_local(self.body_forwarder(inbound).run(upstream, slot, tx, prefix));
         response
     }
 }
