--- a/crates/daemon/benches/entry_path.rs
+++ b/crates/daemon/benches/entry_path.rs
@@ -1,10 +1,10 @@
-//! What an entry VM adds to a request, against calling the runner directly, in
-//! one run on one machine: throughput and latency at 1, 64 and 512 connections,
-//! then latency at half of the entry's own throughput.
+//! Compares requests through an entry VM with requests sent directly to the runner, in
+//! one run on one machine: throughput and latency at 1, 64 and 512 connections, then
+//! latency at half of the entry's maximum throughput.
 //!
 //! `cargo bench -p yuccalink-daemon --bench entry_path 2>/dev/null`
 //!
-//! `THREADS=4` gives the entry other than the 2 threads that the runners have.
+//! `THREADS` sets the entry's number of traffic threads (default 2, as for the runners).
 
 use hdrhistogram::Histogram;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 const DOCUMENT: &str = "service='q'\nteam='t'\nversion=1\n[[request]]\nname='echo'\n\
     path='/**'\nidempotent=true\ndeadline='5s'\n";
 
-/// What one run measured.
+/// Results of one run.
 struct Measured {
     per_second: f64,
     times: Histogram<u64>,
@@ -43,7 +43,7 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    // Log lines are written as in production; standard error decides where to.
+    // Log lines are written through the same log thread as in production.
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .target(env_logger::Target::Pipe(yuccalink_daemon::start_logging()?))
         .init();
@@ -109,7 +109,8 @@
     [0.5, 0.99, 0.999].map(|q| measured.micros(q).to_string()).join("/")
 }
 
-/// Runs both in turn and keeps the median run of each by throughput or by p99.
+/// Runs both alternately and returns the median run of each: by p99 if a rate is given,
+/// otherwise by throughput.
 fn measure_alternately(
     direct: &[SocketAddr],
     entry: &[SocketAddr],
@@ -133,7 +134,8 @@
     all.swap_remove(ROUNDS / 2)
 }
 
-/// A closed loop on each connection, or an open one at `rate` over all of them.
+/// Generates load in a closed loop on each connection, or in an open loop with a total of
+/// `rate` requests per second.
 fn generate_load(to: &[SocketAddr], connections: usize, rate: Option<f64>) -> Measured {
     let threads = LOAD_THREADS.min(connections);
     let failed = Arc::new(AtomicU64::new(0));
@@ -192,7 +194,8 @@
     })
 }
 
-/// Times count from when a request was due, so that a stall is not hidden.
+/// Sends requests on one connection. In the open loop, latency is measured from the time
+/// a request was due, so that a stall is not hidden.
 async fn connection(
     to: SocketAddr,
     start: Instant,
@@ -205,7 +208,7 @@
     let mut due = start;
     while start.elapsed() < WARM_UP_DURATION + RUN_DURATION {
         if let Some(interval) = interval {
-            // The runtime's timer is too coarse here: it wakes up to 1 ms late.
+            // The runtime's timer is too coarse here: it fires up to 1 ms late.
             while Instant::now() < due {
                 tokio::task::yield_now().await;
             }
--- a/crates/daemon/benches/memory.rs
+++ b/crates/daemon/benches/memory.rs
@@ -1,5 +1,5 @@
-//! What one more connection and one more target cost a daemon in memory, and what
-//! the log takes to append and to recover.
+//! Measures the daemon's memory per connection and per target, and the time for appending
+//! to the log and recovering it.
 //!
 //! `cargo bench -p yuccalink-daemon --bench memory`
 
@@ -15,6 +15,7 @@
 const TARGETS: usize = 2000;
 const RECORDS: u64 = 20_000;
 
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS"));
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -23,13 +23,13 @@
 use yuccalink_transport::reply;
 use yuccalink_transport::server::{Handler, read_body};
 
-/// Largest body on this interface, in bytes.
+/// Maximum size of a request body on this interface, in bytes.
 const BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
-/// Time in which a body must come.
+/// Maximum time for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait until a document is in force everywhere.
+/// Maximum wait until an applied document is in force on all entries.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Header that names who applies a document.
+/// Request header that names the author of a document.
 const AUTHOR: &str = "yuccalink-author";
 
 pub(crate) struct Admin {
@@ -37,7 +37,7 @@
     rng: RefCell<Pcg64Mcg>,
 }
 
-/// A request that has been taken apart.
+/// The parts of a request.
 struct AdminRequest<'a> {
     method: &'a Method,
     path: Vec<&'a str>,
@@ -88,10 +88,10 @@
             return not_ready("draining\n");
         }
         if !self.shared.has_lease() {
-            return not_ready("out of touch with the leader\n");
+            return not_ready("no valid configuration lease from the leader\n");
         }
         if !self.shared.is_informed() {
-            return not_ready("waiting to be told of the runners\n");
+            return not_ready("waiting for the runner table\n");
         }
         reply::text(StatusCode::OK, "ready\n")
     }
@@ -203,7 +203,8 @@
         }
     }
 
-    /// Without a key a submission that is sent again adds tasks again.
+    /// The key of a submission, random if the caller sent none. A submission without a
+    /// key that is sent again adds its tasks again.
     fn submission_key(&self, headers: &HeaderMap) -> Result<Box<str>, Problem> {
         match headers.get(IDEMPOTENCY_KEY) {
             Some(value) => check_key(value.as_bytes()).map(Into::into).map_err(|error| {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// This daemon's routing decisions and the leader's placements.
+    /// Lists this daemon's routing decisions and the leader's placements, newest first.
     async fn decisions(&self, request: &AdminRequest<'_>) -> AdminResult {
         require_get(request)?;
         let mut decisions = self.shared.decisions.list();
@@ -309,7 +310,7 @@
     let document = document::read(text).map_err(|faults| unacceptable_document(&faults))?;
     if document.service != *name {
         let detail = format!(
-            "the document is for `{}` and was sent for `{name}`; make both the same",
+            "the document is for `{}` and was sent for `{name}`; use the same name in both",
             document.service
         );
         return Err(Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, detail));
@@ -383,11 +384,11 @@
 
 fn method_problem(request: &AdminRequest<'_>) -> Problem {
     let path = request.path.join("/");
-    let detail = format!("{} /{path} is not offered; see docs/PROTOCOLS.md", request.method);
+    let detail = format!("{} /{path} is not supported; see docs/PROTOCOLS.md", request.method);
     Problem::new(ProblemKind::MethodNotAllowed, ExecutionStatus::NotRun, detail)
 }
 
 fn path_problem(path: &str) -> Problem {
-    let detail = format!("there is nothing at {path}; see docs/PROTOCOLS.md");
+    let detail = format!("no resource at {path}; see docs/PROTOCOLS.md");
     Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, detail)
 }
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,16 +1,18 @@
-//! The runtime's clock as the coordination parts count it, and the wall clock.
+//! Clocks: the runtime's monotonic clock and the boot-time clock as [`Moment`]s, and the
+//! wall clock.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 use yuccalink_coordination::Moment;
 
-/// Moments since this daemon started. Starts at one second, so that zero stays
-/// free for "never".
+/// Monotonic time since this daemon started. It starts at one second, because zero
+/// stands for "never".
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
 }
 
+/// Offset of [`Clock`] and [`BootClock`], so that no time equals zero.
 const OFFSET: Duration = Duration::from_secs(1);
 
 impl Clock {
@@ -23,19 +25,19 @@
     }
 }
 
-/// Unix milliseconds by the wall clock.
+/// Wall clock time in Unix milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     millis(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-/// Whole milliseconds of a span.
+/// A duration in whole milliseconds.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Moments since some start on the clock that goes on while the machine is
-/// suspended. A lease measured by the steady clock would still be valid to its
-/// holder after a suspension, when others have long taken over.
+/// Time since this clock was created, including time during which the machine was
+/// suspended. The monotonic clock stops during a suspension: a lease measured with it
+/// would still look valid to its holder after others had taken over.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BootClock {
     start: Duration,
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, checked as a whole before anything starts.
+//! Settings of one daemon. All settings are validated together before it starts.
 
 use crate::error::{Error, Result};
 use std::net::SocketAddr;
@@ -9,58 +9,58 @@
 /// Another daemon of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the daemon.
     pub name: Name,
-    /// Where it listens for daemons.
+    /// Address on which it accepts connections of other daemons.
     pub address: SocketAddr,
 }
 
-/// Everything that a daemon needs to know. Made by [`Config::builder`].
+/// Validated settings of a daemon, created with [`Config::builder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Name of this entry VM.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of this entry VM.
     pub zone: Name,
-    /// Where callers' requests come in.
+    /// Listen address for callers' requests.
     pub callers: SocketAddr,
-    /// The address that other entries hand callers' requests to; `callers` when unset.
+    /// Address to which other entries forward callers' requests; `callers` if unset.
     pub callers_advertised: Option<SocketAddr>,
-    /// Where targets and operators connect.
+    /// Listen address for targets and operators.
     pub control: SocketAddr,
-    /// Where other daemons connect.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
-    /// The folder for the state, on an entry VM with a disk.
+    /// Folder for the replicated state, on an entry VM with a disk.
     pub data: Option<PathBuf>,
-    /// The daemons that keep the state; empty when this one runs alone.
+    /// The daemons that store the replicated state; empty if this daemon runs alone.
     pub voters: Vec<Peer>,
-    /// The file of keys that daemons share; without one, any daemon is trusted.
+    /// File with the keys that all daemons share. Without it any daemon is trusted.
     pub peer_keys: Option<PathBuf>,
-    /// Threads for callers' traffic.
+    /// Number of threads for callers' requests.
     pub traffic_threads: usize,
-    /// Callers' connections at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_max: usize,
-    /// Time in which the head of a request must come.
+    /// Maximum time for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time in which a request's body must come.
+    /// Maximum time for receiving the body of a request.
     pub body_timeout: Duration,
-    /// Time that a caller's connection may stay without a request.
+    /// Time without a request after which a caller's connection is closed.
     pub idle_timeout: Duration,
-    /// Time that a caller may leave an answer untaken.
+    /// Time after which a caller that does not read its response is disconnected.
     pub stall_timeout: Duration,
-    /// Time for a connection to a runner.
+    /// Maximum time for connecting to a runner.
     pub connect_timeout: Duration,
-    /// Time between turning red and refusing callers at a stop.
+    /// Time at shutdown between the readiness check failing and refusing new requests.
     pub drain_delay: Duration,
-    /// Longest wait for requests in flight at a stop.
+    /// Maximum wait at shutdown for requests in flight.
     pub drain_timeout: Duration,
-    /// Where metrics go, as StatsD over UDP.
+    /// Address of the StatsD server that receives metrics over UDP.
     pub statsd: Option<SocketAddr>,
 }
 
-/// Sets what differs from the defaults.
+/// Builder for [`Config`]; starts from the defaults.
 ///
 /// ```
 /// use yuccalink_daemon::Config;
@@ -92,7 +92,8 @@
 const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 
 impl Config {
-    /// The defaults: a daemon that runs alone on the loopback address.
+    /// Returns a builder with the defaults: a daemon that runs alone on the loopback
+    /// address.
     pub fn builder() -> ConfigBuilder {
         let name = Name::new("entry").unwrap_or_else(|_| unreachable!("a constant name"));
         let loopback = |port: u16| SocketAddr::from((LOOPBACK, port));
@@ -121,12 +122,12 @@
         ConfigBuilder { name: "entry".into(), zone: "zone".into(), config }
     }
 
-    /// The address that others hand callers' requests to.
+    /// The address to which other entries forward callers' requests.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers_advertised.unwrap_or(self.callers)
     }
 
-    /// Whether this daemon keeps the state.
+    /// Whether this daemon stores the replicated state.
     pub fn is_voter(&self) -> bool {
         self.voters.is_empty() || self.voters.iter().any(|voter| voter.name == self.name)
     }
@@ -191,10 +192,10 @@
         self
     }
 
-    /// Checks all settings together.
+    /// Validates all settings together.
     ///
     /// # Errors
-    /// [`Error::Setting`] with the flag and the remedy.
+    /// Returns [`Error::Setting`] with the flag and the remedy if a setting is invalid.
     pub fn build(self) -> Result<Config> {
         let mut config = self.config;
         config.name = parse_name("name", &self.name)?;
@@ -237,7 +238,7 @@
     }
     match (config.is_voter(), config.data.is_some()) {
         (true, false) => {
-            let what = "is needed by a daemon that keeps the state; name a folder on a disk";
+            let what = "is required for a daemon that stores the state; give a folder on a disk";
             return Err(setting_error("data", what));
         }
         (false, true) => {
@@ -259,7 +260,7 @@
     ];
     for (flag, time) in times {
         if time.is_zero() {
-            return Err(setting_error(flag, "must be longer than nothing"));
+            return Err(setting_error(flag, "must be longer than zero"));
         }
     }
     Ok(config)
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The last decisions of this daemon: each is one log line, kept for operators.
+//! The most recent decisions of this daemon. Each is logged as one line and kept in
+//! memory for operators.
 
 use crate::clock::unix_ms;
 use std::collections::VecDeque;
@@ -6,9 +7,9 @@
 use yuccalink_protocol::api::DecisionView;
 use yuccalink_state::id::Name;
 
-/// Decisions kept.
+/// Number of decisions kept in memory.
 pub(crate) const MAX_DECISIONS: usize = 1000;
-/// Log target of decisions, for filters.
+/// Log target of decisions, so that log filters can select them.
 pub(crate) const TARGET: &str = "yuccalink::decision";
 
 #[derive(Debug)]
@@ -32,7 +33,7 @@
         recent.push_back((unix_ms(), line.into()));
     }
 
-    /// Newest first.
+    /// Returns the decisions, newest first.
     pub(crate) fn list(&self) -> Vec<DecisionView> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let view = |(at_ms, line): &(u64, Box<str>)| DecisionView {
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,29 +1,29 @@
-//! Errors of starting and running the daemon; each message names the remedy.
+//! Errors of starting and running the daemon. Each message names the remedy.
 
 use std::io;
 
-/// Result of the daemon.
+/// Result of operations of the daemon.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Why the daemon cannot start or go on.
+/// Why the daemon cannot start or continue.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
     /// --{flag}: {what}
     Setting {
         /// The flag, without dashes.
         flag: &'static str,
-        /// What is wrong and the remedy.
+        /// The fault and its remedy.
         what: Box<str>,
     },
     /// cannot listen on {address} for {whom}: {source}; free the port or choose another with --{flag}
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: Box<str>,
-        /// Who would connect there.
+        /// The clients that connect to this address.
         whom: &'static str,
         /// The flag, without dashes.
         flag: &'static str,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// {0}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon as a library. [`Config`] says what to run, [`Daemon::start`]
-//! runs it, and the program `yuccalinkd` only reads flags and waits for signals.
+//! The daemon as a library. [`Config`] holds the settings and [`Daemon::start`] starts
+//! the daemon. The program `yuccalinkd` only reads flags and waits for signals.
 //!
-//! Threads: one for control state (`control`), one for the disk (`journal`),
-//! one for targets and operators, and the traffic threads for callers.
+//! Threads: one for the control state (`control`), one for disk writes (`journal`), one
+//! for requests of targets and operators, and the traffic threads for callers' requests.
 
 mod admin;
 pub mod cell;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,38 +1,39 @@
-//! Log lines leave through a thread of their own, so that a slow reader of
-//! standard output never holds up traffic, and without a wake-up per line.
+//! Writes log lines to standard output from a separate thread, so that a slow reader
+//! never blocks traffic. Lines are written in batches, not with one wake-up per line.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes waiting to be written; further lines are left out and counted.
+/// Maximum size of the buffer of unwritten lines. Further lines are dropped and counted.
 const BUFFER_MAX_BYTES: usize = 1024 * 1024;
-/// Bytes written in a second at most; a line is about 150. At the users' sites the
-/// leader writes 60 KiB.
+/// Maximum bytes accepted per second; further lines are dropped and counted. A line has
+/// about 150 bytes. The leader at the users' sites writes 60 KiB per second.
 const MAX_BYTES_PER_SECOND: usize = 512 * 1024;
-/// How long lines gather before they are written with one call.
+/// Time for which lines are collected before they are written.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes written with one call at most: a pipe takes that many whole, so that a reader
-/// that is slow or shared finds no line cut in two.
+/// Maximum bytes per write call. A pipe takes writes of up to this size atomically, so
+/// that no line is split, even if the reader is slow or the pipe has other writers.
 const WRITE_MAX_BYTES: usize = 4096;
-/// Longest wait for the last lines at the end of a program.
+/// Maximum wait at exit until the remaining lines are written.
 const FINISH_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
 struct LogBuffer {
     lines: Vec<u8>,
     dropped_lines: u64,
-    /// Bytes taken in since `since`.
+    /// Bytes offered since `period_start`, including those of dropped lines.
     offered_bytes: usize,
     period_start: Option<Instant>,
+    /// Whether the log thread is writing a batch that is no longer in `lines`.
     writing: bool,
 }
 
 #[derive(Default)]
 struct SharedBuffer {
     buffer: Mutex<LogBuffer>,
-    /// There are lines to write.
+    /// Signalled when the empty buffer gets its first line.
     not_empty: Condvar,
 }
 
@@ -41,10 +42,10 @@
 
 static LOG_WRITER: std::sync::OnceLock<LogWriter> = std::sync::OnceLock::new();
 
-/// A writer for a logger: collects lines for a thread that writes to standard output.
+/// Starts the log thread and returns the writer for the logger.
 ///
 /// # Errors
-/// When the thread cannot be started.
+/// Returns an error if the thread cannot be started.
 pub fn start() -> io::Result<Box<dyn Write + Send>> {
     let lines = LOG_WRITER.get_or_init(LogWriter::default).clone();
     let source = lines.clone();
@@ -52,7 +53,8 @@
     Ok(Box::new(lines))
 }
 
-/// Writes what is still waiting; for the end of a program.
+/// Waits until the buffered lines are written, for a short time at most. To be called
+/// before the program exits.
 pub fn finish() {
     let Some(lines) = LOG_WRITER.get() else { return };
     let until = Instant::now() + FINISH_TIMEOUT;
@@ -73,6 +75,8 @@
 }
 
 impl LogBuffer {
+    /// Counts a line of `size` bytes. Returns whether it is within the rate limit and fits
+    /// into the buffer.
     fn accept(&mut self, size: usize) -> bool {
         let now = Instant::now();
         if self
@@ -124,7 +128,7 @@
                 format!("[{dropped_lines} log lines left out: too many for standard output]\n");
             batch.extend_from_slice(note.as_bytes());
         }
-        // A closed standard output is no reason to stop serving.
+        // The daemon keeps serving when standard output is closed.
         let _ = write_whole_lines(&batch);
         source.lock().writing = false;
     }
@@ -134,15 +138,15 @@
     let mut out = io::stdout().lock();
     while !batch.is_empty() {
         let (now, rest) = batch.split_at(whole_lines(batch, WRITE_MAX_BYTES));
-        // Whole lines pass its buffer and leave with one call.
+        // Complete lines bypass the buffer of `Stdout` and are written with one call.
         out.write_all(now)?;
         batch = rest;
     }
     out.flush()
 }
 
-/// How many bytes of whole lines there are up to `most`, or of the one line that is
-/// longer than that.
+/// Length of the complete lines within the first `limit` bytes, or of the first line if
+/// it is longer than `limit`.
 fn whole_lines(batch: &[u8], limit: usize) -> usize {
     let end_of = |part: &[u8]| part.iter().rposition(|byte| *byte == b'\n');
     let within = end_of(&batch[..batch.len().min(limit)]);
@@ -150,7 +154,7 @@
     within.or_else(first).map_or(batch.len(), |at| at + 1)
 }
 
-/// An idle program is not woken up.
+/// Blocks until there is a line to write, so that an idle program is not woken up.
 fn wait_for_lines(source: &LogWriter) {
     let mut buffer = source.lock();
     while buffer.lines.is_empty() {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! StatsD metrics. All names are listed in `docs/OPERATIONS.md`.
+//! StatsD metrics. `docs/OPERATIONS.md` lists all names.
 
 use cadence::{BufferedUdpMetricSink, Counted, Gauged, NopMetricSink, QueuingMetricSink};
 use cadence::{StatsdClient, Timed};
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 const PREFIX: &str = "yuccalink";
-/// Metrics waiting to be sent; more are dropped.
+/// Maximum number of metrics in the send queue. Further metrics are dropped.
 const QUEUE_CAPACITY: usize = 64 * 1024;
 
-/// Sends metrics, or nothing where no address is set.
+/// Sends metrics to the configured StatsD server; does nothing if none is configured.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     client: StatsdClient,
     enabled: bool,
 }
 
-/// How a caller's request ended, as a metric's tag.
+/// Result of a caller's request, sent as a tag of the metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestResult {
     Answered,
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,5 +1,5 @@
-//! What all threads share: the view that traffic reads, swapped whole by the
-//! control thread, and the routing state behind one short lock.
+//! State that all threads share: the routing table, which the control thread replaces
+//! as a whole, and the routing state behind one lock that is held only briefly.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -25,11 +25,12 @@
 use yuccalink_transport::auth::Keys;
 use yuccalink_transport::pool::Destination;
 
-/// Requests to the control thread that may wait; more are refused at once.
+/// Capacity of the request queue to the control thread. Further requests are refused
+/// immediately.
 pub(crate) const CONTROL_QUEUE: usize = 4096;
-/// Pause before the next leader is asked.
+/// Delay before a request is sent to the next leader.
 const LEADER_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest wait for the leader's answer.
+/// Maximum wait for the leader's response.
 pub(crate) const ASK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An entry that owns runners of a service.
@@ -40,20 +41,22 @@
     pub(crate) slots: u32,
 }
 
-/// What traffic threads know of the system. Never changed, only replaced.
+/// Documents and runner owners by service, as traffic threads read them. Immutable: a
+/// change replaces the whole table.
 #[derive(Debug, Default)]
 pub(crate) struct RoutingTable {
     pub(crate) services: HashMap<Box<str>, Arc<Document>>,
     pub(crate) owners: HashMap<Box<str>, Vec<Owner>>,
 }
 
-/// A request to the leader and where its answer goes.
+/// A request to the leader and the channel for the response.
 #[derive(Debug)]
 pub(crate) struct ToLeader {
     pub(crate) ask: LeaderRequest,
     pub(crate) reply: oneshot::Sender<LeaderResponse>,
 }
 
+/// The router and the requests that wait in its queues.
 #[derive(Debug)]
 pub(crate) struct Routing {
     pub(crate) router: Router,
@@ -61,7 +64,7 @@
     dequeued: Vec<DequeuedRequest>,
 }
 
-/// How a request is let in.
+/// Result of admitting a request: a slot, a place in the queue or a refusal.
 #[derive(Debug)]
 pub(crate) enum Admitted {
     Granted(Grant),
@@ -83,7 +86,7 @@
     draining: AtomicBool,
     refusing: AtomicBool,
     informed: AtomicBool,
-    /// Wakes the task that tells the leader this entry's state.
+    /// Wakes the task that reports this entry's state to the leader.
     pub(crate) tell_leader: Notify,
     leader: mpsc::Sender<ToLeader>,
 }
@@ -118,8 +121,8 @@
         self.routing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this entry may serve: an entry whose lease ran out may be cut off
-    /// and would route by documents that are no longer in force.
+    /// Whether this entry may serve requests. An entry whose configuration lease has
+    /// expired may be partitioned and route by documents that are no longer in force.
     pub(crate) fn has_lease(&self) -> bool {
         self.clock.now().0 < self.lease_until.load(Ordering::Acquire)
     }
@@ -128,8 +131,8 @@
         self.lease_until.store(until.0, Ordering::Release);
     }
 
-    /// Whether this entry has ever known a complete table of runners. Green
-    /// before that, it would refuse what another entry could have answered.
+    /// Whether this entry has ever had a complete runner table. If it reported ready
+    /// earlier, it would refuse requests that another entry could serve.
     pub(crate) fn is_informed(&self) -> bool {
         self.informed.load(Ordering::Acquire)
     }
@@ -138,7 +141,7 @@
         self.informed.store(true, Ordering::Release);
     }
 
-    /// Red for the balancer, while requests are still served.
+    /// Makes the readiness check for the load balancer fail. Requests are still served.
     pub(crate) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
         self.tell_leader.notify_one();
@@ -148,7 +151,7 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// New requests are refused from now on.
+    /// Refuses new requests from now on.
     pub(crate) fn start_refusing(&self) {
         self.refusing.store(true, Ordering::Release);
     }
@@ -157,7 +160,8 @@
         self.refusing.load(Ordering::Acquire)
     }
 
-    /// Asks the leader and waits for its answer, at most [`ASK_TIMEOUT`].
+    /// Sends a request to the leader and waits for the response, at most
+    /// [`ASK_TIMEOUT`].
     pub(crate) async fn ask(&self, ask: LeaderRequest) -> LeaderResponse {
         let deadline = Instant::now() + ASK_TIMEOUT;
         loop {
@@ -174,8 +178,8 @@
             }
             match timeout_at(deadline, response).await {
                 Ok(Ok(response)) => return response,
-                // The leader lost its office meanwhile: the next one is asked, which
-                // does no harm when this one had decided already.
+                // The leader lost its leadership meanwhile, so the next leader gets the
+                // request. This is safe even if the old leader already decided it.
                 Ok(Err(_)) if Instant::now() + LEADER_RETRY_DELAY < deadline => {
                     sleep(LEADER_RETRY_DELAY).await
                 }
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Stops waiting. A slot that came at the same moment is given back.
+    /// Removes a request from the queue. A slot granted at the same moment is released.
     pub(crate) fn abandon(&self, ticket: Ticket, mut rx: oneshot::Receiver<Grant>) {
         let now = self.clock.now();
         let mut routing = self.routing();
@@ -215,7 +219,7 @@
         self.routing().release(now, grant, outcome);
     }
 
-    /// The runner of a grant: its name and how to reach it.
+    /// The destination and the name of a grant's runner.
     pub(crate) fn runner_of(&self, grant: Grant) -> Option<(Destination, Name)> {
         let routing = self.routing();
         let spec = &routing.router.runner(grant.runner)?.spec;
@@ -225,15 +229,16 @@
     }
 }
 
-/// The problem of a request that the leader did not answer.
+/// The problem for a request to which no leader responded.
 pub(crate) fn no_leader() -> Problem {
-    let detail = "no leader answered in time; the request may or may not have been decided. Send it \
+    let detail = "no leader responded in time; the request may or may not have been decided. Send it \
                 again with the same key or version";
     Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, detail).retry_after(1000)
 }
 
-/// Idle connections that one thread may keep to a runner. Those in use are at
-/// most its slots, so all threads together stay within its connections.
+/// Number of idle connections that one thread may keep to a runner. Connections in use
+/// never exceed the runner's slots, so all threads together stay within its connection
+/// limit.
 fn idle_per_thread(spec: &RunnerSpec, threads: usize) -> usize {
     let spare_connections = spec.connections.saturating_sub(spec.slots) as usize;
     spare_connections / threads.max(1)
@@ -246,7 +251,7 @@
         self.grant_dequeued(now, dequeued);
     }
 
-    /// Changes the router and hands out the turns that come of it.
+    /// Changes the router and sends the resulting grants to the dequeued requests.
     pub(crate) fn change<F>(&mut self, now: Moment, change: F)
     where
         F: FnOnce(&mut Router, &mut Vec<DequeuedRequest>),
@@ -261,7 +266,7 @@
             let waiting = self.waiting.remove(&request.ticket);
             let accepted = waiting.is_some_and(|tx| tx.send(request.grant).is_ok());
             if !accepted {
-                // Its caller has just gone: the slot goes to the next one.
+                // The caller has just disconnected: the slot goes to the next request.
                 self.router.release(now, request.grant, RunnerOutcome::Abandoned, &mut dequeued);
             }
         }
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Callers' requests: one is read, routed, sent to a runner, and its whole
-//! answer goes back to its own caller.
+//! Handles callers' requests: reads a request, routes it, sends it to a runner and
+//! passes the response back to the caller.
 
 mod at_most_once;
 mod forward;
@@ -36,28 +36,31 @@
 use yuccalink_transport::reply;
 use yuccalink_transport::server::{Handler, RequestBodyError, read_body};
 
-/// Answers up to this size are read whole before they are passed on, which
-/// frees the runner's slot however slowly the caller reads.
+/// Responses up to this size, in bytes, are read completely before they are passed
+/// on, so that a slow caller does not occupy the runner's slot.
 const BUFFERED_RESPONSE_MAX_BYTES: u64 = 64 * 1024;
-/// Other entries that one request is handed to at most.
+/// Maximum number of other entries that one request is forwarded to.
 const MAX_FORWARD_ATTEMPTS: usize = 3;
-/// First pause before asking again what became of the same request elsewhere.
+/// Delay before the ledger is asked again about a request with the same key that is
+/// still running. The delay doubles up to one second.
 const INITIAL_POLL_DELAY: Duration = Duration::from_millis(50);
-/// Header by which a runner says that it refused before it started.
+/// Response header with which a runner reports that it refused the request before
+/// starting it.
 const NOT_RUN_HEADER: &str = "yuccalink-not-run";
-/// Header that names the runner, on answers.
+/// Response header that names the runner.
 const RUNNER_HEADER: &str = "yuccalink-runner";
-/// Longest the ledger waits for an outcome after the deadline, in milliseconds.
+/// Time in milliseconds after a request's deadline until which the ledger waits for
+/// its outcome.
 const LEDGER_GRACE_MS: u64 = 5_000;
 
-/// Answers callers' requests on one thread.
+/// Handles callers' requests on one thread.
 pub(crate) struct Traffic {
     shared: Arc<Shared>,
     pool: Pool,
     rng: RefCell<Pcg64Mcg>,
 }
 
-/// A request while it is being served.
+/// A caller's request that is being handled.
 struct InboundRequest {
     request: CallerRequest,
     document: Arc<Document>,
@@ -67,7 +70,7 @@
     key: Option<RequestKey>,
 }
 
-/// A slot that is given back however the request ends.
+/// A runner slot that is released on drop, however the request ends.
 struct Slot {
     shared: Arc<Shared>,
     grant: Grant,
@@ -80,7 +83,7 @@
     }
 }
 
-/// A waiting request that leaves the queue however its caller leaves.
+/// A request in the queue that is removed on drop, also when its caller disconnects.
 struct QueuedRequest<'a> {
     shared: &'a Shared,
     waiting: Option<(Ticket, oneshot::Receiver<Grant>)>,
@@ -94,6 +97,7 @@
     }
 }
 
+/// Counts a request as in flight until it is dropped.
 struct InFlight(Arc<Shared>);
 
 impl InFlight {
@@ -109,13 +113,13 @@
     }
 }
 
-/// Why a try at one runner brought no answer.
+/// Why sending a request to one runner or entry gave no response.
 enum AttemptError {
-    /// It surely did not run.
+    /// The request was certainly not executed.
     NotRun(Box<str>),
-    /// It may have run.
+    /// The request may have been executed.
     Unknown(Box<str>),
-    /// The deadline passed after it was sent.
+    /// The deadline passed after the request was sent.
     DeadlinePassed,
 }
 
@@ -137,7 +141,8 @@
             ));
         }
         if !self.shared.has_lease() {
-            let detail = "this entry is out of touch with the others and must not serve";
+            let detail =
+                "this entry holds no valid configuration lease and must not serve requests";
             return Err(self.retry_later_problem(ProblemKind::NotServing, detail, 1000));
         }
         let inbound = self.read_request(req).await?;
@@ -161,7 +166,7 @@
             .cloned()
             .ok_or_else(|| {
                 not_found_problem(format!(
-                    "`{service}` has no kind of request for {} {service_path}; see its document",
+                    "`{service}` defines no request for {} {service_path}; see its document",
                     head.method
                 ))
             })?;
@@ -211,7 +216,7 @@
                     return Err(self.refusal_problem(inbound, refusal, retry_after));
                 }
                 Err(AdmissionError::DeadlinePassed) => {
-                    self.log_decision(inbound, "gave up waiting; its deadline passed in the queue");
+                    self.log_decision(inbound, "dropped: its deadline passed in the queue");
                     let detail = "the deadline passed while the request waited for a runner";
                     return Err(Problem::new(
                         ProblemKind::DeadlinePassed,
@@ -295,7 +300,7 @@
                 Problem::new(ProblemKind::RunnerFailed, ExecutionStatus::Unknown, detail)
             }
             AttemptError::DeadlinePassed => {
-                let detail = "the runner did not answer before the deadline";
+                let detail = "the runner did not respond before the deadline";
                 Problem::new(ProblemKind::DeadlinePassed, ExecutionStatus::Unknown, detail)
             }
         }
@@ -317,9 +322,9 @@
         self.retry_later_problem(kind, &detail, min_delay_ms)
     }
 
-    // ---- answers on their way back ----
+    // ---- responses ----
 
-    /// Moves an answer of this request to its caller.
+    /// Creates a forwarder for the response body of this request.
     fn body_forwarder(&self, inbound: &InboundRequest) -> BodyForwarder {
         BodyForwarder {
             stall_timeout: self.shared.config.stall_timeout,
@@ -328,7 +333,7 @@
         }
     }
 
-    // ---- telling ----
+    // ---- decisions and problems ----
 
     fn log_decision(&self, inbound: &InboundRequest, detail: &str) {
         let request = &inbound.request;
@@ -341,8 +346,8 @@
         ));
     }
 
-    /// A refusal that names a moment to come back, spread so that refused
-    /// callers do not all come back at once.
+    /// A problem with a `Retry-After` time between `min_delay_ms` and twice that. It is
+    /// random so that refused callers do not all retry at once.
     fn retry_later_problem(&self, kind: ProblemKind, detail: &str, min_delay_ms: u64) -> Problem {
         let delay_ms = self.rng.borrow_mut().random_range(
             min_delay_ms..=min_delay_ms.saturating_mul(2).max(min_delay_ms.saturating_add(1)),
@@ -351,12 +356,13 @@
     }
 }
 
+/// Why a request got no slot.
 enum AdmissionError {
     Refused(Refusal, Duration),
     DeadlinePassed,
 }
 
-/// A request that the ledger has noted as under way.
+/// A request that the ledger has recorded as running.
 struct RecordedRequest {
     shared: Arc<Shared>,
     key: Option<RequestKey>,
@@ -364,8 +370,8 @@
 }
 
 impl RecordedRequest {
-    /// Keeps the whole answer before its caller gets it, so that a resend is
-    /// given the same.
+    /// Stores the complete response in the ledger before the caller gets it, so that a
+    /// resent request gets the same response.
     async fn record_response(&mut self, response: &WebResponse, body: &Bytes) {
         let Some(key) = self.key.take() else { return };
         let stored = StoredResponse {
@@ -378,19 +384,20 @@
         if let LeaderResponse::Problem(problem) =
             self.shared.ask(LeaderRequest::RequestEnd(end)).await
         {
-            log::warn!("an answer could not be kept for resends: {}", problem.detail);
+            log::warn!("cannot store a response for resent requests: {}", problem.detail);
         }
     }
 }
 
-/// Moves an answer from its source to its caller.
+/// Forwards a response body from its source to the caller.
 struct BodyForwarder {
     stall_timeout: Duration,
     deadline: Instant,
     in_flight: InFlight,
 }
 
-/// What holds something until the whole answer has been read.
+/// Is notified when a response body has ended, completely or not. Dropped afterwards, which
+/// releases a runner's slot.
 trait ResponseObserver {
     fn response_ended(&mut self, complete: bool);
 }
@@ -406,8 +413,8 @@
 }
 
 impl BodyForwarder {
-    /// Ends without [`BodyChunk::End`] when the source breaks off, the deadline
-    /// passes or the caller stalls; the caller's connection is then cut.
+    /// Returns without sending [`BodyChunk::End`] when the source ends early, the
+    /// deadline passes or the caller stalls; the caller's connection is then closed.
     async fn run<H>(
         self,
         mut upstream: pool::UpstreamResponse,
@@ -434,7 +441,7 @@
                 let _ = timeout(self.stall_timeout, tx.send(chunk)).await;
                 return;
             }
-            // A caller that takes nothing must not keep a runner's slot.
+            // A caller that stops reading must not occupy a runner's slot.
             match timeout(self.stall_timeout, tx.send(chunk)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return,
@@ -462,7 +469,7 @@
         self.shared.metrics.request(&service, outcome, started_at.elapsed());
         let mut response = result.unwrap_or_else(|problem| reply::problem(&problem));
         if self.shared.is_draining() {
-            // The caller's next request goes to another entry, over the balancer.
+            // The caller must reconnect: the load balancer then picks another entry.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -470,7 +477,8 @@
     }
 }
 
-/// Status and end-to-end headers of an answer, without its body.
+/// Copies the status and the end-to-end headers of an upstream response, without the
+/// body.
 fn response_head(upstream: &pool::UpstreamResponse) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::none());
     *response.status_mut() = upstream.head.status;
@@ -478,6 +486,8 @@
     response
 }
 
+/// Reads the body until it ends or exceeds `limit` bytes. The flag tells whether the
+/// body is complete.
 async fn read_prefix(
     upstream: &mut pool::UpstreamResponse,
     limit: usize,
@@ -499,7 +509,7 @@
                 }
             }
             Err(error) => {
-                let detail = format!("the runner broke off its answer: {error}");
+                let detail = format!("the runner's response ended early: {error}");
                 return Err(AttemptError::Unknown(detail.into()));
             }
         }
@@ -511,7 +521,7 @@
     Ok((bytes, complete))
 }
 
-/// Whether another entry says that the request did not run there.
+/// Whether another entry reports that the request was not executed.
 fn refused_before_start(upstream: &pool::UpstreamResponse) -> bool {
     let ran = upstream.head.headers.get(RAN);
     ran.is_some_and(|value| value.as_bytes() == ExecutionStatus::NotRun.token().as_bytes())
@@ -519,7 +529,7 @@
 }
 
 fn attempt_error(name: &impl std::fmt::Display, error: &UpstreamError) -> AttemptError {
-    let detail = format!("{name} did not answer: {error}").into();
+    let detail = format!("{name} did not respond: {error}").into();
     match error {
         UpstreamError::Timeout => AttemptError::DeadlinePassed,
         other if other.is_unsent() => AttemptError::NotRun(detail),
@@ -538,8 +548,8 @@
     Ok(Duration::from_millis(requested_ms.min(max_ms)))
 }
 
-/// The ledger's key of a request that must run at most once. Kinds that are
-/// idempotent need no ledger, whatever the caller sends.
+/// The ledger key of a request that must run at most once. Idempotent requests do not
+/// use the ledger, even if the caller sends a key.
 fn ledger_key(
     document: &Document,
     kind: &RequestKind,
@@ -567,6 +577,7 @@
     Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, detail)
 }
 
+/// Builds the response to a resent request from the stored one.
 fn replayed_response(stored: &StoredResponse) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::bytes(Bytes::copy_from_slice(&stored.body)));
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
--- a/crates/daemon/src/traffic/at_most_once.rs
+++ b/crates/daemon/src/traffic/at_most_once.rs
@@ -1,17 +1,17 @@
-//! Requests that must run at most once.
+//! Requests with an idempotency key, which must run at most once.
 
 use super::*;
 
 impl Traffic {
-    /// Lets a request with a key run if it is the first, and otherwise says what
-    /// became of the first.
+    /// Runs a request if it is the first with its key. Otherwise returns the outcome of
+    /// the first request.
     pub(super) async fn run_at_most_once(
         &self,
         inbound: &Arc<InboundRequest>,
         key: &RequestKey,
     ) -> Result<WebResponse, Problem> {
-        // An entry without runners of the service hands the request on before it
-        // is noted, so that the entry that sends it also notes it.
+        // An entry without runners of the service forwards the request without recording
+        // it, so that the entry that sends it to a runner also records it.
         if !inbound.is_forwarded && !self.owns_runners(&inbound.document) {
             return self.forward(inbound, Refusal::NoRunner, Duration::from_secs(1)).await;
         }
@@ -26,7 +26,7 @@
                     delay = (delay * 2).min(Duration::from_secs(1));
                 }
                 Verdict::Running => {
-                    let detail = "the same request is still under way; ask again with the same key";
+                    let detail = "the same request is still running; retry with the same key";
                     return Err(Problem::new(
                         ProblemKind::InProgress,
                         ExecutionStatus::Unknown,
@@ -35,7 +35,7 @@
                     .retry_after(1000));
                 }
                 Verdict::AnsweredTooLarge => {
-                    let detail = "it ran once and was answered; the answer was too large to keep";
+                    let detail = "the request ran once; its response was too large to store";
                     return Err(Problem::new(
                         ProblemKind::AnswerNotKept,
                         ExecutionStatus::Ran,
@@ -43,8 +43,8 @@
                     ));
                 }
                 Verdict::Unknown => {
-                    let detail = "it was sent once and its outcome was lost; ask the service whether \
-                                it took effect, and use a new key to send it again";
+                    let detail = "the request was sent once and its outcome is unknown; ask the service \
+                                whether it took effect, and use a new key to send it again";
                     return Err(Problem::new(
                         ProblemKind::OutcomeUnknown,
                         ExecutionStatus::Unknown,
@@ -60,7 +60,7 @@
                     ));
                 }
                 Verdict::Full => {
-                    let detail = "too many requests with keys are remembered; send it again later";
+                    let detail = "the ledger of requests with keys is full; retry later";
                     return Err(self.retry_later_problem(ProblemKind::Overloaded, detail, 5000));
                 }
             }
@@ -86,14 +86,15 @@
         match self.shared.ask(request).await {
             LeaderResponse::Request(verdict) => Ok(verdict),
             LeaderResponse::Problem(mut problem) => {
-                // Nothing has been sent to a runner, whatever the leader noted.
+                // Nothing has been sent to a runner, whether or not the leader recorded the
+                // request.
                 problem.ran = ExecutionStatus::NotRun;
                 self.record_end(key, attempt, RequestOutcome::NotRun).await;
                 Err(problem)
             }
             _ => Err(self.retry_later_problem(
                 ProblemKind::NotServing,
-                "the leader gave no verdict",
+                "the leader sent an unexpected response",
                 1000,
             )),
         }
@@ -115,8 +116,8 @@
         };
         let not_run = outcome == RequestOutcome::NotRun;
         self.record_end(&key, attempt, outcome).await;
-        // Its runners may have gone to another entry meanwhile: that one notes the
-        // request anew, now that the key is free again.
+        // The service's runners may have moved to another entry meanwhile. The key is free
+        // again, so that entry can record the request anew.
         let view = self.shared.view.load_full();
         if not_run
             && !inbound.is_forwarded
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -1,10 +1,10 @@
-//! Handing requests on to entries that own runners of the service.
+//! Forwards requests to other entries that own runners of the service.
 
 use super::*;
 
 impl Traffic {
-    /// Hands a request to another entry that owns runners of the service, and to
-    /// the next one when that could not let it run.
+    /// Forwards a request to another entry that owns runners of the service, and to
+    /// the next one if that entry did not execute it.
     pub(super) async fn forward(
         &self,
         inbound: &Arc<InboundRequest>,
@@ -54,7 +54,7 @@
         self.pool.send(owner.callers, req, inbound.deadline).await
     }
 
-    /// Gives another entry's answer to the caller as it comes.
+    /// Streams another entry's response to the caller.
     pub(super) fn relay_from_entry(
         &self,
         inbound: &InboundRequest,
@@ -71,7 +71,7 @@
         response
     }
 
-    /// One of the other owners, drawn by their slots.
+    /// Picks one of the other owners at random, weighted by their slots.
     pub(super) fn pick_other_owner(
         &self,
         view: &RoutingTable,
--- a/crates/daemon/src/traffic/runner_attempt.rs
+++ b/crates/daemon/src/traffic/runner_attempt.rs
@@ -1,4 +1,4 @@
-//! One try at one runner, and its answer on the way back.
+//! Sends a request to one runner and passes its response back.
 
 use super::*;
 
@@ -9,13 +9,15 @@
         mut slot: Slot,
         recorded: Option<&mut RecordedRequest>,
     ) -> Result<WebResponse, AttemptError> {
-        // The VM may have been frozen since the request came: by now another document
-        // may be in force, and the runner somebody else's.
+        // The VM may have been suspended since the request arrived. Meanwhile another
+        // document may be in force and another entry may own the runner.
         if !self.shared.has_lease() {
-            return Err(AttemptError::NotRun("this entry is out of touch with the others".into()));
+            return Err(AttemptError::NotRun(
+                "this entry holds no valid configuration lease".into(),
+            ));
         }
         let Some((destination, name)) = self.shared.runner_of(slot.grant) else {
-            return Err(AttemptError::NotRun("the runner has just left".into()));
+            return Err(AttemptError::NotRun("the runner is no longer available".into()));
         };
         self.log_decision(inbound, &format!("to runner {name} at {}", destination.address));
         let remaining = inbound.deadline.saturating_duration_since(Instant::now());
@@ -29,7 +31,7 @@
         };
         if upstream.head.headers.contains_key(NOT_RUN_HEADER) {
             return Err(AttemptError::NotRun(
-                format!("runner {name} refused it before starting").into(),
+                format!("runner {name} refused the request before starting it").into(),
             ));
         }
         let failed = upstream.head.status.is_server_error();
@@ -40,6 +42,8 @@
         Ok(response)
     }
 
+    /// Passes a runner's response on. Small responses and those that the ledger stores are
+    /// read completely first; larger ones are streamed.
     pub(super) async fn relay_response(
         &self,
         inbound: &Arc<InboundRequest>,
@@ -80,7 +84,7 @@
             .await)
     }
 
-    /// Passes a large answer on as it comes, within a bounded buffer.
+    /// Streams a large response to the caller through a bounded buffer.
     pub(super) async fn stream_response(
         &self,
         inbound: &Arc<InboundRequest>,
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -1,5 +1,5 @@
-//! Building the request that goes to a runner or to another entry, and the
-//! answer that goes back, without the headers of either connection.
+//! Builds the requests that are sent to runners and other entries, and converts
+//! response headers. Hop-by-hop headers are removed in both directions.
 
 use crate::clock::millis;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use yuccalink_state::ledger::{self, Header};
 use yuccalink_transport::http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri, header};
 
-/// A caller's request, read whole, so that it can be sent more than once.
+/// A caller's request with its complete body, so that it can be sent more than once.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) method: Method,
@@ -24,7 +24,7 @@
         self.uri.path()
     }
 
-    /// The request for `to`, with what is left of its deadline.
+    /// Builds the request to `to`, with the remaining time until its deadline.
     pub(crate) fn build_upstream_request(
         &self,
         to: SocketAddr,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Copies all headers but those of the connection, and those that the
+/// Copies all headers except the hop-by-hop headers and the headers that the
 /// `Connection` header names.
 pub(crate) fn copy_end_to_end(from: &HeaderMap, to: &mut HeaderMap) {
     let connection_options: Vec<&str> = from
@@ -67,7 +67,7 @@
     }
 }
 
-/// Headers as the ledger keeps them.
+/// Converts response headers to the form in which the ledger stores them.
 pub(crate) fn ledger_headers(headers: &HeaderMap) -> Box<[Header]> {
     let mut end_to_end = HeaderMap::new();
     copy_end_to_end(headers, &mut end_to_end);
@@ -79,7 +79,7 @@
     end_to_end.iter().map(header).collect()
 }
 
-/// Headers as the ledger kept them.
+/// Converts the headers of a stored response back.
 pub(crate) fn headers_from_ledger(answer: &ledger::StoredResponse) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for header in &answer.headers {
--- a/crates/daemon/src/views.rs
+++ b/crates/daemon/src/views.rs
@@ -1,4 +1,4 @@
-//! The leader's state as operators see it.
+//! Converts the leader's state to the API types that operators read.
 
 use yuccalink_protocol::api::{ServiceView, TaskView};
 use yuccalink_state::StateMachine;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons, runners and workers of one test, all in this process on loopback.
+//! Starts the daemons, runners and workers of one test in this process, on loopback.
 #![allow(dead_code, missing_docs)]
 
 use serde::de::DeserializeOwned;
@@ -26,7 +26,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Waits as [`yuccalink_fakes::wait::wait_until`] does.
+/// Calls [`yuccalink_fakes::wait::wait_until`] with a limit of 60 seconds.
 pub fn wait_until<T>(what: &str, condition: impl FnMut() -> Option<T>) -> T {
     yuccalink_fakes::wait::wait_until(Duration::from_secs(60), what, condition)
 }
@@ -53,14 +53,14 @@
 }
 
 impl System {
-    /// One daemon that keeps the state, and `followers` that do not.
+    /// Starts one daemon that stores the state and `followers` daemons that do not.
     pub fn start(followers: usize) -> Self {
         Self::start_with(followers, |config| config)
     }
 
     pub fn start_with(followers: usize, set: fn(ConfigBuilder) -> ConfigBuilder) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        // The first daemon runs alone as far as it knows: it keeps the state.
+        // The first daemon has no list of voters, so it stores the state alone.
         let config =
             set(daemon_config("e1").data(folder.path().join("e1"))).build().expect("settings");
         let first = Daemon::start(config).expect("a daemon");
@@ -99,7 +99,7 @@
     }
 
     pub fn apply(&self, at: usize, text: &str) -> CallerResponse {
-        self.control(at).put("/v1/services/q", text.as_bytes()).expect("an answer")
+        self.control(at).put("/v1/services/q", text.as_bytes()).expect("a response")
     }
 
     /// Applies [`DOCUMENT`] and waits until it is in force everywhere.
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Adds runners and waits until each is routed to.
+    /// Adds runners and waits until each has an owner and each entry routes requests.
     pub fn with_runners(mut self, count: usize, slots: u32) -> Self {
         for at in 0..count {
             let runner = FakeRunner::start(self.runner_settings(at, slots)).expect("a runner");
@@ -161,7 +161,7 @@
     where
         T: DeserializeOwned,
     {
-        let reply = self.control(at).get(path).expect("an answer");
+        let reply = self.control(at).get(path).expect("a response");
         serde_json::from_slice(&reply.body).unwrap_or_else(|e| panic!("{e}: {}", reply.text()))
     }
 
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -1,4 +1,4 @@
-//! Documents, tasks and state through several daemons, restarts and losses.
+//! Documents, tasks and state with several daemons, across restarts and partitions.
 
 mod common;
 
@@ -11,7 +11,7 @@
 
 fn submit(system: &System, at: usize, key: &str, body: &str) -> Submitted {
     let caller = system.control(at).header("idempotency-key", key);
-    let reply = caller.post("/v1/tasks", body.as_bytes()).expect("an answer");
+    let reply = caller.post("/v1/tasks", body.as_bytes()).expect("a response");
     serde_json::from_slice(&reply.body).unwrap_or_else(|_| panic!("{}", reply.text()))
 }
 
@@ -19,8 +19,8 @@
     system.get::<Vec<TaskView>>(0, &format!("/v1/tasks?limit=1000&phase={phase}")).len()
 }
 
-/// Operators race through different entries with one version number. Exactly one
-/// text wins everywhere, and every other operator is told so.
+/// Operators apply different texts with the same version number through different
+/// entries at once. Exactly one is accepted everywhere; the others get a conflict.
 #[test]
 fn concurrent_changes_of_one_version_have_one_winner() {
     let system = Arc::new(System::start(2).with_document());
@@ -47,8 +47,8 @@
     assert!(again.text().contains("\"resent\":true"), "{}", again.text());
 }
 
-/// The daemon that keeps the state dies after hundreds of changes. After a restart
-/// every acknowledged one is there, and the followers come back to it.
+/// The daemon that stores the state is killed after 120 document versions and a
+/// submission. After its restart all acknowledged changes are there.
 #[test]
 fn acknowledged_changes_survive_a_restart() {
     let mut system = System::start(1);
@@ -56,7 +56,7 @@
     for version in 1..=120u64 {
         let text = DOCUMENT.replace("version = 1", &format!("version = {version}"));
         let reply = system.control(1).put("/v1/services/q?wait=false", text.as_bytes());
-        let reply = reply.expect("an answer");
+        let reply = reply.expect("a response");
         let applied: Applied = serde_json::from_slice(&reply.body).expect("accepted");
         last = applied.revision;
     }
@@ -74,8 +74,8 @@
     assert_eq!(count(&system, "waiting"), 50);
 }
 
-/// Ten thousand tasks are submitted and placed. Group commit keeps the syncs to
-/// one a batch, whatever the disk's speed.
+/// Guards against a sync per task: with group commit, 10,000 tasks are submitted and
+/// placed with one sync per batch, however fast the disk is.
 #[test]
 fn ten_thousand_tasks_cost_a_sync_per_batch() {
     let mut system = System::start(0).with_document();
@@ -87,14 +87,14 @@
         let status = system.status(0);
         (status.waiting == 0 && status.on_workers == 10_000).then_some(status.log)
     });
-    // One for the submission, three plans of at most 4096, and reports of starts,
-    // which come in at most one message per 512 orders.
+    // One sync for the submission, three for plans of at most 4096 tasks each, and those
+    // for reports of starts, at most one message per 512 orders.
     let syncs = after.syncs - before.syncs;
     assert!(syncs <= 1 + 3 + 10_000 / 512 + 4, "{syncs} syncs");
     assert!(after.records - before.records <= 1 + 3 + 10_000 / 512 + 4);
 }
 
-/// Tasks of all sorts run on several workers: each runs to its end once.
+/// Tasks that succeed and tasks that fail run exactly once each on several workers.
 #[test]
 fn every_task_runs_to_its_end_once() {
     let mut system = System::start(1).with_document();
@@ -113,7 +113,8 @@
     assert_eq!(reason[0].reason.as_deref(), Some("the payload asked for it"));
 }
 
-/// A wave of cancellations meets waiting and running tasks.
+/// One request cancels waiting and running tasks. Waiting tasks never run, running tasks
+/// are stopped.
 #[test]
 fn waiting_and_running_tasks_are_cancelled_in_bulk() {
     let mut system = System::start(1).with_document();
@@ -124,7 +125,7 @@
     wait_until("four run", || (count(&system, "running") == 4).then_some(()));
     let ids: Vec<u64> = (0..40).map(|at| tasks.first.0 + at).collect();
     let body = serde_json::json!({ "tasks": ids }).to_string();
-    let reply = system.control(1).post("/v1/tasks/cancel", body.as_bytes()).expect("an answer");
+    let reply = system.control(1).post("/v1/tasks/cancel", body.as_bytes()).expect("a response");
     assert_eq!(reply.text().matches("\"not-run\"").count(), 36, "{}", reply.text());
     assert_eq!(reply.text().matches("\"stopping\"").count(), 4);
     wait_until("all cancelled", || (count(&system, "cancelled") == 40).then_some(()));
@@ -132,8 +133,8 @@
     system.assert_no_violations();
 }
 
-/// A worker is cut off while it runs tasks. They run elsewhere only after it has
-/// dropped them, and never in two places.
+/// A worker is partitioned while it runs tasks. The tasks start on another worker only
+/// after the first has dropped them, so that no task runs twice at the same time.
 #[test]
 fn tasks_of_a_partitioned_worker_never_run_twice_at_once() {
     let mut system = System::start(1).with_document();
@@ -151,8 +152,8 @@
     system.assert_no_violations();
 }
 
-/// Batch tasks use far more than they declared, on a worker where a latency-critical
-/// task runs. They are throttled, that one is not, and when it has gone they run on.
+/// Batch tasks use far more than they declared on a worker with a latency-critical task.
+/// Only the batch tasks are throttled, and only while the latency-critical task runs.
 #[test]
 fn batch_tasks_are_throttled_beside_a_latency_critical_task() {
     let mut system = System::start(1).with_document();
@@ -165,11 +166,11 @@
     submit(&system, 0, "b", batch);
     wait_until("both are throttled", || (system.workers[0].throttled() == 2).then_some(()));
     let cancel = format!("/v1/tasks/{}/cancel", critical.first);
-    assert_eq!(system.control(1).post(&cancel, b"").expect("an answer").status, 200);
+    assert_eq!(system.control(1).post(&cancel, b"").expect("a response").status, 200);
     wait_until("they run at full speed again", || {
         (system.workers[0].throttled() == 0).then_some(())
     });
-    let decisions = system.control(0).get("/v1/decisions").expect("an answer").text();
+    let decisions = system.control(0).get("/v1/decisions").expect("a response").text();
     assert!(decisions.contains("throttling 2 batch tasks"), "{decisions}");
 }
 
@@ -189,7 +190,7 @@
         (r#"{"service":"q","kind":"k","colour":1}"#, 400, "unknown field `colour`"),
         ("nonsense", 400, "see docs/PROTOCOLS.md"),
     ] {
-        let reply = system.control(0).post("/v1/tasks", body.as_bytes()).expect("an answer");
+        let reply = system.control(0).post("/v1/tasks", body.as_bytes()).expect("a response");
         assert_eq!(reply.status, status, "{body}: {}", reply.text());
         assert!(reply.text().contains(what), "{body}: {}", reply.text());
     }
--- a/crates/daemon/tests/policy.rs
+++ b/crates/daemon/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Policy files as operators write them.
+//! Reading of operators' policy files.
 
 use std::path::PathBuf;
 use tempfile::TempDir;
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests through several entries: whole answers, limits, at most once.
+//! Callers' requests through several entries: complete responses, limits, and execution
+//! at most once.
 
 mod common;
 
@@ -16,8 +17,8 @@
     reply.problem().unwrap_or_else(|| panic!("no problem: {}", reply.text())).ran
 }
 
-/// Many callers ask through every entry at once. Each gets the whole answer to its
-/// own request, and no runner ever holds more than its slots.
+/// Many callers send requests through all entries at once. Each gets the complete
+/// response to its own request, and no runner gets more requests than it has slots.
 #[test]
 fn concurrent_callers_get_their_own_responses_within_slot_limits() {
     let system = Arc::new(System::start(2).with_document().with_runners(3, 2));
@@ -32,7 +33,7 @@
                     let entry = system.caller((tag % 3) as usize);
                     let entry = entry.header("fake-tag", &tag.to_string());
                     let entry = entry.header("fake-name", &name).header("fake-delay-ms", "2");
-                    let reply = entry.post("/q/work", b"x").expect("an answer");
+                    let reply = entry.post("/q/work", b"x").expect("a response");
                     let outcome = match reply.status {
                         200 => CallerOutcome::Answer(reply.text().parse().expect("a tag")),
                         _ => match ran(&reply) {
@@ -51,8 +52,8 @@
     assert!(system.runners.iter().map(|runner| runner.served()).sum::<u64>() > 100);
 }
 
-/// A buyer's program sends one invoice again and again through all entries, at
-/// the same moment. It runs once, and every sending gets the same whole answer.
+/// A caller sends the same request with a key through all entries at once. It runs once,
+/// and every sender gets the same complete response.
 #[test]
 fn a_request_with_a_key_runs_once_through_any_entry() {
     let system = Arc::new(System::start(2).with_document().with_runners(3, 8));
@@ -63,7 +64,7 @@
             thread::spawn(move || {
                 let caller = system.caller(at % 3).header("idempotency-key", "invoice-7");
                 let caller = caller.header("fake-delay-ms", "30").header("fake-name", "invoice");
-                caller.post("/q/once", b"one net").expect("an answer")
+                caller.post("/q/once", b"one net").expect("a response")
             })
         })
         .collect();
@@ -74,42 +75,42 @@
     let after: u64 = system.runners.iter().map(|runner| runner.served()).sum();
     assert_eq!(after - before, 1, "it ran more than once");
     let other = system.caller(1).header("idempotency-key", "invoice-7");
-    let reply = other.post("/q/once", b"two nets").expect("an answer");
+    let reply = other.post("/q/once", b"two nets").expect("a response");
     assert_eq!((reply.status, ran(&reply)), (422, ExecutionStatus::NotRun));
 }
 
-/// The runner's answer to an invoice is cut. Nobody knows whether it took effect:
-/// the caller is told so, and the same key never runs it again.
+/// A runner's response to a request with a key is truncated, so it is unknown whether the
+/// request took effect. The caller is told so, and the key never runs again.
 #[test]
 fn a_truncated_response_to_a_keyed_request_stays_unknown() {
     let system = System::start(1).with_document().with_runners(1, 8);
     let cut = system.caller(0).header("idempotency-key", "k").header("fake-size", "1000");
-    let reply = cut.header("fake-cut", "1").post("/q/once", b"").expect("an answer");
+    let reply = cut.header("fake-cut", "1").post("/q/once", b"").expect("a response");
     assert_eq!((reply.status, ran(&reply)), (502, ExecutionStatus::Unknown));
     let served = system.runners[0].served();
     for entry in 0..2 {
         let again = system.caller(entry).header("idempotency-key", "k");
-        let reply = again.post("/q/once", b"").expect("an answer");
+        let reply = again.post("/q/once", b"").expect("a response");
         assert_eq!((reply.status, ran(&reply)), (504, ExecutionStatus::Unknown));
     }
     assert_eq!(system.runners[0].served(), served);
 }
 
-/// A runner refuses before it starts, or cannot be reached. The caller may be told
-/// "not run" or another runner takes it, but the key stays free.
+/// A runner refuses a request with a key before starting it. The caller is told that it
+/// did not run, and the key can be used again.
 #[test]
 fn a_refusal_before_the_start_leaves_the_key_free() {
     let system = System::start(0).with_document().with_runners(1, 8);
     let refused = system.caller(0).header("idempotency-key", "k").header("fake-refuse", "1");
-    let reply = refused.post("/q/once", b"").expect("an answer");
+    let reply = refused.post("/q/once", b"").expect("a response");
     assert_eq!((reply.status, ran(&reply)), (502, ExecutionStatus::NotRun));
     assert!(reply.headers.contains_key("retry-after"));
     let again = system.caller(0).header("idempotency-key", "k");
-    assert_eq!(again.post("/q/once", b"").expect("an answer").status, 200);
+    assert_eq!(again.post("/q/once", b"").expect("a response").status, 200);
 }
 
-/// A runner breaks off in the middle of an answer. The caller must see a broken
-/// answer, never a short one that looks whole; also when another entry is between.
+/// A runner closes its connection in the middle of a response. The caller must get an
+/// error, never a short response that looks complete, also through a second entry.
 #[test]
 fn a_truncated_response_is_never_passed_on_as_complete() {
     let system = System::start(1).with_document().with_runners(1, 8);
@@ -119,7 +120,7 @@
         {
             let caller = system.caller(entry).header("fake-size", &size.to_string());
             let caller = if chunked { caller.header("fake-chunked", "1") } else { caller };
-            let whole = caller.get("/q/large").expect("a whole answer");
+            let whole = caller.get("/q/large").expect("a complete response");
             assert_eq!((whole.status, whole.body.len() as u64), (200, size));
             match caller.header("fake-cut", "1").get("/q/large") {
                 Err(_) => {}
@@ -140,9 +141,9 @@
     let system = System::start(1).with_document().with_runners(1, 8);
     for entry in 0..2 {
         let caller = system.caller(entry).header("fake-tag", "12345");
-        let get = caller.get("/q/x").expect("an answer");
+        let get = caller.get("/q/x").expect("a response");
         assert_eq!((get.status, get.text().as_str()), (200, "12345"));
-        let head = caller.send("HEAD", "/q/x", b"").expect("an answer");
+        let head = caller.send("HEAD", "/q/x", b"").expect("a response");
         assert_eq!((head.status, head.body.len()), (200, 0), "entry {entry}");
     }
 }
@@ -161,7 +162,7 @@
         (caller().header("yuccalink-deadline-ms", "x").get("/q/x"), 400, "whole number"),
     ];
     for (reply, status, what) in cases {
-        let reply = reply.expect("an answer");
+        let reply = reply.expect("a response");
         let problem = reply.problem().unwrap_or_else(|| panic!("no problem: {}", reply.text()));
         assert_eq!((reply.status, problem.ran), (status, ExecutionStatus::NotRun), "{what}");
         assert!(problem.detail.contains(what), "{what}: {}", problem.detail);
@@ -169,7 +170,8 @@
     }
 }
 
-/// Callers send nonsense, too much, or nothing at all. Each harms only itself.
+/// Callers send malformed, oversized or incomplete requests. Other callers are still
+/// served.
 #[test]
 fn malformed_and_slow_callers_harm_only_themselves() {
     let system = System::start_with(0, |c| c.head_timeout(Duration::from_millis(100)))
@@ -191,12 +193,12 @@
         let _ = stream.read_to_end(&mut answer);
         let answer = String::from_utf8_lossy(&answer);
         assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
-        assert_eq!(system.caller(0).get("/q/fine").expect("an answer").status, 200);
+        assert_eq!(system.caller(0).get("/q/fine").expect("a response").status, 200);
     }
 }
 
-/// A caller takes its large answer too slowly. Its connection is cut, and the
-/// runner's only slot is free again for others.
+/// A caller does not read its large response. Its connection is closed, and the runner's
+/// only slot is free again for other callers.
 #[test]
 fn a_stalled_caller_releases_its_slot() {
     let system = System::start_with(0, |c| c.stall_timeout(Duration::from_millis(100)))
@@ -211,8 +213,8 @@
     });
 }
 
-/// The same caller also holds a connection. With all connections held so nobody
-/// else would be served: the connection itself is closed, not only the answer.
+/// A stalled caller occupies the only connection that the entry accepts. The connection
+/// itself must be closed, not only the response, or no other caller would be served.
 #[test]
 fn a_stalled_caller_is_disconnected() {
     let system =
@@ -228,8 +230,8 @@
     });
 }
 
-/// An entry stops while requests are in flight. They are finished, and the health
-/// check is red before anything is refused.
+/// An entry is stopped while a request is in flight. The request completes, and the
+/// readiness check fails before any request is refused.
 #[test]
 fn draining_finishes_requests_in_flight() {
     let mut system = System::start_with(0, |c| c.drain_delay(Duration::from_millis(300)))
@@ -241,14 +243,14 @@
     wait_until("the request at the runner", || (system.runners[0].served() > served).then_some(()));
     let daemon = system.daemons[0].take().expect("a daemon");
     let stopping = thread::spawn(move || daemon.drain());
-    wait_until("a red health check", || (!system.is_ready(0)).then_some(()));
-    assert_eq!(system.caller(0).get("/q/still").expect("an answer").status, 200);
-    let reply = in_flight.join().expect("a caller").expect("a whole answer");
+    wait_until("the readiness check to fail", || (!system.is_ready(0)).then_some(()));
+    assert_eq!(system.caller(0).get("/q/still").expect("a response").status, 200);
+    let reply = in_flight.join().expect("a caller").expect("a complete response");
     assert_eq!(reply.status, 200);
-    stopping.join().expect("a stop").expect("stopped well");
+    stopping.join().expect("a stop").expect("stopped cleanly");
 }
 
-/// A runner says that it leaves. No entry sends it anything new.
+/// A runner announces that it leaves. No entry sends it new requests.
 #[test]
 fn a_leaving_runner_gets_no_new_requests() {
     let system = System::start(2).with_document().with_runners(2, 4);
@@ -260,14 +262,14 @@
     wait_until("no entry sends to it", || {
         let before = system.runners[0].served();
         for entry in (0..3).cycle().take(12) {
-            assert_eq!(system.caller(entry).get("/q/x").expect("an answer").status, 200);
+            assert_eq!(system.caller(entry).get("/q/x").expect("a response").status, 200);
         }
         (system.runners[0].served() == before).then_some(())
     });
 }
 
-/// A runner's process is gone without a word. Idempotent requests go to another,
-/// within the budget of retries.
+/// A runner's process dies without leaving. Idempotent requests are retried on another
+/// runner, within the retry budget.
 #[test]
 fn idempotent_requests_survive_a_dead_runner() {
     let mut system = System::start(0).with_document().with_runners(2, 8);
@@ -275,7 +277,7 @@
     let mut dead = system.runners.remove(0);
     dead.stop();
     for _ in 0..30 {
-        let reply = system.caller(0).get("/q/x").expect("an answer");
+        let reply = system.caller(0).get("/q/x").expect("a response");
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
 }
@@ -283,9 +285,9 @@
 #[test]
 fn decisions_are_listed_for_operators() {
     let system = System::start(1).with_document().with_runners(1, 8);
-    system.caller(0).get("/q/seen").expect("an answer");
-    system.caller(1).get("/q/seen").expect("an answer");
-    let text = system.control(1).get("/v1/decisions").expect("an answer").text();
+    system.caller(0).get("/q/seen").expect("a response");
+    system.caller(1).get("/q/seen").expect("a response");
+    let text = system.control(1).get("/v1/decisions").expect("a response").text();
     assert!(text.contains("GET /q/seen (q/any) to runner r0 at"), "{text}");
     assert!(text.contains("handed on to entry"), "{text}");
 }
