--- a/crates/daemon/benches/entry_path.rs
+++ b/crates/daemon/benches/entry_path.rs
@@ -32,13 +32,13 @@
 /// Results of one run.
 struct Measured {
     per_second: f64,
-    times: Histogram<u64>,
+    latencies: Histogram<u64>,
     failed: u64,
 }
 
 impl Measured {
     fn micros(&self, quantile: f64) -> u64 {
-        self.times.value_at_quantile(quantile)
+        self.latencies.value_at_quantile(quantile)
     }
 }
 
@@ -50,18 +50,19 @@
     let threads = std::env::var("THREADS").map_or(Ok(2), |text| text.parse())?;
     println!("entry with {threads} traffic threads, runners with {RUNNERS}\n");
     let folder = tempfile::tempdir()?;
-    let any: SocketAddr = "127.0.0.1:0".parse()?;
-    let config = Config::builder().data(folder.path()).callers(any).control(any).peer(any);
+    let loopback: SocketAddr = "127.0.0.1:0".parse()?;
+    let config =
+        Config::builder().data(folder.path()).callers(loopback).control(loopback).peer(loopback);
     let daemon = Daemon::start(config.traffic_threads(threads).build()?)?;
     let mut runners = Vec::new();
-    for at in 0..RUNNERS {
+    for index in 0..RUNNERS {
         runners.push(FakeRunner::start(RunnerSettings {
-            name: Name::new(&format!("r{at}"))?,
+            name: Name::new(&format!("r{index}"))?,
             service: Name::new("q")?,
             zone: Name::new("zone")?,
             slots: SLOTS,
             connections: SLOTS * 4,
-            listen: any,
+            listen: loopback,
             entries: vec![daemon.control()],
             threads: 1,
         })?);
@@ -78,26 +79,30 @@
     println!("|---|---|---|---|---|---|");
     let mut peak_rate = 0.0;
     for connections in [1, 64, 512] {
-        let (a, b) = measure_alternately(&direct, &entry, connections, None);
+        let (direct_result, entry_result) = measure_alternately(&direct, &entry, connections, None);
         println!(
             "| {connections} | {:.0} | {:.0} | {:.2} | {} | {} |",
-            a.per_second,
-            b.per_second,
-            b.per_second / a.per_second,
-            quantiles(&a),
-            quantiles(&b)
+            direct_result.per_second,
+            entry_result.per_second,
+            entry_result.per_second / direct_result.per_second,
+            quantiles(&direct_result),
+            quantiles(&entry_result)
         );
-        if b.per_second > peak_rate {
-            peak_rate = b.per_second;
+        if entry_result.per_second > peak_rate {
+            peak_rate = entry_result.per_second;
         }
     }
     println!("\n| rate/s | direct p50/p99/p99.9 us | entry p50/p99/p99.9 us | added p99 us |");
     println!("|---|---|---|---|");
     let rate = peak_rate / 2.0;
-    let (a, b) = measure_alternately(&direct, &entry, 64, Some(rate));
-    let added = b.micros(0.99).saturating_sub(a.micros(0.99));
-    println!("| {rate:.0} | {} | {} | {added} |", quantiles(&a), quantiles(&b));
-    println!("\nfailed requests: direct {}, entry {}", a.failed, b.failed);
+    let (direct_result, entry_result) = measure_alternately(&direct, &entry, 64, Some(rate));
+    let added_p99 = entry_result.micros(0.99).saturating_sub(direct_result.micros(0.99));
+    println!(
+        "| {rate:.0} | {} | {} | {added_p99} |",
+        quantiles(&direct_result),
+        quantiles(&entry_result)
+    );
+    println!("\nfailed requests: direct {}, entry {}", direct_result.failed, entry_result.failed);
     for runner in &mut runners {
         runner.stop();
     }
@@ -117,21 +122,21 @@
     connections: usize,
     rate: Option<f64>,
 ) -> (Measured, Measured) {
-    let mut a = Vec::new();
-    let mut b = Vec::new();
+    let mut direct_runs = Vec::new();
+    let mut entry_runs = Vec::new();
     for _ in 0..ROUNDS {
-        a.push(generate_load(direct, connections, rate));
-        b.push(generate_load(entry, connections, rate));
+        direct_runs.push(generate_load(direct, connections, rate));
+        entry_runs.push(generate_load(entry, connections, rate));
     }
-    (median(a, rate.is_some()), median(b, rate.is_some()))
+    (median(direct_runs, rate.is_some()), median(entry_runs, rate.is_some()))
 }
 
-fn median(mut all: Vec<Measured>, by_p99: bool) -> Measured {
-    all.sort_by(|x, y| match by_p99 {
-        true => x.micros(0.99).cmp(&y.micros(0.99)),
-        false => x.per_second.total_cmp(&y.per_second),
+fn median(mut runs: Vec<Measured>, by_p99: bool) -> Measured {
+    runs.sort_by(|left, right| match by_p99 {
+        true => left.micros(0.99).cmp(&right.micros(0.99)),
+        false => left.per_second.total_cmp(&right.per_second),
     });
-    all.swap_remove(ROUNDS / 2)
+    runs.swap_remove(ROUNDS / 2)
 }
 
 /// Generates load in a closed loop on each connection, or in an open loop with a total of
@@ -141,22 +146,23 @@
     let failed = Arc::new(AtomicU64::new(0));
     let handles: Vec<_> = (0..threads)
         .map(|thread| {
-            let share = connections / threads;
-            let to: Vec<SocketAddr> =
-                (0..share).map(|at| to[(thread * share + at) % to.len()]).collect();
+            let connections_per_thread = connections / threads;
+            let to: Vec<SocketAddr> = (0..connections_per_thread)
+                .map(|index| to[(thread * connections_per_thread + index) % to.len()])
+                .collect();
             let interval = rate.map(|rate| Duration::from_secs_f64(connections as f64 / rate));
             let failed = failed.clone();
             thread::spawn(move || load_thread(&to, interval, &failed))
         })
         .collect();
-    let mut times = new_histogram();
+    let mut latencies = new_histogram();
     for handle in handles {
         if let Ok(part) = handle.join() {
-            let _ = times.add(part);
+            let _ = latencies.add(part);
         }
     }
-    let per_second = times.len() as f64 / RUN_DURATION.as_secs_f64();
-    Measured { per_second, times, failed: failed.load(Ordering::Relaxed) }
+    let per_second = latencies.len() as f64 / RUN_DURATION.as_secs_f64();
+    Measured { per_second, latencies, failed: failed.load(Ordering::Relaxed) }
 }
 
 fn new_histogram() -> Histogram<u64> {
@@ -171,26 +177,27 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let Ok(runtime) = runtime else { return new_histogram() };
     let local = LocalSet::new();
-    let count = to.len();
+    let connections = to.len();
     local.block_on(&runtime, async {
         let start = Instant::now();
         let tasks: Vec<_> = to
             .iter()
             .enumerate()
-            .map(|(at, to)| {
-                let offset = interval
-                    .map_or(Duration::ZERO, |interval| interval.mul_f64(at as f64 / count as f64));
+            .map(|(index, to)| {
+                let offset = interval.map_or(Duration::ZERO, |interval| {
+                    interval.mul_f64(index as f64 / connections as f64)
+                });
                 tokio::task::spawn_local(connection(*to, start + offset, interval))
             })
             .collect();
-        let mut all = new_histogram();
+        let mut latencies = new_histogram();
         for task in tasks {
-            if let Ok((times, bad)) = task.await {
-                let _ = all.add(times);
-                failed.fetch_add(bad, Ordering::Relaxed);
+            if let Ok((part, failures)) = task.await {
+                let _ = latencies.add(part);
+                failed.fetch_add(failures, Ordering::Relaxed);
             }
         }
-        all
+        latencies
     })
 }
 
@@ -203,7 +210,7 @@
 ) -> (Histogram<u64>, u64) {
     let pool = Pool::new(PoolSettings::default());
     let caller = Caller::new(to);
-    let mut times = new_histogram();
+    let mut latencies = new_histogram();
     let mut failed = 0;
     let mut due = start;
     while start.elapsed() < WARM_UP_DURATION + RUN_DURATION {
@@ -221,8 +228,8 @@
             failed += 1;
         } else if started_at.duration_since(start) >= WARM_UP_DURATION {
             let micros = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
-            let _ = times.record(micros.max(1));
+            let _ = latencies.record(micros.max(1));
         }
     }
-    (times, failed)
+    (latencies, failed)
 }
--- a/crates/daemon/benches/memory.rs
+++ b/crates/daemon/benches/memory.rs
@@ -24,8 +24,9 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let folder = tempfile::tempdir()?;
-    let any: SocketAddr = "127.0.0.1:0".parse()?;
-    let config = Config::builder().data(folder.path()).callers(any).control(any).peer(any);
+    let loopback: SocketAddr = "127.0.0.1:0".parse()?;
+    let config =
+        Config::builder().data(folder.path()).callers(loopback).control(loopback).peer(loopback);
     let daemon = Daemon::start(config.build()?)?;
     let caller = Caller::new(daemon.control());
     while caller.get("/readyz")?.status != 200 {
@@ -61,19 +62,19 @@
     println!("\n| records a sync | appends/s | bytes a record |");
     println!("|---|---|---|");
     let record: Box<[u8]> = store::encode(&Command::Cancel([].into()))?.into();
-    for group in [1u64, 16, 256] {
+    for group_size in [1u64, 16, 256] {
         let folder = tempfile::tempdir()?;
         let (mut store, _) = Store::open(folder.path(), 1)?;
-        let count = (RECORDS / 20).max(group) * group.min(20);
+        let count = (RECORDS / 20).max(group_size) * group_size.min(20);
         let started = Instant::now();
-        for _ in 0..count / group {
-            let records = (0..group).map(|_| (1, record.clone())).collect();
+        for _ in 0..count / group_size {
+            let records = (0..group_size).map(|_| (1, record.clone())).collect();
             let hard = TermAndVote { term: 1, vote: 1 };
             store.append(&LogFrame { hard, first: store.last() + 1, records })?;
         }
         let rate = count as f64 / started.elapsed().as_secs_f64();
         let bytes = store.counts().bytes as f64 / store.counts().records as f64;
-        println!("| {group} | {rate:.0} | {bytes:.1} |");
+        println!("| {group_size} | {rate:.0} | {bytes:.1} |");
     }
     let folder = tempfile::tempdir()?;
     let (mut store, _) = Store::open(folder.path(), 1)?;
@@ -87,7 +88,7 @@
     }
     drop(store);
     let started = Instant::now();
-    let (_, found) = Store::open(folder.path(), 1)?;
-    println!("\nrecovery of {} records: {:?}", found.records.len(), started.elapsed());
+    let (_, recovered) = Store::open(folder.path(), 1)?;
+    println!("\nrecovery of {} records: {:?}", recovered.records.len(), started.elapsed());
     Ok(())
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -209,15 +209,15 @@
 }
 
 fn parse_name(flag: &'static str, text: &str) -> Result<Name> {
-    Name::new(text).map_err(|bad| setting_error(flag, bad.to_string()))
+    Name::new(text).map_err(|error| setting_error(flag, error.to_string()))
 }
 
 fn check(config: Config) -> Result<Config> {
     let addresses = [config.callers, config.control, config.peer];
-    let is_same_port = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-    if is_same_port(addresses[0], addresses[1])
-        || is_same_port(addresses[1], addresses[2])
-        || is_same_port(addresses[0], addresses[2])
+    let is_same_address = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+    if is_same_address(addresses[0], addresses[1])
+        || is_same_address(addresses[1], addresses[2])
+        || is_same_address(addresses[0], addresses[2])
     {
         return Err(setting_error(
             "control",
@@ -228,8 +228,9 @@
         let what = format!("names {} daemons; name 1, 3 or 5", config.voters.len());
         return Err(setting_error("voters", what));
     }
-    for (at, voter) in config.voters.iter().enumerate() {
-        if config.voters[..at].iter().any(|v| v.name == voter.name || v.address == voter.address) {
+    for (index, voter) in config.voters.iter().enumerate() {
+        if config.voters[..index].iter().any(|v| v.name == voter.name || v.address == voter.address)
+        {
             return Err(setting_error(
                 "voters",
                 format!("names {} twice; name each once", voter.name),
@@ -250,7 +251,7 @@
     at_least_one("traffic-threads", config.traffic_threads)?;
     at_least_one("connections", config.connections)?;
     at_least_one("body-max", config.body_max)?;
-    let times = [
+    let timeouts = [
         ("head-timeout", config.head_timeout),
         ("body-timeout", config.body_timeout),
         ("idle-timeout", config.idle_timeout),
@@ -258,8 +259,8 @@
         ("connect-timeout", config.connect_timeout),
         ("drain-timeout", config.drain_timeout),
     ];
-    for (flag, time) in times {
-        if time.is_zero() {
+    for (flag, timeout) in timeouts {
+        if timeout.is_zero() {
             return Err(setting_error(flag, "must be longer than zero"));
         }
     }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -47,19 +47,19 @@
 /// # Errors
 /// Returns an error if the thread cannot be started.
 pub fn start() -> io::Result<Box<dyn Write + Send>> {
-    let lines = LOG_WRITER.get_or_init(LogWriter::default).clone();
-    let source = lines.clone();
-    thread::Builder::new().name("log".into()).spawn(move || write_lines(&source))?;
-    Ok(Box::new(lines))
+    let writer = LOG_WRITER.get_or_init(LogWriter::default).clone();
+    let thread_writer = writer.clone();
+    thread::Builder::new().name("log".into()).spawn(move || write_lines(&thread_writer))?;
+    Ok(Box::new(writer))
 }
 
 /// Waits until the buffered lines are written, for a short time at most. To be called
 /// before the program exits.
 pub fn finish() {
-    let Some(lines) = LOG_WRITER.get() else { return };
-    let until = Instant::now() + FINISH_TIMEOUT;
-    while Instant::now() < until {
-        let buffer = lines.lock();
+    let Some(writer) = LOG_WRITER.get() else { return };
+    let deadline = Instant::now() + FINISH_TIMEOUT;
+    while Instant::now() < deadline {
+        let buffer = writer.lock();
         if buffer.lines.is_empty() && !buffer.writing {
             return;
         }
@@ -95,9 +95,9 @@
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let mut buffer = self.lock();
         if buffer.accept(buf.len()) {
-            let first = buffer.lines.is_empty();
+            let was_empty = buffer.lines.is_empty();
             buffer.lines.extend_from_slice(buf);
-            if first {
+            if was_empty {
                 self.0.not_empty.notify_one();
             }
         } else {
@@ -111,14 +111,14 @@
     }
 }
 
-fn write_lines(source: &LogWriter) {
+fn write_lines(writer: &LogWriter) {
     let mut batch = Vec::new();
     loop {
-        wait_for_lines(source);
+        wait_for_lines(writer);
         thread::sleep(WRITE_INTERVAL);
         batch.clear();
         let dropped_lines = {
-            let mut buffer = source.lock();
+            let mut buffer = writer.lock();
             std::mem::swap(&mut batch, &mut buffer.lines);
             buffer.writing = true;
             std::mem::take(&mut buffer.dropped_lines)
@@ -130,16 +130,16 @@
         }
         // The daemon keeps serving when standard output is closed.
         let _ = write_whole_lines(&batch);
-        source.lock().writing = false;
+        writer.lock().writing = false;
     }
 }
 
 fn write_whole_lines(mut batch: &[u8]) -> io::Result<()> {
     let mut out = io::stdout().lock();
     while !batch.is_empty() {
-        let (now, rest) = batch.split_at(whole_lines(batch, WRITE_MAX_BYTES));
+        let (chunk, rest) = batch.split_at(whole_lines(batch, WRITE_MAX_BYTES));
         // Complete lines bypass the buffer of `Stdout` and are written with one call.
-        out.write_all(now)?;
+        out.write_all(chunk)?;
         batch = rest;
     }
     out.flush()
@@ -151,13 +151,13 @@
     let end_of = |part: &[u8]| part.iter().rposition(|byte| *byte == b'\n');
     let within = end_of(&batch[..batch.len().min(limit)]);
     let first = || batch.iter().position(|byte| *byte == b'\n');
-    within.or_else(first).map_or(batch.len(), |at| at + 1)
+    within.or_else(first).map_or(batch.len(), |index| index + 1)
 }
 
 /// Blocks until there is a line to write, so that an idle program is not woken up.
-fn wait_for_lines(source: &LogWriter) {
-    let mut buffer = source.lock();
+fn wait_for_lines(writer: &LogWriter) {
+    let mut buffer = writer.lock();
     while buffer.lines.is_empty() {
-        buffer = source.0.not_empty.wait(buffer).unwrap_or_else(PoisonError::into_inner);
+        buffer = writer.0.not_empty.wait(buffer).unwrap_or_else(PoisonError::into_inner);
     }
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -231,8 +231,8 @@
 
 /// The problem for a request to which no leader responded.
 pub(crate) fn no_leader() -> Problem {
-    let detail = "no leader responded in time; the request may or may not have been decided. Send it \
-                again with the same key or version";
+    let detail = "no leader responded in time; the request may or may not have been decided. \
+                  Send it again with the same key or version";
     Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, detail).retry_after(1000)
 }
 
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -24,11 +24,11 @@
         self.uri.path()
     }
 
-    /// Builds the request to `to`, with the remaining time until its deadline.
+    /// Builds the request to `destination`, with the `remaining` time until its deadline.
     pub(crate) fn build_upstream_request(
         &self,
-        to: SocketAddr,
-        left: Duration,
+        destination: SocketAddr,
+        remaining: Duration,
     ) -> Request<Full<Bytes>> {
         let mut req = Request::new(Full::new(self.body.clone()));
         *req.method_mut() = self.method.clone();
@@ -39,11 +39,11 @@
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         if !headers.contains_key(header::HOST)
-            && let Ok(host) = HeaderValue::from_str(&to.to_string())
+            && let Ok(host) = HeaderValue::from_str(&destination.to_string())
         {
             headers.insert(header::HOST, host);
         }
-        headers.insert(HeaderName::from_static(DEADLINE), HeaderValue::from(millis(left)));
+        headers.insert(HeaderName::from_static(DEADLINE), HeaderValue::from(millis(remaining)));
         req
     }
 }
@@ -60,7 +60,7 @@
         .collect();
     for (name, value) in from {
         let hop_by_hop = HOP_BY_HOP.contains(&name.as_str())
-            || connection_options.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
+            || connection_options.iter().any(|option| option.eq_ignore_ascii_case(name.as_str()));
         if !hop_by_hop {
             to.append(name, value.clone());
         }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -43,13 +43,13 @@
 }
 
 pub fn daemon_config(entry: &str) -> ConfigBuilder {
-    let quick = Duration::from_millis(50);
+    let delay = Duration::from_millis(50);
     Config::builder()
         .name(entry)
         .callers(loopback())
         .control(loopback())
         .peer(loopback())
-        .drain_delay(quick)
+        .drain_delay(delay)
 }
 
 impl System {
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control.rs
@@ -144,11 +144,14 @@
     wait_until("the workers", || (system.targets().len() == 2).then_some(()));
     submit(&system, 0, "a", r#"{"service":"q","kind":"k","count":8,"payload":"run=1h"}"#);
     wait_until("all run", || (count(&system, "running") == 8).then_some(()));
-    let lost = system.workers.iter().position(|worker| worker.running() > 0).expect("a holder");
-    let held = system.workers[lost].running() as u64;
-    system.workers[lost].set_partitioned(true);
-    wait_until("the other runs all", || (system.workers[1 - lost].running() == 8).then_some(()));
-    assert_eq!(system.workers[lost].dropped(), held);
+    let partitioned =
+        system.workers.iter().position(|worker| worker.running() > 0).expect("a holder");
+    let running_before = system.workers[partitioned].running() as u64;
+    system.workers[partitioned].set_partitioned(true);
+    wait_until("the other runs all", || {
+        (system.workers[1 - partitioned].running() == 8).then_some(())
+    });
+    assert_eq!(system.workers[partitioned].dropped(), running_before);
     system.assert_no_violations();
 }
 
@@ -182,7 +185,7 @@
     let large =
         DOCUMENT.replace("version = 1", "version = 2").replace("processors = 1", "processors = 9");
     assert_eq!(system.apply(0, &large).status, 200);
-    for (body, status, what) in [
+    for (body, status, expected) in [
         (r#"{"service":"q","kind":"k"}"#, 422, "can never run"),
         (r#"{"service":"q","kind":"none"}"#, 404, "add a [[task]]"),
         (r#"{"service":"none","kind":"k"}"#, 404, "apply its document first"),
@@ -192,7 +195,7 @@
     ] {
         let reply = system.control(0).post("/v1/tasks", body.as_bytes()).expect("a response");
         assert_eq!(reply.status, status, "{body}: {}", reply.text());
-        assert!(reply.text().contains(what), "{body}: {}", reply.text());
+        assert!(reply.text().contains(expected), "{body}: {}", reply.text());
     }
 }
 
--- a/crates/daemon/tests/requests.rs
+++ b/crates/daemon/tests/requests.rs
@@ -84,8 +84,8 @@
 #[test]
 fn a_truncated_response_to_a_keyed_request_stays_unknown() {
     let system = System::start(1).with_document().with_runners(1, 8);
-    let cut = system.caller(0).header("idempotency-key", "k").header("fake-size", "1000");
-    let reply = cut.header("fake-cut", "1").post("/q/once", b"").expect("a response");
+    let truncated = system.caller(0).header("idempotency-key", "k").header("fake-size", "1000");
+    let reply = truncated.header("fake-cut", "1").post("/q/once", b"").expect("a response");
     assert_eq!((reply.status, ran(&reply)), (502, ExecutionStatus::Unknown));
     let served = system.runners[0].served();
     for entry in 0..2 {
@@ -161,11 +161,11 @@
         (caller().header("idempotency-key", " ").post("/q/once", b""), 400, "Idempotency-Key"),
         (caller().header("yuccalink-deadline-ms", "x").get("/q/x"), 400, "whole number"),
     ];
-    for (reply, status, what) in cases {
+    for (reply, status, expected) in cases {
         let reply = reply.expect("a response");
         let problem = reply.problem().unwrap_or_else(|| panic!("no problem: {}", reply.text()));
-        assert_eq!((reply.status, problem.ran), (status, ExecutionStatus::NotRun), "{what}");
-        assert!(problem.detail.contains(what), "{what}: {}", problem.detail);
+        assert_eq!((reply.status, problem.ran), (status, ExecutionStatus::NotRun), "{expected}");
+        assert!(problem.detail.contains(expected), "{expected}: {}", problem.detail);
         assert_eq!(reply.headers["content-type"], "application/problem+json");
     }
 }
