--- a/crates/daemon/src/traffic/at_most_once.rs
+++ b/crates/daemon/src/traffic/at_most_once.rs
@@ -43,8 +43,9 @@
                     ));
                 }
                 Verdict::Unknown => {
-                    let detail = "the request was sent once and its outcome is unknown; ask the service \
-                                whether it took effect, and use a new key to send it again";
+                    let detail = "the request was sent once and its outcome is unknown; ask the \
+                                  service whether it took effect, and use a new key to send it \
+                                  again";
                     return Err(Problem::new(
                         ProblemKind::OutcomeUnknown,
                         ExecutionStatus::Unknown,
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -80,9 +80,9 @@
 }
 
 /// Converts the headers of a stored response back.
-pub(crate) fn headers_from_ledger(answer: &ledger::StoredResponse) -> HeaderMap {
+pub(crate) fn headers_from_ledger(stored: &ledger::StoredResponse) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for header in &answer.headers {
+    for header in &stored.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_bytes(&header.value);
         if let (Ok(name), Ok(value)) = (name, value) {
