--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon, checked as a whole before anything starts.
+//! Settings of one daemon. All settings are validated together before it starts.
 
 use crate::error::{Error, Result};
 use std::net::SocketAddr;
@@ -9,58 +9,58 @@
 /// Another daemon of the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the daemon.
     pub name: Name,
-    /// Where it listens for daemons.
+    /// Address on which it accepts connections of other daemons.
     pub address: SocketAddr,
 }
 
-/// Everything that a daemon needs to know. Made by [`Config::builder`].
+/// Validated settings of a daemon, created with [`Config::builder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// Name of this entry VM.
     pub name: Name,
-    /// Its availability zone.
+    /// Availability zone of this entry VM.
     pub zone: Name,
-    /// Where callers' requests come in.
+    /// Listen address for callers' requests.
     pub callers: SocketAddr,
-    /// The address that other entries hand callers' requests to; `callers` when unset.
+    /// Address to which other entries forward callers' requests; `callers` if unset.
     pub callers_advertised: Option<SocketAddr>,
-    /// Where targets and operators connect.
+    /// Listen address for targets and operators.
     pub control: SocketAddr,
-    /// Where other daemons connect.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
-    /// The folder for the state, on an entry VM with a disk.
+    /// Folder for the replicated state, on an entry VM with a disk.
     pub data: Option<PathBuf>,
-    /// The daemons that keep the state; empty when this one runs alone.
+    /// The daemons that store the replicated state; empty if this daemon runs alone.
     pub voters: Vec<Peer>,
-    /// The file of keys that daemons share; without one, any daemon is trusted.
+    /// File with the keys that all daemons share. Without it any daemon is trusted.
     pub peer_keys: Option<PathBuf>,
-    /// Threads for callers' traffic.
+    /// Number of threads for callers' requests.
     pub traffic_threads: usize,
-    /// Callers' connections at once.
+    /// Maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_max: usize,
-    /// Time in which the head of a request must come.
+    /// Maximum time for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time in which a request's body must come.
+    /// Maximum time for receiving the body of a request.
     pub body_timeout: Duration,
-    /// Time that a caller's connection may stay without a request.
+    /// Time without a request after which a caller's connection is closed.
     pub idle_timeout: Duration,
-    /// Time that a caller may leave an answer untaken.
+    /// Time after which a caller that does not read its response is disconnected.
     pub stall_timeout: Duration,
-    /// Time for a connection to a runner.
+    /// Maximum time for connecting to a runner.
     pub connect_timeout: Duration,
-    /// Time between turning red and refusing callers at a stop.
+    /// Time at shutdown between the readiness check failing and refusing new requests.
     pub drain_delay: Duration,
-    /// Longest wait for requests in flight at a stop.
+    /// Maximum wait at shutdown for requests in flight.
     pub drain_timeout: Duration,
-    /// Where metrics go, as StatsD over UDP.
+    /// Address of the StatsD server that receives metrics over UDP.
     pub statsd: Option<SocketAddr>,
 }
 
-/// Sets what differs from the defaults.
+/// Builder for [`Config`]; starts from the defaults.
 ///
 /// ```
 /// use yuccalink_daemon::Config;
@@ -92,17 +92,18 @@
 const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 
 impl Config {
-    /// The defaults: a daemon that runs alone on the loopback address.
+    /// Returns a builder with the defaults: a daemon that runs alone on the loopback
+    /// address.
     pub fn builder() -> ConfigBuilder {
         let name = Name::new("entry").unwrap_or_else(|_| unreachable!("a constant name"));
-        let at = |port: u16| SocketAddr::from((LOOPBACK, port));
+        let loopback = |port: u16| SocketAddr::from((LOOPBACK, port));
         let config = Self {
             name: name.clone(),
             zone: name,
-            callers: at(8080),
+            callers: loopback(8080),
             callers_advertised: None,
-            control: at(8081),
-            peer: at(8082),
+            control: loopback(8081),
+            peer: loopback(8082),
             data: None,
             voters: Vec::new(),
             peer_keys: None,
@@ -121,12 +122,12 @@
         ConfigBuilder { name: "entry".into(), zone: "zone".into(), config }
     }
 
-    /// The address that others hand callers' requests to.
+    /// The address to which other entries forward callers' requests.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers_advertised.unwrap_or(self.callers)
     }
 
-    /// Whether this daemon keeps the state.
+    /// Whether this daemon stores the replicated state.
     pub fn is_voter(&self) -> bool {
         self.voters.is_empty() || self.voters.iter().any(|voter| voter.name == self.name)
     }
@@ -191,59 +192,66 @@
         self
     }
 
-    /// Checks all settings together.
+    /// Validates all settings together.
     ///
     /// # Errors
-    /// [`Error::Setting`] with the flag and the remedy.
+    /// Returns [`Error::Setting`] with the flag and the remedy if a setting is invalid.
     pub fn build(self) -> Result<Config> {
         let mut config = self.config;
-        config.name = named("name", &self.name)?;
-        config.zone = named("zone", &self.zone)?;
+        config.name = parse_name("name", &self.name)?;
+        config.zone = parse_name("zone", &self.zone)?;
         check(config)
     }
 }
 
-fn wrong(flag: &'static str, what: impl Into<Box<str>>) -> Error {
+fn setting_error(flag: &'static str, what: impl Into<Box<str>>) -> Error {
     Error::Setting { flag, what: what.into() }
 }
 
-fn named(flag: &'static str, text: &str) -> Result<Name> {
-    Name::new(text).map_err(|bad| wrong(flag, bad.to_string()))
+fn parse_name(flag: &'static str, text: &str) -> Result<Name> {
+    Name::new(text).map_err(|error| setting_error(flag, error.to_string()))
 }
 
 fn check(config: Config) -> Result<Config> {
-    let listens = [config.callers, config.control, config.peer];
-    let clash = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
-    if clash(listens[0], listens[1])
-        || clash(listens[1], listens[2])
-        || clash(listens[0], listens[2])
+    let addresses = [config.callers, config.control, config.peer];
+    let is_same_address = |a: SocketAddr, b: SocketAddr| a == b && a.port() != 0;
+    if is_same_address(addresses[0], addresses[1])
+        || is_same_address(addresses[1], addresses[2])
+        || is_same_address(addresses[0], addresses[2])
     {
-        return Err(wrong("control", "callers, control and peer need three different ports"));
+        return Err(setting_error(
+            "control",
+            "callers, control and peer need three different ports",
+        ));
     }
     if config.voters.len().is_multiple_of(2) && !config.voters.is_empty() {
         let what = format!("names {} daemons; name 1, 3 or 5", config.voters.len());
-        return Err(wrong("voters", what));
+        return Err(setting_error("voters", what));
     }
-    for (at, voter) in config.voters.iter().enumerate() {
-        if config.voters[..at].iter().any(|v| v.name == voter.name || v.address == voter.address) {
-            return Err(wrong("voters", format!("names {} twice; name each once", voter.name)));
+    for (index, voter) in config.voters.iter().enumerate() {
+        if config.voters[..index].iter().any(|v| v.name == voter.name || v.address == voter.address)
+        {
+            return Err(setting_error(
+                "voters",
+                format!("names {} twice; name each once", voter.name),
+            ));
         }
     }
     match (config.is_voter(), config.data.is_some()) {
         (true, false) => {
-            let what = "is needed by a daemon that keeps the state; name a folder on a disk";
-            return Err(wrong("data", what));
+            let what = "is required for a daemon that stores the state; give a folder on a disk";
+            return Err(setting_error("data", what));
         }
         (false, true) => {
             let what = "is for voters, and this daemon is not among --voters; leave it out or add it there";
-            return Err(wrong("data", what));
+            return Err(setting_error("data", what));
         }
         _ => {}
     }
     at_least_one("traffic-threads", config.traffic_threads)?;
     at_least_one("connections", config.connections)?;
     at_least_one("body-max", config.body_max)?;
-    let times = [
+    let timeouts = [
         ("head-timeout", config.head_timeout),
         ("body-timeout", config.body_timeout),
         ("idle-timeout", config.idle_timeout),
@@ -251,9 +259,9 @@
         ("connect-timeout", config.connect_timeout),
         ("drain-timeout", config.drain_timeout),
     ];
-    for (flag, time) in times {
-        if time.is_zero() {
-            return Err(wrong(flag, "must be longer than nothing"));
+    for (flag, timeout) in timeouts {
+        if timeout.is_zero() {
+            return Err(setting_error(flag, "must be longer than zero"));
         }
     }
     Ok(config)
@@ -261,7 +269,7 @@
 
 fn at_least_one(flag: &'static str, value: usize) -> Result<()> {
     match value {
-        0 => Err(wrong(flag, "must be at least 1")),
+        0 => Err(setting_error(flag, "must be at least 1")),
         _ => Ok(()),
     }
 }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,100 +1,107 @@
-//! Log lines leave through a thread of their own, so that a slow reader of
-//! standard output never holds up traffic, and without a wake-up per line.
+//! Writes log lines to standard output from a separate thread, so that a slow reader
+//! never blocks traffic. Lines are written in batches, not with one wake-up per line.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Bytes waiting to be written; further lines are left out and counted.
-const WAITING_MAX: usize = 1024 * 1024;
-/// Bytes written in a second at most; a line is about 150. At the users' sites the
-/// leader writes 60 KiB.
-const BYTES_PER_SECOND: usize = 512 * 1024;
-/// How long lines gather before they are written with one call.
-const PERIOD: Duration = Duration::from_millis(100);
-/// Bytes written with one call at most: a pipe takes that many whole, so that a reader
-/// that is slow or shared finds no line cut in two.
-const WRITE_MAX: usize = 4096;
-/// Longest wait for the last lines at the end of a program.
-const FINISH: Duration = Duration::from_millis(400);
+/// Maximum size of the buffer of unwritten lines. Further lines are dropped and counted.
+const BUFFER_MAX_BYTES: usize = 1024 * 1024;
+/// Maximum bytes accepted per second; further lines are dropped and counted. A line has
+/// about 150 bytes. The leader at the users' sites writes 60 KiB per second.
+const MAX_BYTES_PER_SECOND: usize = 512 * 1024;
+/// Time for which lines are collected before they are written.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum bytes per write call. A pipe takes writes of up to this size atomically, so
+/// that no line is split, even if the reader is slow or the pipe has other writers.
+const WRITE_MAX_BYTES: usize = 4096;
+/// Maximum wait at exit until the remaining lines are written.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
-struct Waiting {
+struct LogBuffer {
     lines: Vec<u8>,
-    dropped: u64,
-    /// Bytes taken in since `since`.
-    taken: usize,
-    since: Option<Instant>,
+    dropped_lines: u64,
+    /// Bytes offered since `period_start`, including those of dropped lines.
+    offered_bytes: usize,
+    period_start: Option<Instant>,
+    /// Whether the log thread is writing a batch that is no longer in `lines`.
     writing: bool,
 }
 
 #[derive(Default)]
-struct Shared {
-    waiting: Mutex<Waiting>,
-    /// There are lines to write.
-    some: Condvar,
+struct SharedBuffer {
+    buffer: Mutex<LogBuffer>,
+    /// Signalled when the empty buffer gets its first line.
+    not_empty: Condvar,
 }
 
 #[derive(Clone, Default)]
-struct Lines(Arc<Shared>);
+struct LogWriter(Arc<SharedBuffer>);
 
-static LINES: std::sync::OnceLock<Lines> = std::sync::OnceLock::new();
+static LOG_WRITER: std::sync::OnceLock<LogWriter> = std::sync::OnceLock::new();
 
-/// A writer for a logger: collects lines for a thread that writes to standard output.
+/// Starts the log thread and returns the writer for the logger.
 ///
 /// # Errors
-/// When the thread cannot be started.
+/// Returns an error if the thread cannot be started.
 pub fn start() -> io::Result<Box<dyn Write + Send>> {
-    let lines = LINES.get_or_init(Lines::default).clone();
-    let source = lines.clone();
-    thread::Builder::new().name("log".into()).spawn(move || write_lines(&source))?;
-    Ok(Box::new(lines))
+    let writer = LOG_WRITER.get_or_init(LogWriter::default).clone();
+    let thread_writer = writer.clone();
+    thread::Builder::new().name("log".into()).spawn(move || write_lines(&thread_writer))?;
+    Ok(Box::new(writer))
 }
 
-/// Writes what is still waiting; for the end of a program.
+/// Waits until the buffered lines are written, for a short time at most. To be called
+/// before the program exits.
 pub fn finish() {
-    let Some(lines) = LINES.get() else { return };
-    let until = Instant::now() + FINISH;
-    while Instant::now() < until {
-        let waiting = lines.lock();
-        if waiting.lines.is_empty() && !waiting.writing {
+    let Some(writer) = LOG_WRITER.get() else { return };
+    let deadline = Instant::now() + FINISH_TIMEOUT;
+    while Instant::now() < deadline {
+        let buffer = writer.lock();
+        if buffer.lines.is_empty() && !buffer.writing {
             return;
         }
-        drop(waiting);
-        thread::sleep(PERIOD / 10);
+        drop(buffer);
+        thread::sleep(WRITE_INTERVAL / 10);
     }
 }
 
-impl Lines {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.0.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+impl LogWriter {
+    fn lock(&self) -> MutexGuard<'_, LogBuffer> {
+        self.0.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Waiting {
-    fn has_room(&mut self, size: usize) -> bool {
+impl LogBuffer {
+    /// Counts a line of `size` bytes. Returns whether it is within the rate limit and fits
+    /// into the buffer.
+    fn accept(&mut self, size: usize) -> bool {
         let now = Instant::now();
-        if self.since.is_none_or(|since| now.duration_since(since) >= Duration::from_secs(1)) {
-            self.since = Some(now);
-            self.taken = 0;
+        if self
+            .period_start
+            .is_none_or(|period_start| now.duration_since(period_start) >= Duration::from_secs(1))
+        {
+            self.period_start = Some(now);
+            self.offered_bytes = 0;
         }
-        self.taken += size;
-        self.taken <= BYTES_PER_SECOND && self.lines.len() + size <= WAITING_MAX
+        self.offered_bytes += size;
+        self.offered_bytes <= MAX_BYTES_PER_SECOND && self.lines.len() + size <= BUFFER_MAX_BYTES
     }
 }
 
-impl Write for Lines {
+impl Write for LogWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.lock();
-        if waiting.has_room(buf.len()) {
-            let first = waiting.lines.is_empty();
-            waiting.lines.extend_from_slice(buf);
-            if first {
-                self.0.some.notify_one();
+        let mut buffer = self.lock();
+        if buffer.accept(buf.len()) {
+            let was_empty = buffer.lines.is_empty();
+            buffer.lines.extend_from_slice(buf);
+            if was_empty {
+                self.0.not_empty.notify_one();
             }
         } else {
-            waiting.dropped += 1;
+            buffer.dropped_lines += 1;
         }
         Ok(buf.len())
     }
@@ -104,52 +111,53 @@
     }
 }
 
-fn write_lines(source: &Lines) {
+fn write_lines(writer: &LogWriter) {
     let mut batch = Vec::new();
     loop {
-        wait_for_some(source);
-        thread::sleep(PERIOD);
+        wait_for_lines(writer);
+        thread::sleep(WRITE_INTERVAL);
         batch.clear();
-        let dropped = {
-            let mut waiting = source.lock();
-            std::mem::swap(&mut batch, &mut waiting.lines);
-            waiting.writing = true;
-            std::mem::take(&mut waiting.dropped)
+        let dropped_lines = {
+            let mut buffer = writer.lock();
+            std::mem::swap(&mut batch, &mut buffer.lines);
+            buffer.writing = true;
+            std::mem::take(&mut buffer.dropped_lines)
         };
-        if dropped > 0 {
-            let note = format!("[{dropped} log lines left out: too many for standard output]\n");
+        if dropped_lines > 0 {
+            let note =
+                format!("[{dropped_lines} log lines left out: too many for standard output]\n");
             batch.extend_from_slice(note.as_bytes());
         }
-        // A closed standard output is no reason to stop serving.
+        // The daemon keeps serving when standard output is closed.
         let _ = write_whole_lines(&batch);
-        source.lock().writing = false;
+        writer.lock().writing = false;
     }
 }
 
 fn write_whole_lines(mut batch: &[u8]) -> io::Result<()> {
     let mut out = io::stdout().lock();
     while !batch.is_empty() {
-        let (now, later) = batch.split_at(whole_lines(batch, WRITE_MAX));
-        // Whole lines pass its buffer and leave with one call.
-        out.write_all(now)?;
-        batch = later;
+        let (chunk, rest) = batch.split_at(whole_lines(batch, WRITE_MAX_BYTES));
+        // Complete lines bypass the buffer of `Stdout` and are written with one call.
+        out.write_all(chunk)?;
+        batch = rest;
     }
     out.flush()
 }
 
-/// How many bytes of whole lines there are up to `most`, or of the one line that is
-/// longer than that.
-fn whole_lines(batch: &[u8], most: usize) -> usize {
+/// Length of the complete lines within the first `limit` bytes, or of the first line if
+/// it is longer than `limit`.
+fn whole_lines(batch: &[u8], limit: usize) -> usize {
     let end_of = |part: &[u8]| part.iter().rposition(|byte| *byte == b'\n');
-    let within = end_of(&batch[..batch.len().min(most)]);
+    let within = end_of(&batch[..batch.len().min(limit)]);
     let first = || batch.iter().position(|byte| *byte == b'\n');
-    within.or_else(first).map_or(batch.len(), |at| at + 1)
+    within.or_else(first).map_or(batch.len(), |index| index + 1)
 }
 
-/// An idle program is not woken up.
-fn wait_for_some(source: &Lines) {
-    let mut waiting = source.lock();
-    while waiting.lines.is_empty() {
-        waiting = source.0.some.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+/// Blocks until there is a line to write, so that an idle program is not woken up.
+fn wait_for_lines(writer: &LogWriter) {
+    let mut buffer = writer.lock();
+    while buffer.lines.is_empty() {
+        buffer = writer.0.not_empty.wait(buffer).unwrap_or_else(PoisonError::into_inner);
     }
 }
