--- a/crates/operator/src/cell.rs
+++ b/crates/operator/src/cell.rs
@@ -67,28 +67,30 @@
     match command {
         CellCommand::JobSubmit { queue, id, file } => {
             let body = read_text(&file)?.into_bytes();
-            job(client, Method::POST, &queue, &id, body, "accepted").await
+            send_job_request(client, Method::POST, &queue, &id, body, "accepted").await
         }
         CellCommand::JobGet { queue, id } => {
-            job(client, Method::GET, &queue, &id, Vec::new(), "").await
+            send_job_request(client, Method::GET, &queue, &id, Vec::new(), "").await
         }
         CellCommand::JobCancel { queue, id } => {
-            job(client, Method::DELETE, &queue, &id, Vec::new(), "cancelled").await
+            send_job_request(client, Method::DELETE, &queue, &id, Vec::new(), "cancelled").await
         }
         CellCommand::JobPending { queue } => {
-            job(client, Method::GET, &queue, "", Vec::new(), "").await
+            send_job_request(client, Method::GET, &queue, "", Vec::new(), "").await
         }
         CellCommand::ChangeApply { file } => {
             let body = read_text(&file)?.into_bytes();
-            plain(client, Method::PUT, "/v1/change", body, "in force").await
+            send_request(client, Method::PUT, "/v1/change", body, "in force").await
+        }
+        CellCommand::ChangeGet => {
+            send_request(client, Method::GET, "/v1/change", Vec::new(), "").await
         }
-        CellCommand::ChangeGet => plain(client, Method::GET, "/v1/change", Vec::new(), "").await,
         CellCommand::WaveStart { id, file } => {
             let body = read_text(&file)?.into_bytes();
-            plain(client, Method::PUT, &format!("/v1/waves/{id}"), body, "ordered").await
+            send_request(client, Method::PUT, &format!("/v1/waves/{id}"), body, "ordered").await
         }
         CellCommand::WaveGet { id } => {
-            plain(client, Method::GET, &format!("/v1/waves/{id}"), Vec::new(), "").await
+            send_request(client, Method::GET, &format!("/v1/waves/{id}"), Vec::new(), "").await
         }
     }
 }
@@ -99,20 +101,20 @@
 /// [`Error::Unreachable`].
 pub(crate) async fn status(client: &Client) -> Result<Option<Output>> {
     let (_, body) = client.cell(Method::GET, None, "/v1/status", Vec::new()).await?;
-    let told: Value =
-        serde_json::from_slice(&body).map_err(|e| Error::Answer(e.to_string().into()))?;
-    if told.get("cell").is_none() {
+    let status: Value =
+        serde_json::from_slice(&body).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
+    if status.get("cell").is_none() {
         return Ok(None);
     }
-    let text = shown_status(&told);
-    Ok(Some(Output { text, json: told }))
+    let text = render_status(&status);
+    Ok(Some(Output { text, json: status }))
 }
 
-fn shown_status(told: &Value) -> String {
-    let word = |name: &str| told.get(name).and_then(Value::as_str).unwrap_or("unknown");
-    let leads = told.get("leads").and_then(Value::as_bool).unwrap_or(false);
-    let leader = if leads { "leads" } else { word("leader") };
-    let changed: Vec<&str> = told
+fn render_status(status: &Value) -> String {
+    let field = |name: &str| status.get(name).and_then(Value::as_str).unwrap_or("unknown");
+    let is_leader = status.get("leads").and_then(Value::as_bool).unwrap_or(false);
+    let leader = if is_leader { "leads" } else { field("leader") };
+    let changed: Vec<&str> = status
         .get("changed")
         .and_then(Value::as_array)
         .into_iter()
@@ -121,22 +123,22 @@
         .collect();
     let policy = if changed.is_empty() { "as shipped".into() } else { changed.join(" ") };
     let row = vec![
-        word("cell").to_owned(),
-        word("zone").to_owned(),
+        field("cell").to_owned(),
+        field("zone").to_owned(),
         leader.to_owned(),
-        told.get("term").map_or_else(String::new, Value::to_string),
+        status.get("term").map_or_else(String::new, Value::to_string),
         policy,
     ];
     render::table(&["CELL", "ZONE", "LEADER", "TERM", "POLICY"], &[row])
 }
 
-async fn job(
+async fn send_job_request(
     client: &Client,
     method: Method,
     queue: &str,
     id: &str,
     body: Vec<u8>,
-    done: &str,
+    success_text: &str,
 ) -> Result<Output> {
     let Some((host, path)) = queue.split_once('/') else {
         let what = format!("`{queue}` is no queue: write HOST/PATH/");
@@ -144,33 +146,34 @@
     };
     let slash = if path.is_empty() || path.ends_with('/') { "" } else { "/" };
     let path = format!("/{path}{slash}{id}");
-    answer(client.cell(method, Some(host), &path, body).await?, done)
+    parse_response(client.cell(method, Some(host), &path, body).await?, success_text)
 }
 
-async fn plain(
+async fn send_request(
     client: &Client,
     method: Method,
     path: &str,
     body: Vec<u8>,
-    done: &str,
+    success_text: &str,
 ) -> Result<Output> {
-    answer(client.cell(method, None, path, body).await?, done)
+    parse_response(client.cell(method, None, path, body).await?, success_text)
 }
 
-fn answer((status, body): (u16, Vec<u8>), done: &str) -> Result<Output> {
+fn parse_response((status, body): (u16, Vec<u8>), success_text: &str) -> Result<Output> {
     let text = String::from_utf8_lossy(&body).into_owned();
     match status {
-        200 if body.is_empty() => {
-            Ok(Output { text: format!("{done}\n"), json: json!({ "result": done }) })
-        }
+        200 if body.is_empty() => Ok(Output {
+            text: format!("{success_text}\n"),
+            json: json!({ "result": success_text }),
+        }),
         200 => {
-            let json: Value =
-                serde_json::from_slice(&body).map_err(|e| Error::Answer(e.to_string().into()))?;
+            let json: Value = serde_json::from_slice(&body)
+                .map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
             Ok(Output { text: format!("{text}\n"), json })
         }
-        404 => Err(Error::Cell("there is no such queue; check host and path".into())),
-        410 => Err(Error::Cell("there is no such job; check its number".into())),
-        429 => Err(Error::Cell("too much to do: the job was not taken; try later".into())),
-        _ => Err(Error::Cell(format!("the cell answers {status}: {text}").into())),
+        404 => Err(Error::Failed("there is no such queue; check host and path".into())),
+        410 => Err(Error::Failed("there is no such job; check its number".into())),
+        429 => Err(Error::Failed("too much to do: the job was not taken; try later".into())),
+        _ => Err(Error::Failed(format!("the cell answers {status}: {text}").into())),
     }
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -17,9 +17,9 @@
 use yuccalink_transport::pool::{Pool, PoolSettings, UpstreamResponse};
 
 /// Largest answer, in bytes.
-const ANSWER_MAX: usize = 64 * 1024 * 1024;
+const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
 /// Pause between rounds over all servers.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Redirects followed for one request: the leader may change once meanwhile.
 const REDIRECTS_MAX: usize = 2;
 
@@ -78,16 +78,16 @@
 }
 
 /// What a process of a job cell answers.
-enum CellAnswer {
-    Here(u16, Vec<u8>),
+enum CellReply {
+    Response(u16, Vec<u8>),
     /// Ask the process that leads, at this address.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
 }
 
 struct Call<'a> {
     method: Method,
     path: &'a str,
-    kind: &'static str,
+    content_type: &'static str,
     body: Vec<u8>,
     key: Option<&'a str>,
 }
@@ -115,8 +115,13 @@
     pub async fn apply(&self, service: &str, text: &str, wait: bool) -> Result<Applied> {
         let path = format!("/v1/services/{service}?wait={wait}");
         let body = text.as_bytes().to_vec();
-        let call =
-            Call { method: Method::PUT, path: &path, kind: "application/toml", body, key: None };
+        let call = Call {
+            method: Method::PUT,
+            path: &path,
+            content_type: "application/toml",
+            body,
+            key: None,
+        };
         self.call(call).await
     }
 
@@ -198,7 +203,8 @@
     /// [`Error::Unreachable`].
     pub async fn snapshot(&self) -> Result<Vec<u8>> {
         let path = "/v1/snapshot";
-        let call = Call { method: Method::GET, path, kind: "", body: Vec::new(), key: None };
+        let call =
+            Call { method: Method::GET, path, content_type: "", body: Vec::new(), key: None };
         self.call_bytes(call).await
     }
 
@@ -213,65 +219,67 @@
     ) -> Result<(u16, Vec<u8>)> {
         let deadline = Instant::now() + self.timeout;
         let call = CellCall { method, host, path, body, deadline };
-        let mut last: Box<str> = "none is set".into();
+        let mut last_error: Box<str> = "none is set".into();
         loop {
             for server in &self.servers {
-                match self.follow_cell(*server, &call).await {
-                    Ok((503 | 504, _)) => last = "it cannot answer now".into(),
-                    Ok(answer) => return Ok(answer),
-                    Err(why) => last = why.into(),
+                match self.send_following_redirects(*server, &call).await {
+                    Ok((503 | 504, _)) => last_error = "it cannot answer now".into(),
+                    Ok(response) => return Ok(response),
+                    Err(why) => last_error = why.into(),
                 }
             }
-            if Instant::now() + PAUSE >= deadline {
+            if Instant::now() + RETRY_INTERVAL >= deadline {
                 let all: Vec<String> = self.servers.iter().map(ToString::to_string).collect();
-                return Err(Error::Unreachable { server: all.join(", ").into(), why: last });
+                return Err(Error::Unreachable { server: all.join(", ").into(), why: last_error });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    async fn follow_cell(
+    async fn send_following_redirects(
         &self,
         server: SocketAddr,
         call: &CellCall<'_>,
     ) -> std::result::Result<(u16, Vec<u8>), String> {
         let mut to = server;
         for _ in 0..=REDIRECTS_MAX {
-            match self.try_cell(to, call).await? {
-                CellAnswer::Here(status, body) => return Ok((status, body)),
-                CellAnswer::Elsewhere(leader) => to = leader,
+            match self.send_to_process(to, call).await? {
+                CellReply::Response(status, body) => return Ok((status, body)),
+                CellReply::Redirect(leader) => to = leader,
             }
         }
         Err("it redirects too often".into())
     }
 
-    async fn try_cell(
+    async fn send_to_process(
         &self,
         server: SocketAddr,
         call: &CellCall<'_>,
-    ) -> std::result::Result<CellAnswer, String> {
-        let own = server.to_string();
+    ) -> std::result::Result<CellReply, String> {
+        let server_host = server.to_string();
         let req = Request::builder()
             .method(call.method.clone())
             .uri(call.path)
-            .header(header::HOST, call.host.unwrap_or(&own))
+            .header(header::HOST, call.host.unwrap_or(&server_host))
             .header(header::CONTENT_TYPE, yuccalink_transport::reply::JSON)
             .body(call.body.clone().into())
             .map_err(|e| e.to_string())?;
-        let answer = self.pool.send(server, req, call.deadline).await.map_err(|e| e.to_string())?;
-        let status = answer.head.status;
+        let response =
+            self.pool.send(server, req, call.deadline).await.map_err(|e| e.to_string())?;
+        let status = response.head.status;
         if status.is_redirection() {
-            let leader = redirected(&answer).ok_or("it redirects to no address")?;
-            return Ok(CellAnswer::Elsewhere(leader));
+            let leader = redirect_address(&response).ok_or("it redirects to no address")?;
+            return Ok(CellReply::Redirect(leader));
         }
-        Ok(CellAnswer::Here(status.as_u16(), read_whole(answer, call.deadline).await?))
+        Ok(CellReply::Response(status.as_u16(), read_body(response, call.deadline).await?))
     }
 
     async fn get<T>(&self, path: &str) -> Result<T>
     where
         T: DeserializeOwned,
     {
-        let call = Call { method: Method::GET, path, kind: "", body: Vec::new(), key: None };
+        let call =
+            Call { method: Method::GET, path, content_type: "", body: Vec::new(), key: None };
         self.call(call).await
     }
 
@@ -280,9 +288,10 @@
         B: Serialize,
         T: DeserializeOwned,
     {
-        let body = serde_json::to_vec(body).map_err(|e| Error::Answer(e.to_string().into()))?;
-        let kind = yuccalink_transport::reply::JSON;
-        self.call(Call { method: Method::POST, path, kind, body, key }).await
+        let body =
+            serde_json::to_vec(body).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
+        let content_type = yuccalink_transport::reply::JSON;
+        self.call(Call { method: Method::POST, path, content_type, body, key }).await
     }
 
     async fn call<T>(&self, call: Call<'_>) -> Result<T>
@@ -290,39 +299,39 @@
         T: DeserializeOwned,
     {
         let body = self.call_bytes(call).await?;
-        serde_json::from_slice(&body).map_err(|e| Error::Answer(e.to_string().into()))
+        serde_json::from_slice(&body).map_err(|e| Error::InvalidResponse(e.to_string().into()))
     }
 
     /// Tries each server in turn until one answers or the time is up. Every call
     /// is safe to send again: by its key, its version, or because it only reads.
     async fn call_bytes(&self, call: Call<'_>) -> Result<Vec<u8>> {
         let deadline = Instant::now() + self.timeout;
-        let mut last: Box<str> = "none is set".into();
+        let mut last_error: Box<str> = "none is set".into();
         loop {
             for server in &self.servers {
-                match self.try_server(*server, &call, deadline).await {
+                match self.send_to_server(*server, &call, deadline).await {
                     Ok((true, body)) => return Ok(body),
                     Ok((false, body)) => {
                         let problem: Problem = serde_json::from_slice(&body)
-                            .map_err(|e| Error::Answer(e.to_string().into()))?;
+                            .map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
                         if problem.kind.ends_with("not-serving") && Instant::now() < deadline {
-                            last = problem.detail;
+                            last_error = problem.detail;
                             continue;
                         }
                         return Err(Error::Refused(Refused(problem)));
                     }
-                    Err(why) => last = why.into(),
+                    Err(why) => last_error = why.into(),
                 }
             }
-            if Instant::now() + PAUSE >= deadline {
+            if Instant::now() + RETRY_INTERVAL >= deadline {
                 let all: Vec<String> = self.servers.iter().map(ToString::to_string).collect();
-                return Err(Error::Unreachable { server: all.join(", ").into(), why: last });
+                return Err(Error::Unreachable { server: all.join(", ").into(), why: last_error });
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    async fn try_server(
+    async fn send_to_server(
         &self,
         server: SocketAddr,
         call: &Call<'_>,
@@ -333,31 +342,31 @@
             .uri(call.path)
             .header(header::HOST, server.to_string())
             .header("yuccalink-author", &*self.author);
-        if !call.kind.is_empty() {
-            req = req.header(header::CONTENT_TYPE, call.kind);
+        if !call.content_type.is_empty() {
+            req = req.header(header::CONTENT_TYPE, call.content_type);
         }
         if let Some(key) = call.key {
             req = req.header(IDEMPOTENCY_KEY, key);
         }
         let req = req.body(call.body.clone().into()).map_err(|e| e.to_string())?;
-        let answer = self.pool.send(server, req, deadline).await.map_err(|e| e.to_string())?;
-        let ok = answer.head.status.is_success();
-        Ok((ok, read_whole(answer, deadline).await?))
+        let response = self.pool.send(server, req, deadline).await.map_err(|e| e.to_string())?;
+        let ok = response.head.status.is_success();
+        Ok((ok, read_body(response, deadline).await?))
     }
 }
 
 /// The address that a redirect names.
-fn redirected(answer: &UpstreamResponse) -> Option<SocketAddr> {
-    let location = answer.head.headers.get(header::LOCATION)?.to_str().ok()?;
+fn redirect_address(response: &UpstreamResponse) -> Option<SocketAddr> {
+    let location = response.head.headers.get(header::LOCATION)?.to_str().ok()?;
     location.parse::<Uri>().ok()?.authority()?.as_str().parse().ok()
 }
 
-async fn read_whole(
-    mut answer: UpstreamResponse,
+async fn read_body(
+    mut response: UpstreamResponse,
     deadline: Instant,
 ) -> std::result::Result<Vec<u8>, String> {
-    let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
-    let body = whole
+    let body = tokio::time::timeout_at(deadline, response.collect_body(RESPONSE_BYTES_MAX)).await;
+    let body = body
         .map_err(|_| "the answer came too slowly".to_string())?
         .map_err(|e| e.to_string())?
         .ok_or("the answer is too large")?;
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -6,7 +6,7 @@
 use crate::error::{Error, Result};
 use crate::losses;
 use crate::render;
-use crate::saved;
+use crate::snapshot_file;
 use crate::why;
 use serde_json::{Value, json};
 use similar::TextDiff;
@@ -21,7 +21,7 @@
 use yuccalink_state::id::{Name, TaskId};
 
 /// How often a waiting command looks again.
-const POLL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -134,7 +134,8 @@
 where
     T: serde::Serialize,
 {
-    let json = serde_json::to_value(value).map_err(|e| Error::Answer(e.to_string().into()))?;
+    let json =
+        serde_json::to_value(value).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
     Ok(Output { text, json })
 }
 
@@ -166,7 +167,11 @@
             output(&all, render::tasks(&all))
         }
         Command::Task { task, wait } => {
-            let view = if wait { ended(client, task).await? } else { client.task(task).await? };
+            let view = if wait {
+                wait_until_ended(client, task).await?
+            } else {
+                client.task(task).await?
+            };
             output(&view, render::tasks(std::slice::from_ref(&view)))
         }
         Command::Status => match cell::status(client).await? {
@@ -180,10 +185,10 @@
             let all = client.targets().await?;
             output(&all, render::targets(&all))
         }
-        Command::SnapshotSave { file } => saved::save(client, &file).await,
-        Command::SnapshotVerify { file } => saved::verify(&file),
+        Command::SnapshotSave { file } => snapshot_file::save(client, &file).await,
+        Command::SnapshotVerify { file } => snapshot_file::verify(&file),
         Command::SnapshotRestore { file, data, name, address } => {
-            saved::restore(&file, &data, &name, address)
+            snapshot_file::restore(&file, &data, &name, address)
         }
         Command::Why { id, files } => why::explain(&id, &files),
         Command::Losses { files, plot } => losses::run(&files, plot.as_deref()),
@@ -197,24 +202,24 @@
 
 fn check(files: &[Box<str>]) -> Result<Output> {
     let mut text = String::new();
-    let mut good = Vec::new();
+    let mut valid = Vec::new();
     for file in files {
-        let (_, document) = read(file)?;
+        let (_, document) = read_document(file)?;
         text.push_str(&format!(
             "{file}: {} version {} is good\n",
             document.service, document.version
         ));
-        good.push(
+        valid.push(
             json!({ "file": file, "service": document.service, "version": document.version }),
         );
     }
-    Ok(Output { text, json: good.into() })
+    Ok(Output { text, json: valid.into() })
 }
 
 async fn apply(client: &Client, file: &str, no_wait: bool) -> Result<Output> {
-    let (text, document) = read(file)?;
+    let (text, document) = read_document(file)?;
     if !no_wait {
-        progress(&format!("applying {} version {} ...", document.service, document.version));
+        print_progress(&format!("applying {} version {} ...", document.service, document.version));
     }
     let applied = client.apply(document.service.as_str(), &text, !no_wait).await?;
     if !no_wait && !applied.in_force_everywhere {
@@ -230,16 +235,16 @@
 }
 
 async fn diff(client: &Client, file: &str) -> Result<Output> {
-    let (text, document) = read(file)?;
+    let (text, document) = read_document(file)?;
     let found = client.service(document.service.as_str()).await?;
-    let force = found.text.unwrap_or_default();
-    if *force == *text {
+    let current = found.text.unwrap_or_default();
+    if *current == *text {
         return Ok(Output { text: String::new(), json: json!({ "different": false }) });
     }
-    let diff = TextDiff::from_lines(&*force, &*text);
+    let diff = TextDiff::from_lines(&*current, &*text);
     let shown = diff.unified_diff().header("in force", file).to_string();
     print(&shown)?;
-    Err(Error::Different)
+    Err(Error::DocumentsDiffer)
 }
 
 async fn submit(
@@ -248,37 +253,37 @@
     key: Option<Box<str>>,
     wait: bool,
 ) -> Result<Output> {
-    let key = key.unwrap_or_else(drawn_key);
+    let key = key.unwrap_or_else(unique_key);
     let done = client.submit(tasks, &key).await?;
     if !wait {
         return output(&done, render::submitted(&done));
     }
     let mut views = Vec::new();
     for at in 0..u64::from(done.count) {
-        progress(&format!("waiting for task {} of {} ...", at + 1, done.count));
-        views.push(ended(client, TaskId(done.first.0 + at)).await?);
+        print_progress(&format!("waiting for task {} of {} ...", at + 1, done.count));
+        views.push(wait_until_ended(client, TaskId(done.first.0 + at)).await?);
     }
     output(&views, render::tasks(&views))
 }
 
-async fn ended(client: &Client, task: TaskId) -> Result<TaskView> {
+async fn wait_until_ended(client: &Client, task: TaskId) -> Result<TaskView> {
     loop {
         let view = client.task(task).await?;
         if matches!(&*view.phase, "finished" | "failed" | "cancelled") {
             return Ok(view);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// A key that no other submission has: a resend within this command is safe.
-fn drawn_key() -> Box<str> {
+fn unique_key() -> Box<str> {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let nanos = since.map_or(0, |since| since.as_nanos());
     format!("command-{nanos:x}-{:x}", std::process::id()).into()
 }
 
-fn read(file: &str) -> Result<(String, Document)> {
+fn read_document(file: &str) -> Result<(String, Document)> {
     let text = read_text(file)?;
     let document =
         document::read(&text).map_err(|faults| Error::Document { path: file.into(), faults })?;
@@ -299,7 +304,7 @@
 }
 
 /// Says on standard error what a command waits for.
-fn progress(what: &str) {
+fn print_progress(what: &str) {
     let _ = writeln!(io::stderr(), "{what}");
 }
 
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -31,11 +31,11 @@
         why: Box<str>,
     },
     /// {0}
-    Cell(Box<str>),
+    Failed(Box<str>),
     /// {0}
     Refused(Refused),
     /// the answer cannot be read: {0}; use the command of the daemon's release
-    Answer(Box<str>),
+    InvalidResponse(Box<str>),
     /// {service} version {version} is accepted and lasts, but not yet in force on: {waiting}; `yuccalink status` shows when it is
     NotInForce {
         /// The service.
@@ -46,7 +46,7 @@
         waiting: Box<str>,
     },
     /// the file and what is in force differ
-    Different,
+    DocumentsDiffer,
     /// {0}; see `yuccalink --help`
     Usage(Box<str>),
     /// {0}
@@ -92,13 +92,13 @@
             Self::Refused(Refused(problem)) if !problem.faults.is_empty() => 3,
             Self::Unreachable { .. } => 5,
             Self::NotInForce { .. } => 6,
-            Self::Different => 7,
+            Self::DocumentsDiffer => 7,
             Self::State(_) => 8,
             Self::Read { .. }
             | Self::Write { .. }
             | Self::Refused(_)
-            | Self::Answer(_)
-            | Self::Cell(_)
+            | Self::InvalidResponse(_)
+            | Self::Failed(_)
             | Self::Output(_) => 1,
         }
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod losses;
 mod plot;
 pub mod render;
-mod saved;
+mod snapshot_file;
 mod why;
 
 pub use client::{Client, ClientBuilder};
--- a/crates/operator/src/losses.rs
+++ b/crates/operator/src/losses.rs
@@ -26,24 +26,24 @@
 const OWN_LENGTH: &str = "own-length";
 const FAILED: &str = "failed";
 const CRASHES: &str = "crashes";
-const UNTOLD: &str = "untold";
+const UNEXPLAINED: &str = "untold";
 
 /// What is known of one job.
 #[derive(Clone, Debug, Default)]
 struct Job {
     queue: Box<str>,
     /// When it came in, in seconds of the first day of the logs.
-    came_s: f64,
+    accepted_s: f64,
     work: f64,
-    lasts: bool,
-    end: End,
+    long_running: bool,
+    end: JobEnd,
 }
 
 #[derive(Clone, Debug, Default)]
-enum End {
+enum JobEnd {
     /// No line tells of its end.
     #[default]
-    Open,
+    Unknown,
     /// It is not wanted any more.
     Cancelled,
     /// A task failed too often.
@@ -51,44 +51,46 @@
     /// A task was given up, since too many runners were lost under it.
     GivenUp,
     /// It took so long against that objective, held up so long by each cause.
-    Took { took: Duration, objective: Duration, held_up: Vec<(Box<str>, Duration)> },
+    EndedOrOverdue { took: Duration, objective: Duration, delays: Vec<(Box<str>, Duration)> },
 }
 
 /// Worth that was to be had and worth that is missing, by cause.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Sum {
+pub struct LossTotals {
     /// Jobs counted.
     pub jobs: u32,
     /// What they were worth.
     pub worth: f64,
     /// What is missing of it, by cause.
-    pub missing: BTreeMap<Box<str>, f64>,
+    #[serde(rename = "missing")]
+    pub lost_by_cause: BTreeMap<Box<str>, f64>,
 }
 
 /// All sums.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossReport {
     /// Of all jobs.
-    pub all: Sum,
+    pub all: LossTotals,
     /// By queue.
-    pub queues: BTreeMap<Box<str>, Sum>,
+    pub queues: BTreeMap<Box<str>, LossTotals>,
     /// By the second of the first job in the logs, for windows of some seconds.
-    pub windows: BTreeMap<u64, Sum>,
+    pub windows: BTreeMap<u64, LossTotals>,
     /// Jobs that the logs do not tell enough of, as young ones at their end.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub unfinished: u32,
 }
 
-impl Sum {
+impl LossTotals {
     /// What is missing of all causes.
     pub fn lost(&self) -> f64 {
-        self.missing.values().sum()
+        self.lost_by_cause.values().sum()
     }
 
-    fn add(&mut self, worth: f64, missing: &[(Box<str>, f64)]) {
+    fn add(&mut self, worth: f64, lost: &[(Box<str>, f64)]) {
         self.jobs += 1;
         self.worth += worth;
-        for (cause, part) in missing {
-            *self.missing.entry(cause.clone()).or_default() += part;
+        for (cause, part) in lost {
+            *self.lost_by_cause.entry(cause.clone()).or_default() += part;
         }
     }
 }
@@ -98,21 +100,22 @@
 /// # Errors
 /// [`Error::Read`] for a file that cannot be read or written, [`Error::Cell`] where no
 /// line tells of a job.
-pub(crate) fn run(files: &[Box<str>], picture: Option<&str>) -> Result<Output> {
+pub(crate) fn run(files: &[Box<str>], plot_path: Option<&str>) -> Result<Output> {
     let mut text = String::new();
     for file in files {
         text.push_str(&read_text(file)?);
     }
-    let losses = add_up(&text);
+    let losses = compute_losses(&text);
     if losses.all.jobs == 0 {
         let what = "no line tells of a job that ended; give the logs of all VMs of that time";
-        return Err(Error::Cell(what.into()));
+        return Err(Error::Failed(what.into()));
     }
-    if let Some(path) = picture {
+    if let Some(path) = plot_path {
         plot::losses(&losses, path)?;
     }
-    let json = serde_json::to_value(&losses).map_err(|e| Error::Answer(e.to_string().into()))?;
-    Ok(Output { text: shown(&losses), json })
+    let json =
+        serde_json::to_value(&losses).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
+    Ok(Output { text: render_report(&losses), json })
 }
 
 /// Adds up the jobs that log lines tell of.
@@ -121,51 +124,51 @@
 /// let lines = "[2030-01-01T00:00:01.0Z INFO a] job=05 accepted queue=q steps=[2x1000m/1M/500ms]\n\
 ///     [2030-01-01T00:00:05.0Z INFO a] job=05 ended state=Completed after=4s objective=2s \
 ///     held-up=former:0,room:1500 failures=0\n";
-/// let losses = yuccalink_operator::losses::add_up(lines);
-/// assert_eq!(losses.all.missing["room"], 0.75);
-/// assert_eq!(losses.all.missing["own-length"], 0.25);
+/// let losses = yuccalink_operator::losses::compute_losses(lines);
+/// assert_eq!(losses.all.lost_by_cause["room"], 0.75);
+/// assert_eq!(losses.all.lost_by_cause["own-length"], 0.25);
 /// ```
-pub fn add_up(text: &str) -> LossReport {
-    let jobs = read(text);
-    let means = means(&jobs);
-    let last_s = jobs.values().map(|job| job.came_s).fold(0.0, f64::max);
-    let first_s = jobs.values().map(|job| job.came_s).fold(f64::INFINITY, f64::min);
+pub fn compute_losses(text: &str) -> LossReport {
+    let jobs = parse_jobs(text);
+    let mean_work = mean_work_by_queue(&jobs);
+    let last_s = jobs.values().map(|job| job.accepted_s).fold(0.0, f64::max);
+    let first_s = jobs.values().map(|job| job.accepted_s).fold(f64::INFINITY, f64::min);
     let mut losses = LossReport::default();
-    for job in jobs.values().filter(|job| !job.lasts) {
-        let mean = means.get(&job.queue).copied().unwrap_or(job.work).max(1e-9);
+    for job in jobs.values().filter(|job| !job.long_running) {
+        let mean = mean_work.get(&job.queue).copied().unwrap_or(job.work).max(1e-9);
         let worth = (WORTH_FIXED + WORTH_PER_WORK * job.work / mean).min(WORTH_MAX);
-        let Some(missing) = missing(job, worth, last_s) else {
-            losses.open += u32::from(!matches!(job.end, End::Cancelled));
+        let Some(lost) = lost_by_cause(job, worth, last_s) else {
+            losses.unfinished += u32::from(!matches!(job.end, JobEnd::Cancelled));
             continue;
         };
-        let window = (job.came_s - first_s).max(0.0) as u64 / WINDOW_S * WINDOW_S;
-        losses.all.add(worth, &missing);
-        losses.queues.entry(job.queue.clone()).or_default().add(worth, &missing);
-        losses.windows.entry(window).or_default().add(worth, &missing);
+        let window = (job.accepted_s - first_s).max(0.0) as u64 / WINDOW_S * WINDOW_S;
+        losses.all.add(worth, &lost);
+        losses.queues.entry(job.queue.clone()).or_default().add(worth, &lost);
+        losses.windows.entry(window).or_default().add(worth, &lost);
     }
     losses
 }
 
 /// What a job lost to each cause; nothing where it is not known or not owed.
-fn missing(job: &Job, worth: f64, last_s: f64) -> Option<Vec<(Box<str>, f64)>> {
+fn lost_by_cause(job: &Job, worth: f64, last_s: f64) -> Option<Vec<(Box<str>, f64)>> {
     /// An open job that came in this long before the last one should have ended.
-    const SETTLED_S: f64 = 30.0;
+    const END_EXPECTED_AFTER_S: f64 = 30.0;
     match &job.end {
-        End::Cancelled => None,
-        End::Open if job.came_s + SETTLED_S > last_s => None,
-        End::Open => Some(vec![(UNTOLD.into(), worth)]),
-        End::Failed => Some(vec![(FAILED.into(), worth)]),
-        End::GivenUp => Some(vec![(CRASHES.into(), worth)]),
-        End::Took { took, objective, .. } if took <= objective => Some(Vec::new()),
-        End::Took { took, objective, held_up } => {
+        JobEnd::Cancelled => None,
+        JobEnd::Unknown if job.accepted_s + END_EXPECTED_AFTER_S > last_s => None,
+        JobEnd::Unknown => Some(vec![(UNEXPLAINED.into(), worth)]),
+        JobEnd::Failed => Some(vec![(FAILED.into(), worth)]),
+        JobEnd::GivenUp => Some(vec![(CRASHES.into(), worth)]),
+        JobEnd::EndedOrOverdue { took, objective, .. } if took <= objective => Some(Vec::new()),
+        JobEnd::EndedOrOverdue { took, objective, delays } => {
             let late = (*took - *objective).as_secs_f64();
-            let held: f64 = held_up.iter().map(|(_, span)| span.as_secs_f64()).sum();
+            let held: f64 = delays.iter().map(|(_, span)| span.as_secs_f64()).sum();
             let own = (late - held).max(0.0);
             let whole = (own + held).max(1e-9);
             let part = |(cause, span): &(Box<str>, Duration)| {
                 (cause.clone(), worth * span.as_secs_f64() / whole)
             };
-            let mut parts: Vec<(Box<str>, f64)> = held_up.iter().map(part).collect();
+            let mut parts: Vec<(Box<str>, f64)> = delays.iter().map(part).collect();
             parts.push((OWN_LENGTH.into(), worth * own / whole));
             Some(parts)
         }
@@ -173,9 +176,9 @@
 }
 
 /// Mean work of each queue's jobs.
-fn means(jobs: &BTreeMap<Box<str>, Job>) -> BTreeMap<Box<str>, f64> {
+fn mean_work_by_queue(jobs: &BTreeMap<Box<str>, Job>) -> BTreeMap<Box<str>, f64> {
     let mut sums: BTreeMap<Box<str>, (f64, f64)> = BTreeMap::new();
-    for job in jobs.values().filter(|job| !job.lasts) {
+    for job in jobs.values().filter(|job| !job.long_running) {
         let (work, count) = sums.entry(job.queue.clone()).or_default();
         *work += job.work;
         *count += 1.0;
@@ -183,16 +186,16 @@
     sums.into_iter().map(|(queue, (work, count))| (queue, work / count)).collect()
 }
 
-fn read(text: &str) -> BTreeMap<Box<str>, Job> {
+fn parse_jobs(text: &str) -> BTreeMap<Box<str>, Job> {
     let mut jobs: BTreeMap<Box<str>, Job> = BTreeMap::new();
     for line in text.lines() {
         let Some((head, rest)) = line.split_once("job=") else { continue };
-        let Some((id, told)) = rest.split_once(' ') else { continue };
-        if let Some(told) = told.strip_prefix("accepted ") {
-            let Some(job) = accepted(head, told) else { continue };
+        let Some((id, event)) = rest.split_once(' ') else { continue };
+        if let Some(event) = event.strip_prefix("accepted ") {
+            let Some(job) = parse_accepted(head, event) else { continue };
             jobs.entry(id.into()).or_insert(job);
         } else if let Some(job) = jobs.get_mut(id)
-            && let Some(end) = end(told)
+            && let Some(end) = parse_end(event)
         {
             job.end = end;
         }
@@ -200,18 +203,18 @@
     jobs
 }
 
-fn accepted(head: &str, told: &str) -> Option<Job> {
-    let steps = told.split_once("steps=[")?.1.split(']').next()?;
+fn parse_accepted(head: &str, event: &str) -> Option<Job> {
+    let steps = event.split_once("steps=[")?.1.split(']').next()?;
     let mut work = 0.0;
     for step in steps.split_whitespace() {
         work += step_work(step)?;
     }
     Some(Job {
-        queue: value(told, "queue")?.into(),
-        came_s: second_of_day(head)?,
+        queue: field(event, "queue")?.into(),
+        accepted_s: second_of_day(head)?,
         work,
-        lasts: steps.contains("+lasts"),
-        end: End::Open,
+        long_running: steps.contains("+lasts"),
+        end: JobEnd::Unknown,
     })
 }
 
@@ -219,47 +222,47 @@
 fn step_work(step: &str) -> Option<f64> {
     let (count, rest) = step.split_once('x')?;
     let (millicores, rest) = rest.split_once("m/")?;
-    let guess = rest.split_once("M/")?.1.split_once("ms")?.0;
-    let figure = |text: &str| text.parse::<f64>().ok();
-    Some(figure(count)? * figure(millicores)? / 1e3 * figure(guess)? / 1e3)
+    let estimate = rest.split_once("M/")?.1.split_once("ms")?.0;
+    let number = |text: &str| text.parse::<f64>().ok();
+    Some(number(count)? * number(millicores)? / 1e3 * number(estimate)? / 1e3)
 }
 
-fn end(told: &str) -> Option<End> {
-    if told.starts_with("cancelled") {
-        return Some(End::Cancelled);
+fn parse_end(event: &str) -> Option<JobEnd> {
+    if event.starts_with("cancelled") {
+        return Some(JobEnd::Cancelled);
     }
-    if told.starts_with("ended") && value(told, "state")? == "Failed" {
-        let given_up = value(told, "why") == Some("crashes");
-        return Some(if given_up { End::GivenUp } else { End::Failed });
+    if event.starts_with("ended") && field(event, "state")? == "Failed" {
+        let given_up = field(event, "why") == Some("crashes");
+        return Some(if given_up { JobEnd::GivenUp } else { JobEnd::Failed });
     }
-    if !told.starts_with("ended") && !told.starts_with("overdue") {
+    if !event.starts_with("ended") && !event.starts_with("overdue") {
         return None;
     }
-    let held_up = value(told, "held-up").unwrap_or_default().split(',').filter_map(held_up);
-    Some(End::Took {
-        took: span(value(told, "after")?)?,
-        objective: span(value(told, "objective")?)?,
-        held_up: held_up.filter(|(_, span)| !span.is_zero()).collect(),
+    let delays = field(event, "held-up").unwrap_or_default().split(',').filter_map(parse_delay);
+    Some(JobEnd::EndedOrOverdue {
+        took: parse_duration(field(event, "after")?)?,
+        objective: parse_duration(field(event, "objective")?)?,
+        delays: delays.filter(|(_, span)| !span.is_zero()).collect(),
     })
 }
 
-fn held_up(text: &str) -> Option<(Box<str>, Duration)> {
+fn parse_delay(text: &str) -> Option<(Box<str>, Duration)> {
     let (cause, ms) = text.split_once(':')?;
     Some((cause.into(), Duration::from_millis(ms.parse().ok()?)))
 }
 
 /// The word after `name=`.
-fn value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let word = |word: &'a str| word.strip_prefix(name)?.strip_prefix('=');
     text.split_whitespace().find_map(word)
 }
 
 /// A span as logs show it: `1.5s`, `20ms`, `3µs`.
-fn span(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     const UNITS: [(&str, f64); 4] = [("ms", 1e-3), ("µs", 1e-6), ("ns", 1e-9), ("s", 1.0)];
-    let (figure, unit) =
+    let (number, unit) =
         UNITS.iter().find_map(|(unit, size)| Some((text.strip_suffix(unit)?, size)))?;
-    Duration::try_from_secs_f64(figure.parse::<f64>().ok()? * unit).ok()
+    Duration::try_from_secs_f64(number.parse::<f64>().ok()? * unit).ok()
 }
 
 /// The second of the day in a line's `[DATETTIMEZ`.
@@ -272,37 +275,37 @@
     Some(seconds)
 }
 
-fn shown(losses: &LossReport) -> String {
-    let mut queues: Vec<(&str, &Sum)> =
+fn render_report(losses: &LossReport) -> String {
+    let mut queues: Vec<(&str, &LossTotals)> =
         losses.queues.iter().map(|(name, sum)| (&**name, sum)).collect();
     queues.push(("all", &losses.all));
-    let mut causes: Vec<&str> = losses.all.missing.keys().map(|cause| &**cause).collect();
-    causes.sort_by(|a, b| losses.all.missing[*b].total_cmp(&losses.all.missing[*a]));
+    let mut causes: Vec<&str> = losses.all.lost_by_cause.keys().map(|cause| &**cause).collect();
+    causes.sort_by(|a, b| losses.all.lost_by_cause[*b].total_cmp(&losses.all.lost_by_cause[*a]));
     let mut head = vec!["QUEUE", "JOBS", "WORTH", "LOST"];
     head.extend(&causes);
     let rows: Vec<Vec<String>> =
-        queues.iter().map(|(name, sum)| row((*name).into(), sum, &causes)).collect();
+        queues.iter().map(|(name, sum)| totals_row((*name).into(), sum, &causes)).collect();
     let mut text = render::table(&head, &rows);
-    let mut worst: Vec<(&u64, &Sum)> =
+    let mut worst: Vec<(&u64, &LossTotals)> =
         losses.windows.iter().filter(|(_, sum)| sum.lost() > 0.0).collect();
     worst.sort_by(|a, b| (b.1.lost() / b.1.worth).total_cmp(&(a.1.lost() / a.1.worth)));
     worst.truncate(WINDOWS_SHOWN);
     head[0] = "SECOND";
     let rows: Vec<Vec<String>> =
-        worst.iter().map(|(second, sum)| row(second.to_string(), sum, &causes)).collect();
+        worst.iter().map(|(second, sum)| totals_row(second.to_string(), sum, &causes)).collect();
     text.push('\n');
     text.push_str(&render::table(&head, &rows));
-    if losses.open > 0 {
-        text.push_str(&format!("\n{} jobs had not ended and were not due\n", losses.open));
+    if losses.unfinished > 0 {
+        text.push_str(&format!("\n{} jobs had not ended and were not due\n", losses.unfinished));
     }
     text
 }
 
-fn row(name: String, sum: &Sum, causes: &[&str]) -> Vec<String> {
+fn totals_row(name: String, sum: &LossTotals, causes: &[&str]) -> Vec<String> {
     let percent = |part: f64| format!("{:.1}%", 100.0 * part / sum.worth.max(1e-9));
     let mut cells =
         vec![name, sum.jobs.to_string(), format!("{:.1}", sum.worth), percent(sum.lost())];
-    let part = |cause: &&str| percent(sum.missing.get(*cause).copied().unwrap_or(0.0));
+    let part = |cause: &&str| percent(sum.lost_by_cause.get(*cause).copied().unwrap_or(0.0));
     cells.extend(causes.iter().map(part));
     cells
 }
--- a/crates/operator/src/plot.rs
+++ b/crates/operator/src/plot.rs
@@ -4,31 +4,31 @@
 use crate::losses::{LossReport, WINDOW_S};
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (1_000, 420);
+const SIZE_PX: (u32, u32) = (1_000, 420);
 /// Room for a label beside the axes, in pixels.
-const LABELS: u32 = 44;
+const LABEL_AREA_PX: u32 = 44;
 
 /// Draws the lost share of each window's worth, by cause, one on top of the other.
 ///
 /// # Errors
 /// [`Error::Cell`] naming the file when it cannot be drawn there.
 pub(crate) fn losses(losses: &LossReport, path: &str) -> Result<()> {
-    let bad = |why: String| {
+    let plot_error = |why: String| {
         let what = format!("cannot draw {path}: {why}; name a file that may be written");
-        Error::Cell(what.into())
+        Error::Failed(what.into())
     };
-    draw(losses, path).map_err(|error| bad(error.to_string()))
+    draw(losses, path).map_err(|error| plot_error(error.to_string()))
 }
 
 fn draw(losses: &LossReport, path: &str) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let end = losses.windows.keys().max().map_or(0, |last| last + WINDOW_S);
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
         .caption("worth lost, by cause and by when jobs came", ("sans-serif", 18))
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS)
+        .x_label_area_size(LABEL_AREA_PX)
+        .y_label_area_size(LABEL_AREA_PX)
         .build_cartesian_2d(0..end.max(1), 0.0..1.0)?;
     chart
         .configure_mesh()
@@ -36,18 +36,18 @@
         .x_desc("seconds from the first job")
         .y_desc("share of the worth")
         .draw()?;
-    for (at, cause) in losses.all.missing.keys().enumerate() {
-        let colour = Palette99::pick(at).to_rgba();
+    for (index, cause) in losses.all.lost_by_cause.keys().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         let bars = losses.windows.iter().map(|(second, sum)| {
-            let upto = |last: bool| -> f64 {
+            let stacked_share = |inclusive: bool| -> f64 {
                 let before = sum
-                    .missing
+                    .lost_by_cause
                     .iter()
-                    .filter(|(name, _)| if last { *name <= cause } else { *name < cause });
+                    .filter(|(name, _)| if inclusive { *name <= cause } else { *name < cause });
                 before.map(|(_, part)| part).sum::<f64>() / sum.worth.max(1e-9)
             };
             Rectangle::new(
-                [(*second, upto(false)), (*second + WINDOW_S, upto(true))],
+                [(*second, stacked_share(false)), (*second + WINDOW_S, stacked_share(true))],
                 colour.filled(),
             )
         });
--- a/crates/operator/src/render.rs
+++ b/crates/operator/src/render.rs
@@ -137,7 +137,7 @@
     out
 }
 
-fn amount(amount: Resources) -> String {
+fn render_resources(amount: Resources) -> String {
     let Resources { millicores, memory_mib, accelerators } = amount;
     format!(
         "{}.{:03} cores {memory_mib} MiB {accelerators} acc",
@@ -154,8 +154,8 @@
                 ("runner", format!("{}, {} slots", spec.service, spec.slots))
             }
             TargetSpec::Worker(spec) => {
-                let used = view.committed.map_or_else(|| "nothing".into(), amount);
-                ("worker", format!("{used} of {}", amount(spec.capacity)))
+                let used = view.committed.map_or_else(|| "nothing".into(), render_resources);
+                ("worker", format!("{used} of {}", render_resources(spec.capacity)))
             }
         };
         vec![
--- a/crates/operator/src/saved.rs
+++ b/crates/operator/src/snapshot_file.rs
@@ -18,29 +18,30 @@
 /// Saves the state that the leader has agreed on. The file is whole or not there.
 pub(crate) async fn save(client: &Client, file: &str) -> Result<Output> {
     let bytes = client.snapshot().await?;
-    let found = snapshot::decode(&bytes, file).map_err(Error::State)?;
+    let snapshot = snapshot::decode(&bytes, file).map_err(Error::State)?;
     let fail = |source| Error::Write { path: file.into(), source };
-    let draft = format!("{file}.draft");
-    let mut out = File::create(&draft).map_err(fail)?;
+    let temporary = format!("{file}.draft");
+    let mut out = File::create(&temporary).map_err(fail)?;
     out.write_all(&bytes).and_then(|()| out.sync_all()).map_err(fail)?;
-    fs::rename(&draft, file).map_err(fail)?;
-    Ok(described(file, &found))
+    fs::rename(&temporary, file).map_err(fail)?;
+    Ok(summarize(file, &snapshot))
 }
 
 /// Reads a saved state whole and says what is in it.
 pub(crate) fn verify(file: &str) -> Result<Output> {
-    Ok(described(file, &read(file)?))
+    Ok(summarize(file, &read_snapshot(file)?))
 }
 
 /// Makes the data folder of one voter, which then founds the system anew; the
 /// other voters start with empty disks and join it.
 pub(crate) fn restore(file: &str, data: &str, name: &Name, address: SocketAddr) -> Result<Output> {
-    let Snapshot { meta, mut state } = read(file)?;
-    let replica = drawn();
+    let Snapshot { meta, mut state } = read_snapshot(file)?;
+    let replica = random_replica_id();
     let address = address.to_string().into();
     let voters = vec![Member { id: ReplicaId(replica), name: name.clone(), address }];
     let members = Members { voters, learners: Vec::new() };
-    let members = peer::encode(&members).map_err(|e| Error::Answer(e.to_string().into()))?;
+    let members =
+        peer::encode(&members).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
     // Terms that the lost system may have reached must not outdo the new one's.
     let term = meta.term + RESTORE_JUMP;
     let meta = Meta { index: meta.index, term, members: members.into() };
@@ -54,13 +55,13 @@
     Ok(Output { text, json: json!({ "data": data, "record": meta.index, "name": name }) })
 }
 
-fn read(file: &str) -> Result<Snapshot> {
+fn read_snapshot(file: &str) -> Result<Snapshot> {
     let bytes = fs::read(file).map_err(|source| Error::Read { path: file.into(), source })?;
     snapshot::decode(&bytes, file).map_err(Error::State)
 }
 
-fn described(file: &str, found: &Snapshot) -> Output {
-    let Snapshot { meta, state } = found;
+fn summarize(file: &str, snapshot: &Snapshot) -> Output {
+    let Snapshot { meta, state } = snapshot;
     let services = state.services().count();
     let tasks = state.tasks().count();
     let requests = state.ledger().len();
@@ -82,7 +83,7 @@
 }
 
 /// The identity of the new disk.
-fn drawn() -> u64 {
+fn random_replica_id() -> u64 {
     use rand::TryRng as _;
     rand::rngs::SysRng.try_next_u64().unwrap_or(1) | 1
 }
--- a/crates/operator/src/why.rs
+++ b/crates/operator/src/why.rs
@@ -9,7 +9,7 @@
 
 /// A log line of the job, and the file that it stands in.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Line {
+struct LogLine {
     /// As the logger writes it; sorts as time does.
     time: Box<str>,
     file: Box<str>,
@@ -25,51 +25,56 @@
     let mut lines = Vec::new();
     for file in files {
         let text = read_text(file)?;
-        lines.extend(text.lines().filter(|line| line.contains(id)).map(|line| read(file, line)));
+        lines.extend(
+            text.lines().filter(|line| line.contains(id)).map(|line| parse_line(file, line)),
+        );
     }
     if lines.is_empty() {
         let what = format!("no line names {id}; give the logs of all VMs of its time");
-        return Err(Error::Cell(what.into()));
+        return Err(Error::Failed(what.into()));
     }
     lines.sort();
-    let ends = ends(&lines);
+    let outcomes = count_outcomes(&lines);
     let mut text = String::new();
     for line in &lines {
         let _ = writeln!(text, "{} {} {}", line.time, line.file, line.text);
     }
-    let shown: Vec<String> = ends.iter().map(|(how, count)| format!("{how} {count}")).collect();
-    let verdict = verdict(&lines);
-    let _ = writeln!(text, "{id}: {verdict}; runs ended: {}", or_none(&shown.join(", ")));
+    let shown: Vec<String> = outcomes.iter().map(|(how, count)| format!("{how} {count}")).collect();
+    let state = last_state(&lines);
+    let _ = writeln!(text, "{id}: {state}; runs ended: {}", or_none(&shown.join(", ")));
     let rows: Vec<_> = lines
         .iter()
         .map(|line| json!({ "time": line.time, "file": line.file, "text": line.text }))
         .collect();
-    Ok(Output { text, json: json!({ "job": id, "lines": rows, "ends": ends, "state": verdict }) })
+    Ok(Output { text, json: json!({ "job": id, "lines": rows, "ends": outcomes, "state": state }) })
 }
 
 /// Takes a line apart: `[TIME LEVEL MODULE] TEXT`; another form is kept whole.
-fn read(file: &str, line: &str) -> Line {
+fn parse_line(file: &str, line: &str) -> LogLine {
     let parts = line.split_once('[').and_then(|(_, rest)| rest.split_once("] "));
     let (head, text) = parts.unwrap_or(("", line));
     let time = head.split(' ').next().unwrap_or_default();
-    Line { time: time.into(), file: file.into(), text: text.into() }
+    LogLine { time: time.into(), file: file.into(), text: text.into() }
 }
 
 /// How often runs ended in which way.
-fn ends(lines: &[Line]) -> BTreeMap<Box<str>, u32> {
-    let mut ends = BTreeMap::new();
+fn count_outcomes(lines: &[LogLine]) -> BTreeMap<Box<str>, u32> {
+    let mut outcomes = BTreeMap::new();
     for line in lines.iter().filter(|line| line.text.starts_with("end ")) {
         if let Some((_, how)) = line.text.split_once("how=") {
-            *ends.entry(Box::from(how)).or_default() += 1;
+            *outcomes.entry(Box::from(how)).or_default() += 1;
         }
     }
-    ends
+    outcomes
 }
 
 /// The last line that says where the job stands.
-fn verdict(lines: &[Line]) -> &str {
-    const SAYS: [&str; 4] = [" ended state=", " cancelled", " refused ", " accepted "];
-    let found = lines.iter().rev().find(|line| SAYS.iter().any(|says| line.text.contains(says)));
+fn last_state(lines: &[LogLine]) -> &str {
+    const STATE_TEXTS: [&str; 4] = [" ended state=", " cancelled", " refused ", " accepted "];
+    let found = lines
+        .iter()
+        .rev()
+        .find(|line| STATE_TEXTS.iter().any(|state_text| line.text.contains(state_text)));
     found.map_or("no line says where it stands", |line| {
         let text: &str = &line.text;
         text.split_once(' ').map_or(text, |(_, rest)| rest)
--- a/crates/operator/tests/losses.rs
+++ b/crates/operator/tests/losses.rs
@@ -1,6 +1,6 @@
 //! What jobs lost, added up from log lines, some of them recorded from a cell's leader.
 
-use yuccalink_operator::losses::{LossReport, Sum, add_up};
+use yuccalink_operator::losses::{LossReport, LossTotals, compute_losses};
 
 /// Lines of a leader on a day on which its pool was nearly full and its process was killed.
 const RECORDED: &str = include_str!("logs/nearly-full-pool.log");
@@ -19,8 +19,8 @@
     line(second, &format!("job={id} ended state=Completed after={after} {text}"))
 }
 
-fn missing(sum: &Sum, cause: &str) -> f64 {
-    sum.missing.get(cause).copied().unwrap_or(0.0)
+fn lost_to(sum: &LossTotals, cause: &str) -> f64 {
+    sum.lost_by_cause.get(cause).copied().unwrap_or(0.0)
 }
 
 fn assert_near(seen: f64, wanted: f64) {
@@ -28,7 +28,7 @@
 }
 
 /// What the causes of a sum come to must be what its late jobs were worth.
-fn assert_adds_up(sum: &Sum) {
+fn assert_adds_up(sum: &LossTotals) {
     assert!(sum.lost() <= sum.worth * (1.0 + 1e-9), "{sum:?}");
 }
 
@@ -38,20 +38,20 @@
         + &accepted(1, "0b", "q", 1)
         + &ended(2, "0a", "1.5s", "former:0,room:250")
         + &ended(4, "0b", "3s", "former:0,room:1000,margin:1000");
-    let LossReport { all, .. } = add_up(&text);
+    let LossReport { all, .. } = compute_losses(&text);
     assert_eq!(all.jobs, 2);
     assert_near(all.worth, 2.0);
-    assert_near(missing(&all, "room"), 0.5);
-    assert_near(missing(&all, "margin"), 0.5);
+    assert_near(lost_to(&all, "room"), 0.5);
+    assert_near(lost_to(&all, "margin"), 0.5);
     assert_near(all.lost(), 1.0);
 }
 
 #[test]
 fn lateness_that_nothing_explains_is_the_jobs_own_length() {
     let text = accepted(1, "0a", "q", 1) + &ended(9, "0a", "6s", "former:0,pace:1000");
-    let LossReport { all, .. } = add_up(&text);
-    assert_near(missing(&all, "pace"), 0.25);
-    assert_near(missing(&all, "own-length"), 0.75);
+    let LossReport { all, .. } = compute_losses(&text);
+    assert_near(lost_to(&all, "pace"), 0.25);
+    assert_near(lost_to(&all, "own-length"), 0.75);
 }
 
 #[test]
@@ -62,7 +62,7 @@
         + &ended(4, "0a", "1s", "former:0")
         + &ended(4, "0b", "9s", "former:0,room:7000")
         + &ended(4, "0c", "1s", "former:0");
-    let losses = add_up(&text);
+    let losses = compute_losses(&text);
     assert_near(losses.queues["q"].lost(), 0.3 + 0.7 * 1.5);
     assert_near(losses.queues["other"].worth, 1.0);
     assert_near(losses.queues["other"].lost(), 0.0);
@@ -76,9 +76,9 @@
         + &lasting
         + &line(3, "job=0a cancelled")
         + &line(4, "job=0b ended state=Failed after=1s objective=2s held-up=former:0 failures=2");
-    let LossReport { all, open, .. } = add_up(&text);
-    assert_eq!((all.jobs, open), (1, 0));
-    assert_near(missing(&all, "failed"), 1.0);
+    let LossReport { all, unfinished, .. } = compute_losses(&text);
+    assert_eq!((all.jobs, unfinished), (1, 0));
+    assert_near(lost_to(&all, "failed"), 1.0);
 }
 
 /// A job is overdue and the logs end before it does: its account was told when nobody
@@ -91,10 +91,10 @@
         + &line(8, overdue)
         + &accepted(2, "0b", "q", 1)
         + &accepted(40, "0c", "q", 1);
-    let LossReport { all, open, .. } = add_up(&text);
-    assert_eq!((all.jobs, open), (2, 1));
-    assert_near(missing(&all, "trust"), 1.0);
-    assert_near(missing(&all, "untold"), 1.0);
+    let LossReport { all, unfinished, .. } = compute_losses(&text);
+    assert_eq!((all.jobs, unfinished), (2, 1));
+    assert_near(lost_to(&all, "trust"), 1.0);
+    assert_near(lost_to(&all, "untold"), 1.0);
 }
 
 /// On the recorded day each queue's causes come to no more than its jobs were worth, all
@@ -102,18 +102,18 @@
 /// binds.
 #[test]
 fn a_recorded_day_adds_up() {
-    let losses = add_up(RECORDED);
+    let losses = compute_losses(RECORDED);
     assert!(losses.all.jobs > 50, "{losses:?}");
     losses.queues.values().chain(losses.windows.values()).for_each(assert_adds_up);
     let lost = losses.all.lost();
     assert!(lost > 5.0, "many came late: {lost}");
-    let by_queue: f64 = losses.queues.values().map(Sum::lost).sum();
-    let by_window: f64 = losses.windows.values().map(Sum::lost).sum();
+    let by_queue: f64 = losses.queues.values().map(LossTotals::lost).sum();
+    let by_window: f64 = losses.windows.values().map(LossTotals::lost).sum();
     assert!((by_queue - lost).abs() < 0.05 * lost && (by_window - lost).abs() < 0.05 * lost);
     let short = &losses.queues["short"];
     let long = &losses.queues["long"];
-    assert!(missing(short, "room") > missing(short, "margin"), "{short:?}");
-    assert!(missing(long, "margin") > missing(long, "room"), "{long:?}");
+    assert!(lost_to(short, "room") > lost_to(short, "margin"), "{short:?}");
+    assert!(lost_to(long, "margin") > lost_to(long, "room"), "{long:?}");
 }
 
 /// A job given up for crashes was counted with those that failed by themselves.
@@ -124,13 +124,13 @@
         + &line(9, &format!("job=0a ended state=Failed after=8s {failed} why=crashes"))
         + &accepted(1, "0b", "q", 1)
         + &line(9, &format!("job=0b ended state=Failed after=8s {failed}"));
-    let LossReport { all, .. } = add_up(&text);
-    assert_near(missing(&all, "crashes"), 1.0);
-    assert_near(missing(&all, "failed"), 1.0);
+    let LossReport { all, .. } = compute_losses(&text);
+    assert_near(lost_to(&all, "crashes"), 1.0);
+    assert_near(lost_to(&all, "failed"), 1.0);
 }
 
 #[test]
 fn lines_that_are_cut_or_strange_are_passed_over() {
     let text = "job= accepted\n[2030 job=zz ended state=\njob=0a accepted queue=q steps=[x]\n";
-    assert_eq!(add_up(text), LossReport::default());
+    assert_eq!(compute_losses(text), LossReport::default());
 }
--- a/crates/yuccalink/src/app.rs
+++ b/crates/yuccalink/src/app.rs
@@ -1,16 +1,18 @@
 //! Runs one command and prints its output.
 
-use crate::args::{self, Asked};
+use crate::args::{self, Invocation};
 use tokio::task::LocalSet;
 use yuccalink_operator::{Client, Error, Result, command, completions};
 
 pub(crate) fn run() -> Result<()> {
-    let asked = args::read(lexopt::Parser::from_env(), |name| std::env::var(name).ok())?;
-    match asked {
-        Asked::Help { long } => command::print(&args::help(long)),
-        Asked::Version => command::print(concat!("yuccalink ", env!("CARGO_PKG_VERSION"), "\n")),
-        Asked::Completions(shell) => command::print(&completions::script(shell)),
-        Asked::Run(settings, command) => {
+    let invocation = args::parse(lexopt::Parser::from_env(), |name| std::env::var(name).ok())?;
+    match invocation {
+        Invocation::Help { long } => command::print(&args::help(long)),
+        Invocation::Version => {
+            command::print(concat!("yuccalink ", env!("CARGO_PKG_VERSION"), "\n"))
+        }
+        Invocation::Completions(shell) => command::print(&completions::script(shell)),
+        Invocation::Run(settings, command) => {
             let client = Client::builder()
                 .servers(settings.servers)
                 .author(settings.author)
--- a/crates/yuccalink/src/args.rs
+++ b/crates/yuccalink/src/args.rs
@@ -14,7 +14,7 @@
 
 /// What the command line asks for.
 #[derive(Debug)]
-pub(crate) enum Asked {
+pub(crate) enum Invocation {
     Help { long: bool },
     Version,
     Completions(Shell),
@@ -31,7 +31,7 @@
 }
 
 #[derive(Default)]
-struct Given {
+struct Arguments {
     words: Vec<Box<str>>,
     server: Option<Box<str>>,
     author: Option<Box<str>>,
@@ -60,47 +60,48 @@
 }
 
 /// Reads the command line; `environment` gives defaults.
-pub(crate) fn read<E>(parser: Parser, environment: E) -> Result<Asked>
+pub(crate) fn parse<E>(parser: Parser, environment: E) -> Result<Invocation>
 where
     E: Fn(&str) -> Option<String>,
 {
-    let mut given = Given::default();
-    if let Some(asked) = flags(parser, &mut given)? {
-        return Ok(asked);
+    let mut given = Arguments::default();
+    if let Some(invocation) = parse_flags(parser, &mut given)? {
+        return Ok(invocation);
     }
     let words: Vec<&str> = given.words.iter().map(|word| &**word).collect();
     let command = match words.as_slice() {
-        [] | ["help"] => return Ok(Asked::Help { long: !words.is_empty() }),
+        [] | ["help"] => return Ok(Invocation::Help { long: !words.is_empty() }),
         ["completions", shell] => {
             let shell = Shell::parse(shell).ok_or_else(|| usage("write bash, zsh or fish"))?;
-            return Ok(Asked::Completions(shell));
+            return Ok(Invocation::Completions(shell));
         }
         ["check", files @ ..] if !files.is_empty() => {
             Command::Check { files: files.iter().map(|file| (*file).into()).collect() }
         }
         ["apply", file] => Command::Apply { file: (*file).into(), no_wait: given.no_wait },
-        ["get", service] => Command::Get { service: name(service)?.as_str().into() },
+        ["get", service] => Command::Get { service: parse_name(service)?.as_str().into() },
         ["list"] => Command::List,
         ["diff", file] => Command::Diff { file: (*file).into() },
-        ["task", rest @ ..] => task(rest, &given)?,
-        ["job", rest @ ..] => Command::Cell(job(rest, &given)?),
+        ["task", rest @ ..] => task_command(rest, &given)?,
+        ["job", rest @ ..] => Command::Cell(job_command(rest, &given)?),
         ["change", "apply", file] => {
             Command::Cell(CellCommand::ChangeApply { file: (*file).into() })
         }
         ["change", "get"] => Command::Cell(CellCommand::ChangeGet),
-        ["wave", "start", id, file] => {
-            Command::Cell(CellCommand::WaveStart { id: wave(id)?, file: (*file).into() })
-        }
-        ["wave", "get", id] => Command::Cell(CellCommand::WaveGet { id: wave(id)? }),
+        ["wave", "start", id, file] => Command::Cell(CellCommand::WaveStart {
+            id: parse_wave_number(id)?,
+            file: (*file).into(),
+        }),
+        ["wave", "get", id] => Command::Cell(CellCommand::WaveGet { id: parse_wave_number(id)? }),
         ["why", job, files @ ..] if !files.is_empty() => Command::Why {
-            id: job_id(job)?,
+            id: parse_job_id(job)?,
             files: files.iter().map(|file| (*file).into()).collect(),
         },
         ["losses", files @ ..] if !files.is_empty() => Command::Losses {
             files: files.iter().map(|file| (*file).into()).collect(),
             plot: given.plot.clone(),
         },
-        ["snapshot", rest @ ..] => snapshot(rest, &given)?,
+        ["snapshot", rest @ ..] => snapshot_command(rest, &given)?,
         ["status"] => Command::Status,
         ["targets"] => Command::Targets,
         ["decisions"] => Command::Decisions,
@@ -109,10 +110,10 @@
         }
         [first, ..] => return Err(usage(format!("there is no command `{first}`"))),
     };
-    Ok(Asked::Run(settings(&given, environment)?, command))
+    Ok(Invocation::Run(settings(&given, environment)?, command))
 }
 
-fn snapshot(words: &[&str], given: &Given) -> Result<Command> {
+fn snapshot_command(words: &[&str], given: &Arguments) -> Result<Command> {
     let need = |value: &Option<Box<str>>, flag: &str| {
         value.clone().ok_or_else(|| usage(format!("snapshot restore needs {flag}")))
     };
@@ -125,7 +126,7 @@
             Ok(Command::SnapshotRestore {
                 file: (*file).into(),
                 data: need(&given.data, "--data FOLDER")?,
-                name: name(&need(&given.name, "--name NAME")?)?,
+                name: parse_name(&need(&given.name, "--name NAME")?)?,
                 address: address.parse().map_err(wrong)?,
             })
         }
@@ -133,12 +134,12 @@
     }
 }
 
-fn task(words: &[&str], given: &Given) -> Result<Command> {
+fn task_command(words: &[&str], given: &Arguments) -> Result<Command> {
     match words {
         ["submit", service, kind] => Ok(Command::Submit {
             tasks: SubmitTasks {
-                service: name(service)?,
-                kind: name(kind)?,
+                service: parse_name(service)?,
+                kind: parse_name(kind)?,
                 count: given.count.unwrap_or(1),
                 urgent: given.urgent,
                 payload: given.payload.clone().unwrap_or_default(),
@@ -146,45 +147,47 @@
             key: given.key.clone(),
             wait: given.wait,
         }),
-        ["cancel", tasks @ ..] if !tasks.is_empty() => Ok(Command::Cancel { tasks: ids(tasks)? }),
-        ["list"] => Ok(Command::Tasks { query: query(given)? }),
-        ["show", task] => Ok(Command::Task { task: id(task)?, wait: given.wait }),
+        ["cancel", tasks @ ..] if !tasks.is_empty() => {
+            Ok(Command::Cancel { tasks: parse_task_ids(tasks)? })
+        }
+        ["list"] => Ok(Command::Tasks { query: task_query(given)? }),
+        ["show", task] => Ok(Command::Task { task: parse_task_id(task)?, wait: given.wait }),
         _ => Err(usage(
             "write task submit SERVICE KIND, task cancel TASK..., task list or task show TASK",
         )),
     }
 }
 
-fn job(words: &[&str], given: &Given) -> Result<CellCommand> {
+fn job_command(words: &[&str], given: &Arguments) -> Result<CellCommand> {
     let queue = given.queue.clone().ok_or_else(|| usage("a job needs --queue HOST/PATH/"))?;
     match words {
         ["submit", file] => {
             let given = given.id.as_deref().ok_or_else(|| usage("job submit needs --id"))?;
-            Ok(CellCommand::JobSubmit { queue, id: job_id(given)?, file: (*file).into() })
+            Ok(CellCommand::JobSubmit { queue, id: parse_job_id(given)?, file: (*file).into() })
         }
-        ["get", job] => Ok(CellCommand::JobGet { queue, id: job_id(job)? }),
-        ["cancel", job] => Ok(CellCommand::JobCancel { queue, id: job_id(job)? }),
+        ["get", job] => Ok(CellCommand::JobGet { queue, id: parse_job_id(job)? }),
+        ["cancel", job] => Ok(CellCommand::JobCancel { queue, id: parse_job_id(job)? }),
         ["pending"] => Ok(CellCommand::JobPending { queue }),
         _ => Err(usage("write job submit FILE, job get JOB, job cancel JOB or job pending")),
     }
 }
 
-fn job_id(word: &str) -> Result<Box<str>> {
+fn parse_job_id(word: &str) -> Result<Box<str>> {
     let wrong = || usage(format!("`{word}` is no job's number: write 16 of 0-9 and a-f"));
     JobId::parse(word).map(|id| id.to_string().into()).ok_or_else(wrong)
 }
 
-fn wave(text: &str) -> Result<u64> {
+fn parse_wave_number(text: &str) -> Result<u64> {
     text.parse().map_err(|_| usage(format!("`{text}` is no wave's number")))
 }
 
-fn query(given: &Given) -> Result<Box<str>> {
+fn task_query(given: &Arguments) -> Result<Box<str>> {
     let mut parts = Vec::new();
     if let Some(service) = &given.service {
-        parts.push(format!("service={}", name(service)?));
+        parts.push(format!("service={}", parse_name(service)?));
     }
     if let Some(phase) = &given.phase {
-        parts.push(format!("phase={}", name(phase)?));
+        parts.push(format!("phase={}", parse_name(phase)?));
     }
     if let Some(after) = given.after {
         parts.push(format!("after={after}"));
@@ -195,66 +198,68 @@
     Ok(parts.join("&").into())
 }
 
-fn name(text: &str) -> Result<Name> {
+fn parse_name(text: &str) -> Result<Name> {
     Name::new(text).map_err(|bad| usage(bad.to_string()))
 }
 
-fn id(text: &str) -> Result<TaskId> {
+fn parse_task_id(text: &str) -> Result<TaskId> {
     text.parse().map_err(|bad: BadTaskId| usage(bad.to_string()))
 }
 
 /// Single tasks and ranges such as `t3-t9`.
-fn ids(words: &[&str]) -> Result<Vec<TaskId>> {
+fn parse_task_ids(words: &[&str]) -> Result<Vec<TaskId>> {
     let mut all = Vec::new();
     for word in words {
         match word.split_once('-') {
-            Some((first, last)) => all.extend((id(first)?.0..=id(last)?.0).map(TaskId)),
-            None => all.push(id(word)?),
+            Some((first, last)) => {
+                all.extend((parse_task_id(first)?.0..=parse_task_id(last)?.0).map(TaskId))
+            }
+            None => all.push(parse_task_id(word)?),
         }
     }
     Ok(all)
 }
 
-fn flags(mut parser: Parser, given: &mut Given) -> Result<Option<Asked>> {
+fn parse_flags(mut parser: Parser, given: &mut Arguments) -> Result<Option<Invocation>> {
     let bad = |error: lexopt::Error| usage(error.to_string());
     while let Some(arg) = parser.next().map_err(bad)? {
         match arg {
-            Arg::Short('h') => return Ok(Some(Asked::Help { long: false })),
-            Arg::Long("help") => return Ok(Some(Asked::Help { long: true })),
-            Arg::Short('V') | Arg::Long("version") => return Ok(Some(Asked::Version)),
+            Arg::Short('h') => return Ok(Some(Invocation::Help { long: false })),
+            Arg::Long("help") => return Ok(Some(Invocation::Help { long: true })),
+            Arg::Short('V') | Arg::Long("version") => return Ok(Some(Invocation::Version)),
             Arg::Value(word) => given.words.push(word.string().map_err(bad)?.into()),
             Arg::Long("json") => given.json = true,
             Arg::Long("no-wait") => given.no_wait = true,
             Arg::Long("wait") => given.wait = true,
             Arg::Long("urgent") => given.urgent = true,
-            Arg::Short('s') | Arg::Long("server") => given.server = Some(text(&mut parser)?),
-            Arg::Long("author") => given.author = Some(text(&mut parser)?),
-            Arg::Long("timeout") => given.timeout = Some(text(&mut parser)?),
-            Arg::Short('n') | Arg::Long("count") => given.count = Some(number(&mut parser)?),
-            Arg::Long("payload") => given.payload = Some(text(&mut parser)?),
-            Arg::Long("key") => given.key = Some(text(&mut parser)?),
-            Arg::Long("service") => given.service = Some(text(&mut parser)?),
-            Arg::Long("phase") => given.phase = Some(text(&mut parser)?),
-            Arg::Long("after") => given.after = Some(number(&mut parser)?),
-            Arg::Long("data") => given.data = Some(text(&mut parser)?),
-            Arg::Long("name") => given.name = Some(text(&mut parser)?),
-            Arg::Long("address") => given.address = Some(text(&mut parser)?),
-            Arg::Long("queue") => given.queue = Some(text(&mut parser)?),
-            Arg::Long("plot") => given.plot = Some(text(&mut parser)?),
-            Arg::Long("id") => given.id = Some(text(&mut parser)?),
-            Arg::Long("limit") => given.limit = Some(number(&mut parser)?),
+            Arg::Short('s') | Arg::Long("server") => given.server = Some(flag_value(&mut parser)?),
+            Arg::Long("author") => given.author = Some(flag_value(&mut parser)?),
+            Arg::Long("timeout") => given.timeout = Some(flag_value(&mut parser)?),
+            Arg::Short('n') | Arg::Long("count") => given.count = Some(flag_number(&mut parser)?),
+            Arg::Long("payload") => given.payload = Some(flag_value(&mut parser)?),
+            Arg::Long("key") => given.key = Some(flag_value(&mut parser)?),
+            Arg::Long("service") => given.service = Some(flag_value(&mut parser)?),
+            Arg::Long("phase") => given.phase = Some(flag_value(&mut parser)?),
+            Arg::Long("after") => given.after = Some(flag_number(&mut parser)?),
+            Arg::Long("data") => given.data = Some(flag_value(&mut parser)?),
+            Arg::Long("name") => given.name = Some(flag_value(&mut parser)?),
+            Arg::Long("address") => given.address = Some(flag_value(&mut parser)?),
+            Arg::Long("queue") => given.queue = Some(flag_value(&mut parser)?),
+            Arg::Long("plot") => given.plot = Some(flag_value(&mut parser)?),
+            Arg::Long("id") => given.id = Some(flag_value(&mut parser)?),
+            Arg::Long("limit") => given.limit = Some(flag_number(&mut parser)?),
             other => return Err(bad(other.unexpected())),
         }
     }
     Ok(None)
 }
 
-fn text(parser: &mut Parser) -> Result<Box<str>> {
+fn flag_value(parser: &mut Parser) -> Result<Box<str>> {
     let value = parser.value().and_then(|value| value.string());
     value.map(Into::into).map_err(|error| usage(error.to_string()))
 }
 
-fn number<T>(parser: &mut Parser) -> Result<T>
+fn flag_number<T>(parser: &mut Parser) -> Result<T>
 where
     T: std::str::FromStr,
     T::Err: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -263,7 +268,7 @@
     value.map_err(|error| usage(error.to_string()))
 }
 
-fn settings<E>(given: &Given, environment: E) -> Result<Settings>
+fn settings<E>(given: &Arguments, environment: E) -> Result<Settings>
 where
     E: Fn(&str) -> Option<String>,
 {
@@ -308,14 +313,14 @@
          -V, --version             the version\n",
     );
     if long {
-        out.push_str(LONG);
+        out.push_str(LONG_HELP);
     } else {
         out.push_str("\n`yuccalink --help` tells more.\n");
     }
     out
 }
 
-const LONG: &str = "
+const LONG_HELP: &str = "
 Documents (FILE may be - for standard input):
   check FILE...             read them and report every fault with its place
   apply FILE [--no-wait]    put it in force; returns when it is in force on every entry
--- a/crates/yuccalink/tests/cell.rs
+++ b/crates/yuccalink/tests/cell.rs
@@ -47,14 +47,14 @@
             .expect("the command")
     }
 
-    fn good(&self, to: SocketAddr, words: &[&str]) -> String {
+    fn run_ok(&self, to: SocketAddr, words: &[&str]) -> String {
         let output = self.run(to, words);
         let shown = String::from_utf8_lossy(&output.stderr);
         assert!(output.status.success(), "{words:?}: {shown}");
         String::from_utf8_lossy(&output.stdout).trim().into()
     }
 
-    fn bad(&self, to: SocketAddr, words: &[&str]) -> (Option<i32>, String) {
+    fn run_err(&self, to: SocketAddr, words: &[&str]) -> (Option<i32>, String) {
         let output = self.run(to, words);
         assert!(!output.status.success(), "{words:?}");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into())
@@ -87,33 +87,33 @@
     let change = cell.file("change.json", CHANGE);
     let job = cell.file("job.json", JOB);
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(cell.good(cell.control, &["change", "apply", &change]), "in force");
-    assert_eq!(cell.good(cell.control, &["change", "get"]), CHANGE);
+    assert_eq!(cell.run_ok(cell.control, &["change", "apply", &change]), "in force");
+    assert_eq!(cell.run_ok(cell.control, &["change", "get"]), CHANGE);
     let submit = ["job", "submit", &job, "--id", ID, QUEUE[0], QUEUE[1]];
-    assert_eq!(cell.good(cell.callers, &submit), "accepted");
-    assert_eq!(cell.good(cell.callers, &submit), "accepted", "the same number again");
+    assert_eq!(cell.run_ok(cell.callers, &submit), "accepted");
+    assert_eq!(cell.run_ok(cell.callers, &submit), "accepted", "the same number again");
     let get = ["job", "get", ID, QUEUE[0], QUEUE[1]];
-    assert_eq!(cell.good(cell.callers, &get), r#"{"state":"queued"}"#);
+    assert_eq!(cell.run_ok(cell.callers, &get), r#"{"state":"queued"}"#);
     let pending = ["job", "pending", QUEUE[0], QUEUE[1]];
-    assert_eq!(cell.good(cell.callers, &pending), r#"{"pending":1}"#);
+    assert_eq!(cell.run_ok(cell.callers, &pending), r#"{"pending":1}"#);
     let cancel = ["job", "cancel", ID, QUEUE[0], QUEUE[1]];
-    assert_eq!(cell.good(cell.callers, &cancel), "cancelled");
-    assert_eq!(cell.good(cell.callers, &get), r#"{"state":"cancelled"}"#);
+    assert_eq!(cell.run_ok(cell.callers, &cancel), "cancelled");
+    assert_eq!(cell.run_ok(cell.callers, &get), r#"{"state":"cancelled"}"#);
 
-    let (code, told) =
-        cell.bad(cell.callers, &["job", "get", "00000000000000aa", QUEUE[0], QUEUE[1]]);
+    let (code, message) =
+        cell.run_err(cell.callers, &["job", "get", "00000000000000aa", QUEUE[0], QUEUE[1]]);
     assert_eq!(code, Some(1));
-    assert!(told.contains("no such job"), "{told}");
-    let (_, told) = cell.bad(cell.callers, &["job", "get", ID, "--queue", "other.example/"]);
-    assert!(told.contains("no such queue"), "{told}");
-    let (code, told) = cell.bad(cell.callers, &["job", "get", "7", QUEUE[0], QUEUE[1]]);
+    assert!(message.contains("no such job"), "{message}");
+    let (_, message) = cell.run_err(cell.callers, &["job", "get", ID, "--queue", "other.example/"]);
+    assert!(message.contains("no such queue"), "{message}");
+    let (code, message) = cell.run_err(cell.callers, &["job", "get", "7", QUEUE[0], QUEUE[1]]);
     assert_eq!(code, Some(2));
-    assert!(told.contains("16 of 0-9 and a-f"), "{told}");
+    assert!(message.contains("16 of 0-9 and a-f"), "{message}");
     let broken = cell.file("broken.json", &CHANGE.replace("\"pool\":\"p\"", "\"pool\":\"x\""));
     let newer = std::fs::read_to_string(&broken).expect("read").replace(":3,", ":4,");
     let broken = cell.file("broken.json", &newer);
-    let (_, told) = cell.bad(cell.control, &["change", "apply", &broken]);
-    assert!(told.contains("names pool x, which is not among the pools"), "{told}");
+    let (_, message) = cell.run_err(cell.control, &["change", "apply", &broken]);
+    assert!(message.contains("names pool x, which is not among the pools"), "{message}");
 }
 
 /// On call, the lines of one job are put in order from the logs of two VMs; a job that no
@@ -165,10 +165,10 @@
     std::fs::write(&path, "[copies]\nmode = \"off\"\n").expect("written");
     let cell = Cell::start_with(78, &["--policy", &path.display().to_string()]);
     std::thread::sleep(Duration::from_millis(200));
-    let shown = cell.good(cell.control, &["status"]);
+    let shown = cell.run_ok(cell.control, &["status"]);
     assert!(shown.contains("copies.mode=off") && shown.contains("e1"), "{shown}");
-    let json = cell.good(cell.control, &["status", "--json"]);
-    let told: serde_json::Value = serde_json::from_str(&json).expect("JSON");
-    assert_eq!(told["policy"]["copies"]["mode"], "off");
-    assert_eq!(told["policy"]["pacing"]["mode"], "on");
+    let json = cell.run_ok(cell.control, &["status", "--json"]);
+    let status: serde_json::Value = serde_json::from_str(&json).expect("JSON");
+    assert_eq!(status["policy"]["copies"]["mode"], "off");
+    assert_eq!(status["policy"]["pacing"]["mode"], "on");
 }
--- a/crates/yuccalink/tests/program.rs
+++ b/crates/yuccalink/tests/program.rs
@@ -16,11 +16,11 @@
     command.args(args).output().expect("the program")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn err(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -37,30 +37,30 @@
         (vec!["completions", "ed"], "write bash, zsh or fish"),
     ] {
         let output = run(None, &args);
-        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", err(&output));
-        assert!(err(&output).contains(what), "{args:?}: {}", err(&output));
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", stderr(&output));
+        assert!(stderr(&output).contains(what), "{args:?}: {}", stderr(&output));
     }
 }
 
 #[test]
 fn check_needs_no_daemon_and_reports_all_faults() {
     let good = run(None, &["check", EXAMPLE]);
-    assert!(good.status.success() && out(&good).contains("quotes version 1 is good"));
+    assert!(good.status.success() && stdout(&good).contains("quotes version 1 is good"));
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(b"service = 'q'\nversion = 0\n").expect("written");
     let path = file.path().to_str().expect("a path");
     let bad = run(None, &["check", path]);
     assert_eq!(bad.status.code(), Some(3));
-    assert!(err(&bad).contains("team") && err(&bad).contains("line 2, column 11: version"));
+    assert!(stderr(&bad).contains("team") && stderr(&bad).contains("line 2, column 11: version"));
     assert_eq!(run(None, &["check", "/nowhere"]).status.code(), Some(1));
 }
 
 #[test]
 fn help_and_completions_are_printed() {
-    assert!(out(&run(None, &["--help"])).contains("Exit codes"));
-    assert!(!out(&run(None, &["-h"])).contains("Exit codes"));
+    assert!(stdout(&run(None, &["--help"])).contains("Exit codes"));
+    assert!(!stdout(&run(None, &["-h"])).contains("Exit codes"));
     for shell in ["bash", "zsh", "fish"] {
-        assert!(out(&run(None, &["completions", shell])).contains("yuccalink"), "{shell}");
+        assert!(stdout(&run(None, &["completions", shell])).contains("yuccalink"), "{shell}");
     }
 }
 
@@ -70,8 +70,8 @@
     let address = taken.local_addr().expect("an address");
     drop(taken);
     let output = run(Some(address), &["status", "--timeout", "300ms"]);
-    assert_eq!(output.status.code(), Some(5), "{}", err(&output));
-    assert!(err(&output).contains("no daemon answers at 127.0.0.1"));
+    assert_eq!(output.status.code(), Some(5), "{}", stderr(&output));
+    assert!(stderr(&output).contains("no daemon answers at 127.0.0.1"));
 }
 
 /// A reader takes the first lines and closes the pipe: no error, no noise.
@@ -85,21 +85,21 @@
         .expect("the program");
     drop(child.stdout.take());
     let output = child.wait_with_output().expect("its end");
-    assert!(output.status.success() && output.stderr.is_empty(), "{}", err(&output));
+    assert!(output.status.success() && output.stderr.is_empty(), "{}", stderr(&output));
 }
 
 #[test]
-fn an_operators_day() {
+fn every_command_works_against_a_daemon() {
     let folder = tempfile::tempdir().expect("a folder");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let config = Config::builder().name("e1").data(folder.path()).callers(any).control(any);
     let daemon = Daemon::start(config.peer(any).build().expect("settings")).expect("a daemon");
     let server = Some(daemon.control());
     let applied = run(server, &["apply", EXAMPLE]);
-    assert!(applied.status.success(), "{}", err(&applied));
-    assert_eq!(out(&applied), "quotes version 1 accepted as revision 1, in force everywhere\n");
+    assert!(applied.status.success(), "{}", stderr(&applied));
+    assert_eq!(stdout(&applied), "quotes version 1 accepted as revision 1, in force everywhere\n");
     let again = run(server, &["--json", "apply", EXAMPLE]);
-    assert!(out(&again).contains("\"resent\": true"), "{}", out(&again));
+    assert!(stdout(&again).contains("\"resent\": true"), "{}", stdout(&again));
     assert!(run(server, &["diff", EXAMPLE]).status.success());
     let changed = folder.path().join("changed.toml");
     let text =
@@ -108,34 +108,34 @@
     let changed = changed.to_str().expect("a path");
     let diff = run(server, &["diff", changed]);
     assert_eq!(diff.status.code(), Some(7));
-    assert!(out(&diff).contains("-worth = 40\n+worth = 50"), "{}", out(&diff));
+    assert!(stdout(&diff).contains("-worth = 40\n+worth = 50"), "{}", stdout(&diff));
     let conflict = run(server, &["apply", changed]);
     assert_eq!(conflict.status.code(), Some(4));
-    assert!(err(&conflict).contains("version 1 by anna is in force"), "{}", err(&conflict));
-    assert!(out(&run(server, &["list"])).contains("quotes   vlecna-sit  1"));
-    assert!(out(&run(server, &["get", "quotes"])).contains("service = \"quotes\""));
+    assert!(stderr(&conflict).contains("version 1 by anna is in force"), "{}", stderr(&conflict));
+    assert!(stdout(&run(server, &["list"])).contains("quotes   vlecna-sit  1"));
+    assert!(stdout(&run(server, &["get", "quotes"])).contains("service = \"quotes\""));
     assert_eq!(run(server, &["get", "nets"]).status.code(), Some(1));
     let tasks = run(server, &["task", "submit", "quotes", "cut-plan", "-n", "3", "--key", "k"]);
-    assert_eq!(out(&tasks), "t1 to t3\n");
+    assert_eq!(stdout(&tasks), "t1 to t3\n");
     let tasks = run(server, &["task", "submit", "quotes", "cut-plan", "-n", "3", "--key", "k"]);
-    assert_eq!(out(&tasks), "t1 to t3 (submitted before)\n");
+    assert_eq!(stdout(&tasks), "t1 to t3 (submitted before)\n");
     assert!(
-        out(&run(server, &["task", "cancel", "t1-t2"])).contains("t2 cancelled; it had not run")
+        stdout(&run(server, &["task", "cancel", "t1-t2"])).contains("t2 cancelled; it had not run")
     );
-    let list = out(&run(server, &["task", "list", "--phase", "waiting"]));
+    let list = stdout(&run(server, &["task", "list", "--phase", "waiting"]));
     assert!(list.contains("t3") && !list.contains("t2"), "{list}");
-    assert!(out(&run(server, &["task", "show", "t1"])).contains("cancelled"));
-    assert!(out(&run(server, &["status"])).contains("e1 leads; revision 1"));
+    assert!(stdout(&run(server, &["task", "show", "t1"])).contains("cancelled"));
+    assert!(stdout(&run(server, &["status"])).contains("e1 leads; revision 1"));
     let saved = folder.path().join("saved");
     let saved = saved.to_str().expect("a path");
     let save = run(server, &["snapshot", "save", saved]);
-    assert!(out(&save).contains("1 services, 3 tasks"), "{}{}", out(&save), err(&save));
+    assert!(stdout(&save).contains("1 services, 3 tasks"), "{}{}", stdout(&save), stderr(&save));
     assert!(run(None, &["snapshot", "verify", saved]).status.success());
     let used = folder.path().to_str().expect("a path");
     let place = ["--name", "e1", "--address", "127.0.0.1:1", "--data", used];
     let full = run(None, &[["snapshot", "restore", saved].as_slice(), &place].concat());
     assert_eq!(full.status.code(), Some(8));
-    assert!(err(&full).contains("is not empty"), "{}", err(&full));
+    assert!(stderr(&full).contains("is not empty"), "{}", stderr(&full));
     let mut bytes = std::fs::read(saved).expect("the file");
     bytes[30] ^= 1;
     std::fs::write(saved, bytes).expect("written");
@@ -155,15 +155,23 @@
                held-up=former:0,room:6000 failures=0\n";
     std::fs::write(at("e1.log"), log).expect("written");
     let shown = run(None, &["losses", "--plot", &at("lost.svg"), &at("e1.log")]);
-    assert!(shown.status.success(), "{}", err(&shown));
-    assert!(out(&shown).contains("room") && out(&shown).contains("100.0%"), "{}", out(&shown));
+    assert!(shown.status.success(), "{}", stderr(&shown));
+    assert!(
+        stdout(&shown).contains("room") && stdout(&shown).contains("100.0%"),
+        "{}",
+        stdout(&shown)
+    );
     let picture = std::fs::read_to_string(at("lost.svg")).expect("a picture");
     assert!(picture.starts_with("<svg") && picture.contains("room"));
     let json = run(None, &["losses", "--json", &at("e1.log")]);
-    assert!(out(&json).contains("\"windows\""), "{}", out(&json));
+    assert!(stdout(&json).contains("\"windows\""), "{}", stdout(&json));
     let unknown = run(None, &["losses", &at("none.log")]);
-    assert!(!unknown.status.success() && err(&unknown).contains("none.log"), "{}", err(&unknown));
+    assert!(
+        !unknown.status.success() && stderr(&unknown).contains("none.log"),
+        "{}",
+        stderr(&unknown)
+    );
     std::fs::write(at("empty.log"), "nothing\n").expect("written");
     let empty = run(None, &["losses", &at("empty.log")]);
-    assert!(err(&empty).contains("give the logs of all VMs"), "{}", err(&empty));
+    assert!(stderr(&empty).contains("give the logs of all VMs"), "{}", stderr(&empty));
 }
--- a/crates/yuccalink/tests/support/mod.rs
+++ b/crates/yuccalink/tests/support/mod.rs
@@ -25,37 +25,37 @@
 pub struct Cell {
     children: Vec<Child>,
     pub folder: tempfile::TempDir,
-    number: u8,
+    address_offset: u8,
 }
 
 impl Cell {
     /// `number` is the last part of e1's address, less one; no two cells of one test program
     /// may share any of it.
-    pub fn start(number: u8) -> Self {
-        Self::start_with(number, &[])
+    pub fn start(address_offset: u8) -> Self {
+        Self::start_with(address_offset, &[])
     }
 
     /// Both processes have these flags besides.
-    pub fn start_with(number: u8, more: &[&str]) -> Self {
-        let cell = Self::new(number);
+    pub fn start_with(address_offset: u8, more: &[&str]) -> Self {
+        let cell = Self::new(address_offset);
         let leader = cell.at(1, PEER);
-        cell.launched(leader, more)
+        cell.launch_both(leader, more)
     }
 
     /// The link from e2 to the leader carries `rate` bytes a second in each direction.
-    pub fn start_linked(number: u8, rate: u64) -> Self {
-        let cell = Self::new(number);
+    pub fn start_with_slow_link(address_offset: u8, rate: u64) -> Self {
+        let cell = Self::new(address_offset);
         let forwarder = cell.at(1, FORWARDER);
         slow_link::forward(forwarder, cell.at(1, PEER), rate).expect("its address is free");
-        cell.launched(forwarder, &[])
+        cell.launch_both(forwarder, &[])
     }
 
-    fn new(number: u8) -> Self {
+    fn new(address_offset: u8) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        Self { children: Vec::new(), folder, number }
+        Self { children: Vec::new(), folder, address_offset }
     }
 
-    fn launched(mut self, leader: SocketAddr, more: &[&str]) -> Self {
+    fn launch_both(mut self, leader: SocketAddr, more: &[&str]) -> Self {
         let data = self.folder.path().join("data").display().to_string();
         let advertised = leader.to_string();
         let first = ["--found", "yes", "--data", &data, "--peer-advertised", &advertised];
@@ -67,7 +67,7 @@
     /// Loopback addresses of this process, so that fixed ports are free.
     pub fn at(&self, entry: u8, port: u16) -> SocketAddr {
         let id = std::process::id();
-        let host = Ipv4Addr::new(127, (id >> 8) as u8 | 1, id as u8, self.number + entry);
+        let host = Ipv4Addr::new(127, (id >> 8) as u8 | 1, id as u8, self.address_offset + entry);
         SocketAddr::new(IpAddr::V4(host), port)
     }
 
@@ -101,14 +101,14 @@
             .expect("the command")
     }
 
-    pub fn good(&self, entry: u8, words: &[&str]) -> String {
+    pub fn run_ok(&self, entry: u8, words: &[&str]) -> String {
         let output = self.run(entry, words);
         let shown = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.success(), "{words:?} at e{entry}: {shown}{}", self.lines_of(2));
+        assert!(output.status.success(), "{words:?} at e{entry}: {shown}{}", self.log_of(2));
         String::from_utf8_lossy(&output.stdout).trim().into()
     }
 
-    pub fn lines_of(&self, entry: u8) -> String {
+    pub fn log_of(&self, entry: u8) -> String {
         let log = self.folder.path().join(format!("e{entry}.log"));
         std::fs::read_to_string(log).unwrap_or_default()
     }
--- a/crates/yuccalinkd/benches/system.rs
+++ b/crates/yuccalinkd/benches/system.rs
@@ -17,21 +17,21 @@
 use yuccalink_fakes::Caller;
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
-const CHANGES: u64 = 100;
-const FAILOVERS: u64 = 7;
-const IDLE: Duration = Duration::from_secs(10);
-const LEDGER: Duration = Duration::from_secs(4);
+const CHANGE_COUNT: u64 = 100;
+const FAILOVER_COUNT: u64 = 7;
+const IDLE_TIME: Duration = Duration::from_secs(10);
+const LEDGER_TIME: Duration = Duration::from_secs(4);
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
     let mut daemons = Daemons::start(10).with_document();
-    idle(&daemons, "ten daemons, nothing else");
+    measure_idle(&daemons, "ten daemons, nothing else");
     daemons = daemons.with_runners(50).with_workers(50, 64);
-    idle(&daemons, "with 50 runners and 50 workers");
-    changes(&daemons);
-    ledger(&daemons);
-    tasks(&daemons);
-    failover(&mut daemons);
+    measure_idle(&daemons, "with 50 runners and 50 workers");
+    measure_changes(&daemons);
+    measure_ledger(&daemons);
+    measure_tasks(&daemons);
+    measure_failover(&mut daemons);
 }
 
 fn proc(daemons: &Daemons, at: usize, file: &str) -> String {
@@ -40,7 +40,7 @@
 }
 
 /// Processor time used, in seconds.
-fn cpu(daemons: &Daemons, at: usize) -> f64 {
+fn cpu_seconds(daemons: &Daemons, at: usize) -> f64 {
     let stat = proc(daemons, at, "stat");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
@@ -54,20 +54,21 @@
 }
 
 /// Bytes that went over the loopback device.
-fn loopback() -> u64 {
+fn loopback_bytes() -> u64 {
     let devices = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = devices.lines().find(|line| line.trim_start().starts_with("lo:"));
     line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-fn idle(daemons: &Daemons, what: &str) {
+fn measure_idle(daemons: &Daemons, what: &str) {
     thread::sleep(Duration::from_secs(3));
-    let before: Vec<f64> = (0..10).map(|at| cpu(daemons, at)).collect();
-    let bytes = loopback();
-    thread::sleep(IDLE);
-    let bytes = loopback() - bytes;
+    let before: Vec<f64> = (0..10).map(|at| cpu_seconds(daemons, at)).collect();
+    let bytes = loopback_bytes();
+    thread::sleep(IDLE_TIME);
+    let bytes = loopback_bytes() - bytes;
     let leader = daemons.leader();
-    let share = |at: usize| (cpu(daemons, at) - before[at]) / IDLE.as_secs_f64() * 100.0;
+    let share =
+        |at: usize| (cpu_seconds(daemons, at) - before[at]) / IDLE_TIME.as_secs_f64() * 100.0;
     let others: Vec<f64> = (0..10).filter(|at| *at != leader).map(share).collect();
     let most = others.iter().copied().fold(0.0, f64::max);
     let memory: Vec<u64> = (0..10).map(|at| memory_kib(daemons, at)).collect();
@@ -77,8 +78,8 @@
         share(leader),
         memory[leader],
         (0..10).filter(|at| *at != leader).map(|at| memory[at]).max().unwrap_or(0),
-        bytes as f64 / IDLE.as_secs_f64(),
-        bytes as f64 / IDLE.as_secs_f64() / 10.0
+        bytes as f64 / IDLE_TIME.as_secs_f64(),
+        bytes as f64 / IDLE_TIME.as_secs_f64() / 10.0
     );
 }
 
@@ -88,12 +89,12 @@
     format!("p50 {:.1} ms, p99 {:.1} ms, most {:.1} ms", at(0.5), at(0.99), at(1.0))
 }
 
-fn changes(daemons: &Daemons) {
+fn measure_changes(daemons: &Daemons) {
     let leader = daemons.leader();
     let before = daemons.status(leader).expect("a status").log;
-    let bytes = loopback();
+    let bytes = loopback_bytes();
     let mut times = Vec::new();
-    for version in 2..2 + CHANGES {
+    for version in 2..2 + CHANGE_COUNT {
         let started = Instant::now();
         let reply = daemons.apply((version % 10) as usize, version).expect("an answer");
         assert!(reply.text().contains("\"in-force-everywhere\":true"), "{}", reply.text());
@@ -103,13 +104,13 @@
     println!("a change in force on all ten entries: {}", quantiles(&mut times));
     println!(
         "per change: {:.2} syncs at the leader, {:.0} bytes of its log, {:.0} bytes over loopback",
-        (after.syncs - before.syncs) as f64 / CHANGES as f64,
-        (after.bytes - before.bytes) as f64 / CHANGES as f64,
-        (loopback() - bytes) as f64 / CHANGES as f64
+        (after.syncs - before.syncs) as f64 / CHANGE_COUNT as f64,
+        (after.bytes - before.bytes) as f64 / CHANGE_COUNT as f64,
+        (loopback_bytes() - bytes) as f64 / CHANGE_COUNT as f64
     );
     daemons.signal(9, "-STOP");
     let started = Instant::now();
-    let reply = daemons.apply(0, 2 + CHANGES).expect("an answer");
+    let reply = daemons.apply(0, 2 + CHANGE_COUNT).expect("an answer");
     let took = started.elapsed();
     daemons.signal(9, "-CONT");
     assert!(reply.text().contains("\"in-force-everywhere\":true"), "{}", reply.text());
@@ -119,12 +120,12 @@
     );
 }
 
-fn ledger(daemons: &Daemons) {
+fn measure_ledger(daemons: &Daemons) {
     let mut one = 0.0;
     for callers in [1usize, 64] {
         let leader = daemons.leader();
         let before = daemons.status(leader).expect("a status").log;
-        let rate = once_per_second(daemons, callers);
+        let rate = at_most_once_rate(daemons, callers);
         let after = daemons.status(leader).expect("a status").log;
         if callers == 1 {
             one = rate;
@@ -138,7 +139,7 @@
     }
 }
 
-fn once_per_second(daemons: &Daemons, callers: usize) -> f64 {
+fn at_most_once_rate(daemons: &Daemons, callers: usize) -> f64 {
     let done = Arc::new(AtomicU64::new(0));
     let started = Instant::now();
     let threads: Vec<_> = (0..callers.min(4))
@@ -155,7 +156,12 @@
                         .enumerate()
                         .map(|(at, entry)| {
                             let name = format!("{callers}-{thread}-{at}");
-                            tokio::task::spawn_local(once(entry, name, started, done.clone()))
+                            tokio::task::spawn_local(send_at_most_once(
+                                entry,
+                                name,
+                                started,
+                                done.clone(),
+                            ))
                         })
                         .collect();
                     for task in tasks {
@@ -166,13 +172,18 @@
         })
         .collect();
     threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
-    done.load(Ordering::SeqCst) as f64 / LEDGER.as_secs_f64()
+    done.load(Ordering::SeqCst) as f64 / LEDGER_TIME.as_secs_f64()
 }
 
-async fn once(entry: std::net::SocketAddr, name: String, started: Instant, done: Arc<AtomicU64>) {
+async fn send_at_most_once(
+    entry: std::net::SocketAddr,
+    name: String,
+    started: Instant,
+    done: Arc<AtomicU64>,
+) {
     let pool = Pool::new(PoolSettings::default());
     let mut number = 0u64;
-    while started.elapsed() < LEDGER {
+    while started.elapsed() < LEDGER_TIME {
         number += 1;
         let caller = Caller::new(entry).header("idempotency-key", &format!("{name}-{number}"));
         let reply = caller.send_on(&pool, "POST", "/q/once", b"x").await;
@@ -182,7 +193,7 @@
     }
 }
 
-fn tasks(daemons: &Daemons) {
+fn measure_tasks(daemons: &Daemons) {
     let leader = daemons.leader();
     let before = memory_kib(daemons, leader);
     let log = daemons.status(leader).expect("a status").log;
@@ -202,12 +213,12 @@
     thread::sleep(Duration::from_secs(3));
     let grown = memory_kib(daemons, leader).saturating_sub(before);
     println!("memory of the leader per task: {:.0} bytes", grown as f64 * 1024.0 / 10_000.0);
-    idle(daemons, "with 10,000 tasks as well");
+    measure_idle(daemons, "with 10,000 tasks as well");
 }
 
-fn failover(daemons: &mut Daemons) {
+fn measure_failover(daemons: &mut Daemons) {
     let mut times = Vec::new();
-    for round in 0..FAILOVERS {
+    for round in 0..FAILOVER_COUNT {
         let leader = daemons.leader();
         let through = (0..10).find(|at| *at != leader).expect("an entry");
         daemons.kill(leader);
--- a/crates/yuccalinkd/src/app.rs
+++ b/crates/yuccalinkd/src/app.rs
@@ -1,6 +1,6 @@
 //! Turns settings into a running daemon and signals into its stop.
 
-use crate::args::{self, Asked, Bad};
+use crate::args::{self, ArgumentError, Invocation};
 use crate::cell;
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -11,18 +11,18 @@
 
 const VERSION: &str = concat!("yuccalinkd ", env!("CARGO_PKG_VERSION"), "\n");
 /// How often the disk's state is looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const DISK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Word that runs the process under the platform's settings.
-const PLATFORM: &str = "platform";
+const PLATFORM_COMMAND: &str = "platform";
 /// Word that runs one process of a job cell by flags.
-const CELL: &str = "cell";
+const CELL_COMMAND: &str = "cell";
 
 /// Why the program ends with an error.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum Failure {
     /// {0}
-    Settings(Bad),
+    Settings(ArgumentError),
     /// {0}
     Daemon(yuccalink_daemon::Error),
     /// the disk failed: {0}
@@ -46,23 +46,23 @@
 }
 
 pub(crate) fn run() -> Result<(), Failure> {
-    let word = std::env::args_os().nth(1);
-    match word.as_deref().and_then(|word| word.to_str()) {
-        Some(PLATFORM) => return on_platform(),
-        Some(CELL) => return in_cell(),
+    let command = std::env::args_os().nth(1);
+    match command.as_deref().and_then(|command| command.to_str()) {
+        Some(PLATFORM_COMMAND) => return run_on_platform(),
+        Some(CELL_COMMAND) => return run_cell_process(),
         _ => {}
     }
     let parser = lexopt::Parser::from_env();
-    match args::read(parser, |name| std::env::var_os(name)).map_err(Failure::Settings)? {
-        Asked::ShortHelp => print(&args::help(false)),
-        Asked::LongHelp => print(&args::help(true)),
-        Asked::Version => print(VERSION),
-        Asked::Run(config) => serve(config.build().map_err(Failure::Daemon)?),
+    match args::parse(parser, |name| std::env::var_os(name)).map_err(Failure::Settings)? {
+        Invocation::ShortHelp => print(&args::help(false)),
+        Invocation::LongHelp => print(&args::help(true)),
+        Invocation::Version => print(VERSION),
+        Invocation::Run(config) => serve(config.build().map_err(Failure::Daemon)?),
     }
 }
 
 /// Runs a process of a cell as the platform's settings say.
-fn on_platform() -> Result<(), Failure> {
+fn run_on_platform() -> Result<(), Failure> {
     start_logging()?;
     let result = yuccalink_platform::run().map_err(Failure::Platform);
     yuccalink_daemon::finish_logging();
@@ -70,18 +70,18 @@
 }
 
 /// Runs a process of a cell as its flags say.
-fn in_cell() -> Result<(), Failure> {
+fn run_cell_process() -> Result<(), Failure> {
     let parser = lexopt::Parser::from_args(std::env::args_os().skip(2));
-    let builder = match cell::read(parser, |name| std::env::var_os(name)) {
-        Ok(Asked::ShortHelp) => return print(&cell::help(false)),
-        Ok(Asked::LongHelp) => return print(&cell::help(true)),
-        Ok(Asked::Version) => return print(VERSION),
-        Ok(Asked::Run(builder)) => *builder,
+    let builder = match cell::parse(parser, |name| std::env::var_os(name)) {
+        Ok(Invocation::ShortHelp) => return print(&cell::help(false)),
+        Ok(Invocation::LongHelp) => return print(&cell::help(true)),
+        Ok(Invocation::Version) => return print(VERSION),
+        Ok(Invocation::Run(builder)) => *builder,
         Err(bad) => return Err(Failure::Settings(bad)),
     };
     let config = builder.build().map_err(Failure::Daemon)?;
     start_logging()?;
-    let flags = Box::new(cell::Flags(config.seeds().to_vec()));
+    let flags = Box::new(cell::FixedSeeds(config.seeds().to_vec()));
     let result = yuccalink_daemon::cell::run(config, Box::new(Native), flags);
     yuccalink_daemon::finish_logging();
     result.map_err(Failure::Daemon)
@@ -124,12 +124,12 @@
     runtime.block_on(async {
         let mut term = signal(SignalKind::terminate()).map_err(Failure::Start)?;
         let mut int = signal(SignalKind::interrupt()).map_err(Failure::Start)?;
-        let mut look = tokio::time::interval(LOOK);
+        let mut disk_check = tokio::time::interval(DISK_CHECK_INTERVAL);
         loop {
             tokio::select! {
                 _ = term.recv() => return Ok(None),
                 _ = int.recv() => return Ok(None),
-                _ = look.tick() => {
+                _ = disk_check.tick() => {
                     if let Some(error) = daemon.failure() {
                         return Ok(Some(error));
                     }
--- a/crates/yuccalinkd/src/args.rs
+++ b/crates/yuccalinkd/src/args.rs
@@ -11,7 +11,7 @@
 
 /// What is wrong with a flag or variable.
 #[derive(Debug, displaydoc::Display)]
-pub(crate) enum Bad {
+pub(crate) enum ArgumentError {
     /// {0}; see `yuccalinkd --help`
     Usage(lexopt::Error),
     /// {from}: `{value}` is not accepted: {why}
@@ -27,11 +27,11 @@
     NotText(Box<str>),
 }
 
-impl std::error::Error for Bad {}
+impl std::error::Error for ArgumentError {}
 
 /// What the command line asks for.
 #[derive(Debug)]
-pub(crate) enum Asked<B = ConfigBuilder> {
+pub(crate) enum Invocation<B = ConfigBuilder> {
     /// Run with these settings.
     Run(Box<B>),
     /// Print the short help.
@@ -42,7 +42,7 @@
     Version,
 }
 
-type Set<B> = fn(B, &str) -> Result<B, String>;
+type Setter<B> = fn(B, &str) -> Result<B, String>;
 
 /// One setting: `--flag` and `YUCCALINK_FLAG`.
 pub(crate) struct Setting<B = ConfigBuilder> {
@@ -50,7 +50,7 @@
     pub(crate) value: &'static str,
     pub(crate) short: &'static str,
     pub(crate) long: &'static str,
-    pub(crate) set: Set<B>,
+    pub(crate) set: Setter<B>,
 }
 
 /// All settings, in the order of the help.
@@ -82,35 +82,35 @@
         value: "NAME=IP:PORT,...",
         short: "the daemons that keep the state [none: this one runs alone]",
         long: "Names and daemon addresses of the entry VMs with a disk, the same list everywhere.",
-        set: |config, text| Ok(config.voters(voters(text)?)),
+        set: |config, text| Ok(config.voters(parse_voters(text)?)),
     },
     Setting {
         flag: "callers",
         value: "IP:PORT",
         short: "where callers connect [127.0.0.1:8080]",
         long: "Behind the platform's balancer. Port 0 takes any free one.",
-        set: |config, text| Ok(config.callers(address(text)?)),
+        set: |config, text| Ok(config.callers(parse_address(text)?)),
     },
     Setting {
         flag: "callers-advertised",
         value: "IP:PORT",
         short: "where other entries hand requests to [as --callers]",
         long: "Needed where --callers is a wildcard such as 0.0.0.0:8080.",
-        set: |config, text| Ok(config.callers_advertised(Some(address(text)?))),
+        set: |config, text| Ok(config.callers_advertised(Some(parse_address(text)?))),
     },
     Setting {
         flag: "control",
         value: "IP:PORT",
         short: "where targets and operators connect [127.0.0.1:8081]",
         long: "Also serves /livez and /readyz to the platform.",
-        set: |config, text| Ok(config.control(address(text)?)),
+        set: |config, text| Ok(config.control(parse_address(text)?)),
     },
     Setting {
         flag: "peer",
         value: "IP:PORT",
         short: "where other daemons connect [127.0.0.1:8082]",
         long: "Keep it reachable from entry VMs only.",
-        set: |config, text| Ok(config.peer(address(text)?)),
+        set: |config, text| Ok(config.peer(parse_address(text)?)),
     },
     Setting {
         flag: "peer-keys",
@@ -125,167 +125,167 @@
         value: "N",
         short: "threads for callers' traffic [2]",
         long: "One less than the VM has processors is a good start.",
-        set: |config, text| Ok(config.traffic_threads(number(text)?)),
+        set: |config, text| Ok(config.traffic_threads(parse_number(text)?)),
     },
     Setting {
         flag: "connections",
         value: "N",
         short: "callers' connections at once [4096]",
         long: "Further ones wait to be accepted.",
-        set: |config, text| Ok(config.connections(number(text)?)),
+        set: |config, text| Ok(config.connections(parse_number(text)?)),
     },
     Setting {
         flag: "body-max",
         value: "SIZE",
         short: "largest request body [1MiB]",
         long: "Requests are read whole before they are sent on; answers are not. In MiB, GiB or TiB.",
-        set: |config, text| Ok(config.body_max(size(text)?)),
+        set: |config, text| Ok(config.body_max(parse_size(text)?)),
     },
     Setting {
         flag: "head-timeout",
         value: "TIME",
         short: "time for the head of a request [5s]",
         long: "A connection that takes longer is answered 408 and closed.",
-        set: |config, text| Ok(config.head_timeout(time(text)?)),
+        set: |config, text| Ok(config.head_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "body-timeout",
         value: "TIME",
         short: "time for the body of a request [10s]",
         long: "A request that takes longer is answered 400 as not run.",
-        set: |config, text| Ok(config.body_timeout(time(text)?)),
+        set: |config, text| Ok(config.body_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "idle-timeout",
         value: "TIME",
         short: "time that a connection may stay unused [60s]",
         long: "Longer than the balancer keeps its own, so that it closes first.",
-        set: |config, text| Ok(config.idle_timeout(time(text)?)),
+        set: |config, text| Ok(config.idle_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "stall-timeout",
         value: "TIME",
         short: "time that a caller may leave an answer untaken [10s]",
         long: "Then its connection is cut and the runner's slot given back.",
-        set: |config, text| Ok(config.stall_timeout(time(text)?)),
+        set: |config, text| Ok(config.stall_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "connect-timeout",
         value: "TIME",
         short: "time for a connection to a runner [500ms]",
         long: "A request whose runner cannot be reached goes to another one.",
-        set: |config, text| Ok(config.connect_timeout(time(text)?)),
+        set: |config, text| Ok(config.connect_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "drain-delay",
         value: "TIME",
         short: "time between turning red and refusing callers at a stop [5s]",
         long: "As long as the balancer takes to notice a red health check.",
-        set: |config, text| Ok(config.drain_delay(time(text)?)),
+        set: |config, text| Ok(config.drain_delay(parse_duration(text)?)),
     },
     Setting {
         flag: "statsd",
         value: "IP:PORT",
         short: "where metrics go, as StatsD over UDP [nowhere]",
         long: "The metrics are listed in docs/OPERATIONS.md.",
-        set: |config, text| Ok(config.statsd(Some(address(text)?))),
+        set: |config, text| Ok(config.statsd(Some(parse_address(text)?))),
     },
 ];
 
 /// Reads the environment, then the command line, which goes first.
-pub(crate) fn read<E>(parser: Parser, environment: E) -> Result<Asked, Bad>
+pub(crate) fn parse<E>(parser: Parser, environment: E) -> Result<Invocation, ArgumentError>
 where
     E: Fn(&str) -> Option<OsString>,
 {
-    read_all(parser, environment, &SETTINGS, Config::builder())
+    parse_settings(parser, environment, &SETTINGS, Config::builder())
 }
 
 /// The same for any table of settings.
-pub(crate) fn read_all<B, E>(
+pub(crate) fn parse_settings<B, E>(
     parser: Parser,
     environment: E,
     settings: &[Setting<B>],
     mut config: B,
-) -> Result<Asked<B>, Bad>
+) -> Result<Invocation<B>, ArgumentError>
 where
     E: Fn(&str) -> Option<OsString>,
 {
-    let mut given: BTreeMap<&'static str, (Box<str>, OsString)> = BTreeMap::new();
+    let mut values: BTreeMap<&'static str, (Box<str>, OsString)> = BTreeMap::new();
     for setting in settings {
-        let variable = variable(setting.flag);
+        let variable = environment_variable(setting.flag);
         if let Some(value) = environment(&variable) {
-            given.insert(setting.flag, (variable.into(), value));
+            values.insert(setting.flag, (variable.into(), value));
         }
     }
-    if let Some(other) = flags(parser, settings, &mut given)? {
-        return Ok(other);
+    if let Some(invocation) = parse_flags(parser, settings, &mut values)? {
+        return Ok(invocation);
     }
     for setting in settings {
-        let Some((from, value)) = given.remove(setting.flag) else { continue };
-        let text = value.to_str().ok_or_else(|| Bad::NotText(from.clone()))?;
-        config = (setting.set)(config, text).map_err(|why| Bad::Value {
+        let Some((from, value)) = values.remove(setting.flag) else { continue };
+        let text = value.to_str().ok_or_else(|| ArgumentError::NotText(from.clone()))?;
+        config = (setting.set)(config, text).map_err(|why| ArgumentError::Value {
             from,
             value: text.into(),
             why: why.into(),
         })?;
     }
-    Ok(Asked::Run(Box::new(config)))
+    Ok(Invocation::Run(Box::new(config)))
 }
 
-fn flags<B>(
+fn parse_flags<B>(
     mut parser: Parser,
     settings: &[Setting<B>],
-    given: &mut BTreeMap<&'static str, (Box<str>, OsString)>,
-) -> Result<Option<Asked<B>>, Bad> {
-    while let Some(arg) = parser.next().map_err(Bad::Usage)? {
+    values: &mut BTreeMap<&'static str, (Box<str>, OsString)>,
+) -> Result<Option<Invocation<B>>, ArgumentError> {
+    while let Some(arg) = parser.next().map_err(ArgumentError::Usage)? {
         match arg {
-            Arg::Short('h') => return Ok(Some(Asked::ShortHelp)),
-            Arg::Long("help") => return Ok(Some(Asked::LongHelp)),
-            Arg::Short('V') | Arg::Long("version") => return Ok(Some(Asked::Version)),
+            Arg::Short('h') => return Ok(Some(Invocation::ShortHelp)),
+            Arg::Long("help") => return Ok(Some(Invocation::LongHelp)),
+            Arg::Short('V') | Arg::Long("version") => return Ok(Some(Invocation::Version)),
             Arg::Long(name) => {
                 let setting = settings.iter().find(|setting| setting.flag == name);
                 let Some(setting) = setting else {
-                    return Err(Bad::Usage(Arg::Long(name).unexpected()));
+                    return Err(ArgumentError::Usage(Arg::Long(name).unexpected()));
                 };
-                let value = parser.value().map_err(Bad::Usage)?;
-                given.insert(setting.flag, (format!("--{}", setting.flag).into(), value));
+                let value = parser.value().map_err(ArgumentError::Usage)?;
+                values.insert(setting.flag, (format!("--{}", setting.flag).into(), value));
             }
-            other => return Err(Bad::Usage(other.unexpected())),
+            other => return Err(ArgumentError::Usage(other.unexpected())),
         }
     }
     Ok(None)
 }
 
-fn variable(flag: &str) -> String {
+fn environment_variable(flag: &str) -> String {
     format!("YUCCALINK_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-pub(crate) fn address(text: &str) -> Result<SocketAddr, String> {
+pub(crate) fn parse_address(text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| "write IP:PORT, such as 127.0.0.1:8080".into())
 }
 
-pub(crate) fn number(text: &str) -> Result<usize, String> {
+pub(crate) fn parse_number(text: &str) -> Result<usize, String> {
     OsString::from(text).parse().map_err(|_| "write a whole number".into())
 }
 
-pub(crate) fn time(text: &str) -> Result<Duration, String> {
+pub(crate) fn parse_duration(text: &str) -> Result<Duration, String> {
     units::millis(text).map(Duration::from_millis).map_err(|bad| bad.to_string())
 }
 
-fn size(text: &str) -> Result<usize, String> {
+fn parse_size(text: &str) -> Result<usize, String> {
     const MIB: u64 = 1024 * 1024;
     let mib = units::mebibytes(text).map_err(|bad| bad.to_string())?;
     usize::try_from(mib.saturating_mul(MIB)).map_err(|_| "is too large".into())
 }
 
-fn voters(text: &str) -> Result<Vec<Peer>, String> {
-    text.split(',').map(str::trim).filter(|part| !part.is_empty()).map(voter).collect()
+fn parse_voters(text: &str) -> Result<Vec<Peer>, String> {
+    text.split(',').map(str::trim).filter(|part| !part.is_empty()).map(parse_voter).collect()
 }
 
-fn voter(part: &str) -> Result<Peer, String> {
+fn parse_voter(part: &str) -> Result<Peer, String> {
     let (name, at) = part.split_once('=').ok_or_else(|| format!("`{part}`: write NAME=IP:PORT"))?;
     let name = Name::new(name).map_err(|bad| bad.to_string())?;
-    Ok(Peer { name, address: address(at)? })
+    Ok(Peer { name, address: parse_address(at)? })
 }
 
 /// The help: a line a setting, or with `long` a paragraph each.
@@ -303,11 +303,16 @@
          served for --drain-delay more, those in flight are finished, and it exits with 0.\n\n\
          Exit codes: 0 stopped as asked, 1 failed while running, 2 wrong settings,\n\
          3 the state on the disk cannot be used.\n";
-    help_of(&SETTINGS, head, if long { tail } else { "" }, long)
+    render_help(&SETTINGS, head, if long { tail } else { "" }, long)
 }
 
 /// The help of any table of settings.
-pub(crate) fn help_of<B>(settings: &[Setting<B>], head: &str, tail: &str, long: bool) -> String {
+pub(crate) fn render_help<B>(
+    settings: &[Setting<B>],
+    head: &str,
+    tail: &str,
+    long: bool,
+) -> String {
     let mut out = String::from(head);
     for setting in settings {
         let head = format!("--{} {}", setting.flag, setting.value);
--- a/crates/yuccalinkd/src/cell.rs
+++ b/crates/yuccalinkd/src/cell.rs
@@ -1,6 +1,6 @@
 //! Flags and variables of `yuccalinkd cell`.
 
-use crate::args::{self, Asked, Bad, Setting};
+use crate::args::{self, ArgumentError, Invocation, Setting};
 use lexopt::Parser;
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -35,63 +35,63 @@
         value: "IP:PORT",
         short: "where other processes connect [127.0.0.1:8082]",
         long: "Keep it reachable from entry VMs only.",
-        set: |config, text| Ok(config.peer(args::address(text)?)),
+        set: |config, text| Ok(config.peer(args::parse_address(text)?)),
     },
     Setting {
         flag: "peer-advertised",
         value: "IP:PORT",
         short: "where other processes reach it [as --peer]",
         long: "Needed behind a forwarder.",
-        set: |config, text| Ok(config.peer_advertised(args::address(text)?)),
+        set: |config, text| Ok(config.peer_advertised(args::parse_address(text)?)),
     },
     Setting {
         flag: "seeds",
         value: "IP:PORT,...",
         short: "where some other processes listen for peers",
         long: "The same list everywhere when the cell is founded; later any that are up.",
-        set: |config, text| Ok(config.seeds(addresses(text)?)),
+        set: |config, text| Ok(config.seeds(parse_addresses(text)?)),
     },
     Setting {
         flag: "found",
         value: "yes|no",
         short: "whether the cell is new [no]",
         long: "The first of the seeds with a disk founds it, if that disk is empty.",
-        set: |config, text| Ok(config.bootstrap(yes(text)?)),
+        set: |config, text| Ok(config.bootstrap(parse_yes_no(text)?)),
     },
     Setting {
         flag: "losses",
         value: "N",
         short: "disks that may be lost at once [1]",
         long: "Decides how many vote: 3 for 1, 5 for 2.",
-        set: |config, text| Ok(config.tolerated_disk_losses(args::number(text)?)),
+        set: |config, text| Ok(config.tolerated_disk_losses(args::parse_number(text)?)),
     },
     Setting {
         flag: "callers",
         value: "IP:PORT",
         short: "where callers connect [none]",
         long: "Behind the platform's balancer.",
-        set: |config, text| Ok(config.callers(args::address(text)?)),
+        set: |config, text| Ok(config.callers(args::parse_address(text)?)),
     },
     Setting {
         flag: "control",
         value: "IP:PORT",
         short: "where runners and operators connect [none]",
         long: "Runners stay with the process that they reached first.",
-        set: |config, text| Ok(config.control(args::address(text)?)),
+        set: |config, text| Ok(config.control(args::parse_address(text)?)),
     },
     Setting {
         flag: "ready",
         value: "IP:PORT",
         short: "where the balancer asks whether it is ready [none]",
         long: "200 while it can serve callers, else 503.",
-        set: |config, text| Ok(config.ready(args::address(text)?)),
+        set: |config, text| Ok(config.ready(args::parse_address(text)?)),
     },
     Setting {
         flag: "metrics",
         value: "IP:PORT",
         short: "where counters and histograms are read [none]",
         long: "As text, one figure a line.",
-        set: |config, text| Ok(config.metrics(args::address(text)?)),
+        set: |config, text| Ok(config.metrics(args::parse_address(text)?)),
     },
     Setting {
         flag: "policy",
@@ -110,24 +110,27 @@
         short: "connections of callers, runners and operators held at once [800]",
         long: "Further ones are told to come back. Keep it below the limit of open files, of \
                which other processes of the cell and the data folder need some.",
-        set: |config, text| Ok(config.connections_max(args::number(text)?)),
+        set: |config, text| Ok(config.connections_max(args::parse_number(text)?)),
     },
     Setting {
         flag: "drain",
         value: "TIME",
         short: "how long a stopping process goes on serving [3s]",
         long: "For the balancer to notice that it is not ready any more.",
-        set: |config, text| Ok(config.drain(args::time(text)?)),
+        set: |config, text| Ok(config.drain(args::parse_duration(text)?)),
     },
 ];
 
 /// Reads the environment, then the command line after the word `cell`.
-pub(crate) fn read<E>(parser: Parser, environment: E) -> Result<Asked<CellConfigBuilder>, Bad>
+pub(crate) fn parse<E>(
+    parser: Parser,
+    environment: E,
+) -> Result<Invocation<CellConfigBuilder>, ArgumentError>
 where
     E: Fn(&str) -> Option<OsString>,
 {
-    let any = SocketAddr::from(([127, 0, 0, 1], 8_082));
-    args::read_all(parser, environment, &SETTINGS, CellConfig::builder("entry", any))
+    let default_peer = SocketAddr::from(([127, 0, 0, 1], 8_082));
+    args::parse_settings(parser, environment, &SETTINGS, CellConfig::builder("entry", default_peer))
 }
 
 /// The help: a line a setting, or with `long` a paragraph each.
@@ -138,15 +141,15 @@
     let tail = "\nSIGTERM and SIGINT stop it gracefully; SIGHUP is taken and changes nothing, since\n\
          flags cannot change.\n\n\
          Exit codes: 0 stopped as asked, 1 failed while running, 2 wrong settings.\n";
-    args::help_of(&SETTINGS, head, if long { tail } else { "" }, long)
+    args::render_help(&SETTINGS, head, if long { tail } else { "" }, long)
 }
 
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, String> {
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, String> {
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
-    parts.map(args::address).collect()
+    parts.map(args::parse_address).collect()
 }
 
-fn yes(text: &str) -> Result<bool, String> {
+fn parse_yes_no(text: &str) -> Result<bool, String> {
     match text {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -155,9 +158,9 @@
 }
 
 /// Flags do not change while a process runs.
-pub(crate) struct Flags(pub(crate) Vec<SocketAddr>);
+pub(crate) struct FixedSeeds(pub(crate) Vec<SocketAddr>);
 
-impl SeedSource for Flags {
+impl SeedSource for FixedSeeds {
     fn seeds(&self) -> Result<Vec<SocketAddr>, Box<str>> {
         Ok(self.0.clone())
     }
--- a/crates/yuccalinkd/tests/slow_link.rs
+++ b/crates/yuccalinkd/tests/slow_link.rs
@@ -7,17 +7,17 @@
 use yuccalink_fakes::slow_link;
 
 /// Bytes a second: a fifth of 2 Mbit/s.
-const RATE: u64 = 50_000;
+const BYTES_PER_SECOND: u64 = 50_000;
 /// With 40 KB each they take 9.6 s over the link, six times what one call may.
-const SERVICES: usize = 12;
-const TEXT: usize = 40_000;
+const SERVICE_COUNT: usize = 12;
+const DOCUMENT_BYTES: usize = 40_000;
 
 /// More documents than the link carries within one call kept an entry out of service for ever.
 #[test]
 fn an_entry_behind_a_slow_link_comes_into_service_with_any_number_of_documents() {
     let mut daemons = Daemons::start(4);
-    for service in 0..SERVICES {
-        let comment = "#".repeat(TEXT);
+    for service in 0..SERVICE_COUNT {
+        let comment = "#".repeat(DOCUMENT_BYTES);
         let text = format!("service = 's{service}'\nteam = 't'\nversion = 1\n{comment}\n");
         let reply = daemons.control(0).put(&format!("/v1/services/s{service}"), text.as_bytes());
         assert_eq!(reply.expect("an answer").status, 200);
@@ -25,12 +25,13 @@
     daemons.kill(3);
     let slow = |voter| {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        slow_link::forward(any, daemons.address(voter, 8082), RATE).expect("a forwarder")
+        slow_link::forward(any, daemons.address(voter, 8082), BYTES_PER_SECOND)
+            .expect("a forwarder")
     };
     let voters: Vec<SocketAddr> = (0..VOTERS).map(slow).collect();
     daemons.launch_with(3, &voters);
     until("the entry behind the slow link", || daemons.is_ready(3).then_some(()));
-    for service in 0..SERVICES {
+    for service in 0..SERVICE_COUNT {
         let reply = daemons.control(3).get(&format!("/v1/services/s{service}"));
         assert_eq!(reply.expect("an answer").status, 200, "s{service}");
     }
--- a/crates/yuccalinkd/tests/support/mod.rs
+++ b/crates/yuccalinkd/tests/support/mod.rs
@@ -34,7 +34,7 @@
 
 /// Loopback addresses that no other test of this machine uses, so that daemons
 /// can be started again where they were.
-fn network() -> [u8; 2] {
+fn loopback_prefix() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
     [(number >> 8) as u8 | 1, number as u8]
@@ -54,7 +54,7 @@
     pub fn start(count: usize) -> Self {
         let mut daemons = Self {
             folder: tempfile::tempdir().expect("a folder"),
-            network: network(),
+            network: loopback_prefix(),
             children: (0..count).map(|_| None).collect(),
             runners: Vec::new(),
             workers: Vec::new(),
@@ -230,7 +230,7 @@
         self
     }
 
-    pub fn no_breach(&self) {
+    pub fn assert_no_violations(&self) {
         let requests = self.requests.lock().expect("a lock").violations();
         assert!(requests.is_empty(), "{requests:?}");
         let tasks = self.tasks.lock().expect("a lock");
@@ -259,9 +259,9 @@
         let entries: Vec<SocketAddr> =
             (0..self.children.len()).map(|at| self.callers(at)).collect();
         for caller in 0..callers {
-            let (load, entries) = (load.share(), entries.clone());
-            let watch = self.requests.clone();
-            threads.push(thread::spawn(move || load.run(caller, &entries, &watch)));
+            let (load, entries) = (load.clone_handles(), entries.clone());
+            let checker = self.requests.clone();
+            threads.push(thread::spawn(move || load.run(caller, &entries, &checker)));
         }
         Load { threads, ..load }
     }
@@ -300,7 +300,7 @@
 }
 
 impl Load {
-    fn share(&self) -> Self {
+    fn clone_handles(&self) -> Self {
         Self {
             health: self.health.clone(),
             stop: self.stop.clone(),
@@ -310,7 +310,7 @@
         }
     }
 
-    fn run(&self, caller: usize, entries: &[SocketAddr], watch: &Mutex<RequestChecker>) {
+    fn run(&self, caller: usize, entries: &[SocketAddr], checker: &Mutex<RequestChecker>) {
         let mut at = caller;
         let mut number = 0u64;
         while !self.stop.load(Ordering::SeqCst) {
@@ -318,26 +318,28 @@
             let tag = caller as u64 * 1_000_000 + number;
             let once = number.is_multiple_of(4);
             let label = format!("n{tag}");
-            watch.lock().expect("a lock").sent(&label, tag, once);
-            let Some(entry) = self.pick(entries, &mut at) else { continue };
-            let mut told = self.ask(entry, tag, once, &label);
+            checker.lock().expect("a lock").sent(&label, tag, once);
+            let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
+            let mut outcome = self.send_request(entry, tag, once, &label);
             // A caller that wants its invoice asks again with the same key.
-            while once && told == Some(CallerOutcome::Unknown) && !self.stop.load(Ordering::SeqCst)
+            while once
+                && outcome == Some(CallerOutcome::Unknown)
+                && !self.stop.load(Ordering::SeqCst)
             {
-                let Some(entry) = self.pick(entries, &mut at) else { continue };
-                match self.ask(entry, tag, once, &label) {
+                let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
+                match self.send_request(entry, tag, once, &label) {
                     Some(CallerOutcome::Unknown) | None => break,
-                    other => told = other,
+                    other => outcome = other,
                 }
             }
-            if let Some(told) = told {
-                watch.lock().expect("a lock").record_outcome(&label, told);
+            if let Some(outcome) = outcome {
+                checker.lock().expect("a lock").record_outcome(&label, outcome);
             }
         }
     }
 
     /// The next entry whose health check is green.
-    fn pick(&self, entries: &[SocketAddr], at: &mut usize) -> Option<SocketAddr> {
+    fn next_healthy_entry(&self, entries: &[SocketAddr], at: &mut usize) -> Option<SocketAddr> {
         for _ in 0..entries.len() {
             *at += 1;
             if self.health[*at % entries.len()].load(Ordering::SeqCst) {
@@ -348,14 +350,20 @@
     }
 
     /// `None` when the connection failed, which tells nothing.
-    fn ask(&self, entry: SocketAddr, tag: u64, once: bool, label: &str) -> Option<CallerOutcome> {
+    fn send_request(
+        &self,
+        entry: SocketAddr,
+        tag: u64,
+        once: bool,
+        label: &str,
+    ) -> Option<CallerOutcome> {
         let caller = Caller::new(entry).header("fake-tag", &tag.to_string());
         let caller = caller.header("fake-name", label).header("fake-delay-ms", "3");
         let reply = match once {
             true => caller.header("idempotency-key", label).post("/q/once", b"x"),
             false => caller.post("/q/any", b"x"),
         };
-        let told = match &reply {
+        let outcome = match &reply {
             Ok(reply) if reply.status == 200 => {
                 self.answered.fetch_add(1, Ordering::SeqCst);
                 return Some(CallerOutcome::Answer(reply.text().parse().expect("a tag")));
@@ -371,7 +379,7 @@
             Err(error) => error,
         };
         self.failed.lock().expect("a lock").push(format!("{entry} {label}: {words}"));
-        told
+        outcome
     }
 
     pub fn wait_for(&self, more: u64) {
--- a/crates/yuccalinkd/tests/system.rs
+++ b/crates/yuccalinkd/tests/system.rs
@@ -48,7 +48,7 @@
         let reply = daemons.control(at).get("/v1/services/q").expect("an answer").text();
         assert!(reply.contains(&format!("\"version\":{version}")), "{reply}");
     }
-    daemons.no_breach();
+    daemons.assert_no_violations();
 }
 
 /// An entry is frozen without a word. A change is in force everywhere all the
@@ -145,7 +145,7 @@
     let (answered, failed) = load.finish();
     assert!(answered > 700);
     assert!(failed.is_empty(), "{} failed: {}", failed.len(), failed.join("\n"));
-    daemons.no_breach();
+    daemons.assert_no_violations();
 }
 
 /// What a change costs in syncs and in bytes of the log, and that changes which come
@@ -181,7 +181,7 @@
     assert!(at_once.syncs - one_by_one.syncs < 48, "nothing shared a sync");
 }
 
-fn operate(daemons: &Daemons, at: usize, command: Command) -> command::Output {
+fn run_command(daemons: &Daemons, at: usize, command: Command) -> command::Output {
     let client = Client::builder().servers(vec![daemons.address(at, 8081)]).build();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let work = command::run(&client, command);
@@ -196,8 +196,8 @@
     let mut daemons = Daemons::start(10).with_document();
     assert_eq!(daemons.apply(0, 2).expect("an answer").status, 200);
     let file: Box<str> = daemons.folder.path().join("saved").to_string_lossy().into();
-    operate(&daemons, 7, Command::SnapshotSave { file: file.clone() });
-    let shown = operate(&daemons, 7, Command::SnapshotVerify { file: file.clone() });
+    run_command(&daemons, 7, Command::SnapshotSave { file: file.clone() });
+    let shown = run_command(&daemons, 7, Command::SnapshotVerify { file: file.clone() });
     assert!(shown.text.contains("revision 2, 1 services"), "{}", shown.text);
     assert_eq!(daemons.apply(0, 3).expect("an answer").status, 200);
     for at in 0..VOTERS {
@@ -206,7 +206,7 @@
     }
     let data = daemons.data(0).to_string_lossy().into();
     let address = daemons.address(0, 8082);
-    operate(&daemons, 7, Command::SnapshotRestore { file, data, name: name("e1"), address });
+    run_command(&daemons, 7, Command::SnapshotRestore { file, data, name: name("e1"), address });
     (0..VOTERS).for_each(|at| daemons.launch(at));
     until("three voters", || (voters(&daemons.status(9)?).len() == VOTERS).then_some(()));
     let found = daemons.control(9).get("/v1/services/q").expect("an answer").text();
