--- a/crates/operator/src/cell.rs
+++ b/crates/operator/src/cell.rs
@@ -1,4 +1,4 @@
-//! Commands for job cells: jobs, change sets and waves.
+//! Commands for job cells: jobs, change sets and maintenance waves.
 
 use crate::client::Client;
 use crate::command::{Output, read_text};
@@ -7,62 +7,63 @@
 use serde_json::{Value, json};
 use yuccalink_transport::http::Method;
 
-/// What to ask a job cell.
+/// A command for a job cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CellCommand {
-    /// Hand a job in.
+    /// Submit a job.
     JobSubmit {
         /// Host and path of its queue, such as `duty.example/returns/`.
         queue: Box<str>,
-        /// 16 hexadecimal digits; the same number is the same job.
+        /// Job number of 16 hexadecimal digits. Submitting the same number again adds no job.
         id: Box<str>,
-        /// A file with the job; `-` is standard input.
+        /// File with the job; `-` is standard input.
         file: Box<str>,
     },
-    /// How far is a job?
+    /// Print the state of a job.
     JobGet {
-        /// Host and path of its queue.
+        /// Host and path of the job's queue.
         queue: Box<str>,
-        /// Its number.
+        /// Job number.
         id: Box<str>,
     },
     /// Cancel a job.
     JobCancel {
-        /// Host and path of its queue.
+        /// Host and path of the job's queue.
         queue: Box<str>,
-        /// Its number.
+        /// Job number.
         id: Box<str>,
     },
-    /// How many jobs of a queue have not begun?
+    /// Print how many jobs of a queue have not started.
     JobPending {
         /// Host and path of the queue.
         queue: Box<str>,
     },
     /// Put a change set in force.
     ChangeApply {
-        /// A file; `-` is standard input.
+        /// File with the change set; `-` is standard input.
         file: Box<str>,
     },
     /// Print the change set in force.
     ChangeGet,
-    /// Take machines down for upkeep.
+    /// Take machines down for maintenance.
     WaveStart {
-        /// The wave's number.
+        /// Wave number.
         id: u64,
-        /// A file; `-` is standard input.
+        /// File with the wave; `-` is standard input.
         file: Box<str>,
     },
-    /// How far is a wave?
+    /// Print the state of a wave.
     WaveGet {
-        /// Its number.
+        /// Wave number.
         id: u64,
     },
 }
 
-/// Carries out a command.
+/// Runs a command.
 ///
 /// # Errors
-/// [`Error::Unreachable`], or [`Error::Cell`] with what the cell says.
+/// [`Error::Unreachable`] if no process answers, [`Error::Failed`] if the cell refuses the
+/// request.
 pub async fn run(client: &Client, command: CellCommand) -> Result<Output> {
     match command {
         CellCommand::JobSubmit { queue, id, file } => {
@@ -95,10 +96,10 @@
     }
 }
 
-/// What a process of a job cell tells of itself; `None` where another daemon answers.
+/// Status of a process of a job cell; `None` if the server is a daemon outside a cell.
 ///
 /// # Errors
-/// [`Error::Unreachable`].
+/// [`Error::Unreachable`] if no process answers.
 pub(crate) async fn status(client: &Client) -> Result<Option<Output>> {
     let (_, body) = client.cell(Method::GET, None, "/v1/status", Vec::new()).await?;
     let status: Value =
@@ -141,7 +142,7 @@
     success_text: &str,
 ) -> Result<Output> {
     let Some((host, path)) = queue.split_once('/') else {
-        let what = format!("`{queue}` is no queue: write HOST/PATH/");
+        let what = format!("`{queue}` is not a queue; write HOST/PATH/");
         return Err(Error::Usage(what.into()));
     };
     let slash = if path.is_empty() || path.ends_with('/') { "" } else { "/" };
@@ -173,7 +174,9 @@
         }
         404 => Err(Error::Failed("there is no such queue; check host and path".into())),
         410 => Err(Error::Failed("there is no such job; check its number".into())),
-        429 => Err(Error::Failed("too much to do: the job was not taken; try later".into())),
-        _ => Err(Error::Failed(format!("the cell answers {status}: {text}").into())),
+        429 => Err(Error::Failed(
+            "the cell is overloaded and did not accept the job; try again later".into(),
+        )),
+        _ => Err(Error::Failed(format!("the cell returned status {status}: {text}").into())),
     }
 }
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -16,14 +16,15 @@
 use yuccalink_transport::http::{Method, Request, Uri, header};
 use yuccalink_transport::pool::{Pool, PoolSettings, UpstreamResponse};
 
-/// Largest answer, in bytes.
+/// Largest accepted response body, in bytes.
 const RESPONSE_BYTES_MAX: usize = 64 * 1024 * 1024;
-/// Pause between rounds over all servers.
+/// Delay before all servers are tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Redirects followed for one request: the leader may change once meanwhile.
+/// Redirects followed for one request. The second one allows for a change of leader after
+/// the first.
 const REDIRECTS_MAX: usize = 2;
 
-/// Sets up a [`Client`].
+/// Builder for a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientBuilder {
     servers: Vec<SocketAddr>,
@@ -31,7 +32,7 @@
     timeout: Duration,
 }
 
-/// Talks to the first of its servers that answers.
+/// Sends each request to the first of its servers that answers.
 pub struct Client {
     servers: Vec<SocketAddr>,
     author: Box<str>,
@@ -40,35 +41,36 @@
 }
 
 impl ClientBuilder {
-    /// Daemons to try, in order; the default is 127.0.0.1:8081.
+    /// Addresses of the daemons to try, in order. The default is 127.0.0.1:8081.
     #[must_use]
     pub fn servers(mut self, servers: Vec<SocketAddr>) -> Self {
         self.servers = servers;
         self
     }
 
-    /// Who applies documents; shown to others who race.
+    /// Name of the person who applies documents. It is shown to others whose document
+    /// conflicts with an applied one.
     #[must_use]
     pub fn author(mut self, author: impl Into<Box<str>>) -> Self {
         self.author = author.into();
         self
     }
 
-    /// Longest wait for one answer.
+    /// Time limit for one request, including attempts at other servers.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// The client; its calls must run on a `LocalSet`.
+    /// Builds the client. Its requests must run on a `LocalSet`.
     pub fn build(self) -> Client {
         let Self { servers, author, timeout } = self;
         Client { servers, author, timeout, pool: Pool::new(PoolSettings::default()) }
     }
 }
 
-/// A request to a job cell.
+/// Request to a job cell.
 struct CellCall<'a> {
     method: Method,
     host: Option<&'a str>,
@@ -77,13 +79,14 @@
     deadline: Instant,
 }
 
-/// What a process of a job cell answers.
+/// Reply of a process of a job cell.
 enum CellReply {
     Response(u16, Vec<u8>),
-    /// Ask the process that leads, at this address.
+    /// The leader, at this address, handles the request.
     Redirect(SocketAddr),
 }
 
+/// Request to a daemon outside a job cell.
 struct Call<'a> {
     method: Method,
     path: &'a str,
@@ -93,7 +96,7 @@
 }
 
 impl Client {
-    /// A client of the daemon on this machine.
+    /// Returns a builder with the daemon on this machine as the only server.
     ///
     /// ```
     /// use yuccalink_operator::Client;
@@ -108,10 +111,11 @@
         }
     }
 
-    /// Puts a document in force. Sending the same text again is safe.
+    /// Puts a document in force. Sending the same text again has no further effect.
     ///
     /// # Errors
-    /// [`Error::Refused`] with a conflict or faults, [`Error::Unreachable`].
+    /// [`Error::Refused`] for a conflict or an invalid document, [`Error::Unreachable`] if no
+    /// daemon answers.
     pub async fn apply(&self, service: &str, text: &str, wait: bool) -> Result<Applied> {
         let path = format!("/v1/services/{service}?wait={wait}");
         let body = text.as_bytes().to_vec();
@@ -125,26 +129,26 @@
         self.call(call).await
     }
 
-    /// The document in force, with its text.
+    /// Returns the document in force for a service, with its text.
     ///
     /// # Errors
-    /// [`Error::Refused`] when there is none.
+    /// [`Error::Refused`] if the service has no document.
     pub async fn service(&self, service: &str) -> Result<ServiceView> {
         self.get(&format!("/v1/services/{service}")).await
     }
 
-    /// All documents in force, without texts.
+    /// Returns all documents in force, without their texts.
     ///
     /// # Errors
-    /// [`Error::Unreachable`].
+    /// [`Error::Unreachable`] if no daemon answers.
     pub async fn services(&self) -> Result<Vec<ServiceView>> {
         self.get("/v1/services").await
     }
 
-    /// Adds tasks. Sending the same key again is safe.
+    /// Submits tasks. Sending the same key again adds no further tasks.
     ///
     /// # Errors
-    /// [`Error::Refused`] with the remedy.
+    /// [`Error::Refused`] with the reason and the remedy.
     pub async fn submit(&self, tasks: &SubmitTasks, key: &str) -> Result<Submitted> {
         self.post("/v1/tasks", tasks, Some(key)).await
     }
@@ -152,55 +156,55 @@
     /// Cancels tasks.
     ///
     /// # Errors
-    /// [`Error::Refused`] with the remedy.
+    /// [`Error::Refused`] with the reason and the remedy.
     pub async fn cancel(&self, tasks: Vec<TaskId>) -> Result<Vec<Cancelled>> {
         self.post("/v1/tasks/cancel", &CancelTasks { tasks }, None).await
     }
 
-    /// One task.
+    /// Returns one task.
     ///
     /// # Errors
-    /// [`Error::Refused`] when it is not known.
+    /// [`Error::Refused`] if the task is not known.
     pub async fn task(&self, task: TaskId) -> Result<TaskView> {
         self.get(&format!("/v1/tasks/{task}")).await
     }
 
-    /// A page of tasks; `query` such as `service=quotes&after=100`.
+    /// Returns a page of tasks. An example of `query` is `service=quotes&after=100`.
     ///
     /// # Errors
-    /// [`Error::Refused`] when the query is not understood.
+    /// [`Error::Refused`] if the query is invalid.
     pub async fn tasks(&self, query: &str) -> Result<Vec<TaskView>> {
         self.get(&format!("/v1/tasks?{query}")).await
     }
 
-    /// The leader's view of the system.
+    /// Returns the leader's view of the system.
     ///
     /// # Errors
-    /// [`Error::Unreachable`].
+    /// [`Error::Unreachable`] if no daemon answers.
     pub async fn status(&self) -> Result<Status> {
         self.get("/v1/status").await
     }
 
-    /// All targets.
+    /// Returns all targets.
     ///
     /// # Errors
-    /// [`Error::Unreachable`].
+    /// [`Error::Unreachable`] if no daemon answers.
     pub async fn targets(&self) -> Result<Vec<TargetView>> {
         self.get("/v1/targets").await
     }
 
-    /// The last decisions, newest first.
+    /// Returns the last decisions, newest first.
     ///
     /// # Errors
-    /// [`Error::Unreachable`].
+    /// [`Error::Unreachable`] if no daemon answers.
     pub async fn decisions(&self) -> Result<Vec<DecisionView>> {
         self.get("/v1/decisions").await
     }
 
-    /// The whole state of the system, as a snapshot.
+    /// Returns a snapshot of the replicated state.
     ///
     /// # Errors
-    /// [`Error::Unreachable`].
+    /// [`Error::Unreachable`] if no daemon answers.
     pub async fn snapshot(&self) -> Result<Vec<u8>> {
         let path = "/v1/snapshot";
         let call =
@@ -208,8 +212,9 @@
         self.call_bytes(call).await
     }
 
-    /// Sends a request to a job cell and returns its status and body. Every such
-    /// request may be sent again; a process that cannot answer now is passed over.
+    /// Sends a request to a job cell and returns the status and body of the response. All
+    /// requests to a cell are idempotent, so after an error or a status of 503 or 504 the
+    /// request is sent to the next server.
     pub(crate) async fn cell(
         &self,
         method: Method,
@@ -219,11 +224,11 @@
     ) -> Result<(u16, Vec<u8>)> {
         let deadline = Instant::now() + self.timeout;
         let call = CellCall { method, host, path, body, deadline };
-        let mut last_error: Box<str> = "none is set".into();
+        let mut last_error: Box<str> = "no server is set".into();
         loop {
             for server in &self.servers {
                 match self.send_following_redirects(*server, &call).await {
-                    Ok((503 | 504, _)) => last_error = "it cannot answer now".into(),
+                    Ok((503 | 504, _)) => last_error = "the server is not ready".into(),
                     Ok(response) => return Ok(response),
                     Err(why) => last_error = why.into(),
                 }
@@ -248,7 +253,7 @@
                 CellReply::Redirect(leader) => to = leader,
             }
         }
-        Err("it redirects too often".into())
+        Err("too many redirects".into())
     }
 
     async fn send_to_process(
@@ -268,7 +273,8 @@
             self.pool.send(server, req, call.deadline).await.map_err(|e| e.to_string())?;
         let status = response.head.status;
         if status.is_redirection() {
-            let leader = redirect_address(&response).ok_or("it redirects to no address")?;
+            let leader =
+                redirect_address(&response).ok_or("the redirect names no IP address and port")?;
             return Ok(CellReply::Redirect(leader));
         }
         Ok(CellReply::Response(status.as_u16(), read_body(response, call.deadline).await?))
@@ -302,11 +308,12 @@
         serde_json::from_slice(&body).map_err(|e| Error::InvalidResponse(e.to_string().into()))
     }
 
-    /// Tries each server in turn until one answers or the time is up. Every call
-    /// is safe to send again: by its key, its version, or because it only reads.
+    /// Tries each server in turn until one answers or the time limit has passed. Every
+    /// request can be sent again safely: it has an idempotency key or a version, or it only
+    /// reads.
     async fn call_bytes(&self, call: Call<'_>) -> Result<Vec<u8>> {
         let deadline = Instant::now() + self.timeout;
-        let mut last_error: Box<str> = "none is set".into();
+        let mut last_error: Box<str> = "no server is set".into();
         loop {
             for server in &self.servers {
                 match self.send_to_server(*server, &call, deadline).await {
@@ -355,7 +362,7 @@
     }
 }
 
-/// The address that a redirect names.
+/// Returns the address in the `Location` header of a redirect.
 fn redirect_address(response: &UpstreamResponse) -> Option<SocketAddr> {
     let location = response.head.headers.get(header::LOCATION)?.to_str().ok()?;
     location.parse::<Uri>().ok()?.authority()?.as_str().parse().ok()
@@ -367,8 +374,8 @@
 ) -> std::result::Result<Vec<u8>, String> {
     let body = tokio::time::timeout_at(deadline, response.collect_body(RESPONSE_BYTES_MAX)).await;
     let body = body
-        .map_err(|_| "the answer came too slowly".to_string())?
+        .map_err(|_| "the response was not complete in time".to_string())?
         .map_err(|e| e.to_string())?
-        .ok_or("the answer is too large")?;
+        .ok_or("the response is too large")?;
     Ok(body.to_vec())
 }
--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -1,5 +1,5 @@
-//! What the program `yuccalink` does: each command takes a client and returns
-//! its output, as a value for `--json` and as text for people.
+//! Commands of the program `yuccalink`. Each command returns its output as text for people
+//! and as a JSON value for `--json`.
 
 use crate::cell::{self, CellCommand};
 use crate::client::Client;
@@ -20,113 +20,114 @@
 use yuccalink_state::Document;
 use yuccalink_state::id::{Name, TaskId};
 
-/// How often a waiting command looks again.
+/// Interval at which a waiting command reads the state of a task again.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What to do.
+/// A command of the program `yuccalink`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Check documents without sending them.
     Check {
-        /// Files; `-` is standard input.
+        /// Document files; `-` is standard input.
         files: Vec<Box<str>>,
     },
     /// Put a document in force.
     Apply {
-        /// A file; `-` is standard input.
+        /// Document file; `-` is standard input.
         file: Box<str>,
-        /// Return as soon as it is accepted.
+        /// Return as soon as the document is accepted, before it is in force on all entries.
         no_wait: bool,
     },
     /// Print the document in force.
     Get {
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
     },
     /// List the documents in force.
     List,
-    /// Compare a file with what is in force.
+    /// Compare a file with the document in force.
     Diff {
-        /// A file; `-` is standard input.
+        /// Document file; `-` is standard input.
         file: Box<str>,
     },
-    /// Add tasks.
+    /// Submit tasks.
     Submit {
-        /// What to add.
+        /// Tasks to add.
         tasks: SubmitTasks,
-        /// Same key, same answer; drawn when absent.
+        /// Idempotency key. A second submission with the same key gets the same answer and
+        /// adds no tasks. Without a key, the command generates one.
         key: Option<Box<str>>,
-        /// Wait until all have ended.
+        /// Wait until all submitted tasks have ended.
         wait: bool,
     },
     /// Cancel tasks.
     Cancel {
-        /// Their numbers.
+        /// Task numbers.
         tasks: Vec<TaskId>,
     },
     /// List tasks.
     Tasks {
-        /// A filter, as the daemon takes it.
+        /// Query string of the daemon's task list.
         query: Box<str>,
     },
     /// Show one task.
     Task {
-        /// Its number.
+        /// Task number.
         task: TaskId,
-        /// Wait until it has ended.
+        /// Wait until the task has ended.
         wait: bool,
     },
-    /// Put a job's decisions in order, from logs.
+    /// Print the log lines of a job in order of time.
     Why {
-        /// The job's 16 digits.
+        /// Job number of 16 hexadecimal digits.
         id: Box<str>,
         /// Log files; `-` is standard input.
         files: Vec<Box<str>>,
     },
-    /// Add up what a cell's jobs lost, by cause, from logs.
+    /// Sum up the lost worth of a cell's jobs by cause, from logs.
     Losses {
         /// Log files; `-` is standard input.
         files: Vec<Box<str>>,
-        /// Where to draw it.
+        /// SVG file to draw the losses in.
         plot: Option<Box<str>>,
     },
     /// Show the state of the system.
     Status,
     /// List targets.
     Targets,
-    /// List the last decisions.
+    /// List the last routing and placement decisions.
     Decisions,
-    /// Ask a job cell.
+    /// Run a command for a job cell.
     Cell(CellCommand),
-    /// Save the state of the system.
+    /// Save a snapshot of the state of the system.
     SnapshotSave {
-        /// Where to.
+        /// File to write.
         file: Box<str>,
     },
-    /// Check a saved state.
+    /// Check a saved snapshot.
     SnapshotVerify {
-        /// The file.
+        /// Snapshot file.
         file: Box<str>,
     },
-    /// Make a data folder from a saved state, to found the system anew.
+    /// Create a data folder from a snapshot, to bootstrap the system again.
     SnapshotRestore {
-        /// The file.
+        /// Snapshot file.
         file: Box<str>,
-        /// The new data folder.
+        /// Data folder to create.
         data: Box<str>,
-        /// The daemon that will use it.
+        /// Name of the daemon that will use the data folder.
         name: Name,
-        /// Where other daemons reach it.
+        /// Address at which other daemons reach that daemon.
         address: SocketAddr,
     },
 }
 
-/// A command's output in both forms.
+/// Output of a command, as text and as JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// For people.
+    /// Text for people.
     pub text: String,
-    /// For programs.
+    /// JSON value for programs.
     pub json: Value,
 }
 
@@ -139,10 +140,10 @@
     Ok(Output { text, json })
 }
 
-/// Carries out a command. Its calls must run on a `LocalSet`.
+/// Runs a command. The returned future must run on a `LocalSet`.
 ///
 /// # Errors
-/// [`Error`], whose exit code is the program's.
+/// Any [`Error`]; its exit code is that of the program.
 pub async fn run(client: &Client, command: Command) -> Result<Output> {
     match command {
         Command::Check { files } => check(&files),
@@ -276,7 +277,8 @@
     }
 }
 
-/// A key that no other submission has: a resend within this command is safe.
+/// Generates an idempotency key from the time and the process id, so that the client can
+/// send the submission again safely.
 fn unique_key() -> Box<str> {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let nanos = since.map_or(0, |since| since.as_nanos());
@@ -290,7 +292,7 @@
     Ok((text, document))
 }
 
-/// A file, or standard input for `-`.
+/// Reads a file, or standard input for `-`.
 pub(crate) fn read_text(file: &str) -> Result<String> {
     let fail = |source| Error::Read { path: file.into(), source };
     match file {
@@ -303,15 +305,15 @@
     }
 }
 
-/// Says on standard error what a command waits for.
+/// Prints to standard error what a command waits for.
 fn print_progress(what: &str) {
     let _ = writeln!(io::stderr(), "{what}");
 }
 
-/// Prints; a reader that has seen enough is no error.
+/// Prints to standard output. A closed pipe, as with `head`, is not an error.
 ///
 /// # Errors
-/// [`Error::Output`] when standard output fails otherwise.
+/// [`Error::Output`] for any other failure of standard output.
 pub fn print(text: &str) -> Result<()> {
     let mut out = io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/operator/src/completions.rs
+++ b/crates/operator/src/completions.rs
@@ -1,8 +1,8 @@
-//! Shell completions, from one list of commands and flags.
+//! Shell completions, generated from the lists of commands and flags.
 
 use std::fmt::Write;
 
-/// Shells for which there are completions.
+/// Shells with completions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Shell {
     /// GNU Bash.
@@ -15,7 +15,7 @@
 }
 
 impl Shell {
-    /// Reads a shell's name.
+    /// Parses the name of a shell.
     ///
     /// ```
     /// # use yuccalink_operator::completions::Shell;
@@ -31,19 +31,19 @@
     }
 }
 
-/// Commands, and what each does in a few words.
+/// Commands with a short description, as in the help.
 pub const COMMANDS: [(&str, &str); 17] = [
     ("check", "check documents without sending them"),
     ("apply", "put a document in force"),
     ("get", "print the document in force"),
     ("list", "list the documents in force"),
-    ("diff", "compare a file with what is in force"),
+    ("diff", "compare a file with the document in force"),
     ("task", "submit, cancel, list and show tasks"),
     ("job", "submit, get and cancel jobs of a job cell, count those pending"),
     ("change", "apply or get the change set of a job cell"),
-    ("wave", "start or get a wave of upkeep of a job cell"),
-    ("why", "put a job's decisions in order, from logs"),
-    ("losses", "add up what a cell's jobs lost, by cause, from logs"),
+    ("wave", "start or get a maintenance wave of a job cell"),
+    ("why", "print the log lines of a job in order of time"),
+    ("losses", "sum up the lost worth of a cell's jobs by cause, from logs"),
     ("status", "show the state of the system"),
     ("targets", "list runners and workers"),
     ("decisions", "list the last decisions"),
@@ -51,9 +51,9 @@
     ("completions", "print shell completions"),
     ("help", "print the long help"),
 ];
-/// Commands below `task`.
+/// Subcommands of `task`.
 pub const TASK_COMMANDS: [&str; 4] = ["submit", "cancel", "list", "show"];
-/// Flags of any command.
+/// Flags of all commands.
 pub const FLAGS: [&str; 20] = [
     "--server",
     "--json",
@@ -77,7 +77,7 @@
     "--id",
 ];
 
-/// The completions for a shell.
+/// Returns the completion script for a shell.
 ///
 /// ```
 /// # use yuccalink_operator::completions::{script, Shell};
--- a/crates/operator/src/error.rs
+++ b/crates/operator/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of commands, each with the exit code of the program.
+//! Errors of commands and the exit code of each.
 
 use yuccalink_protocol::fields::ValidationErrors;
 use yuccalink_protocol::problem::{ExecutionStatus, Problem};
@@ -11,41 +11,41 @@
 pub enum Error {
     /// cannot read {path}: {source}
     Read {
-        /// The file.
+        /// File name.
         path: Box<str>,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// {path} has faults:\n{faults}
+    /// {path} is invalid:\n{faults}
     Document {
-        /// The file.
+        /// File name.
         path: Box<str>,
-        /// All of them.
+        /// All errors found in the document.
         faults: ValidationErrors,
     },
     /// no daemon answers at {server}: {why}; name another with --server
     Unreachable {
-        /// Addresses tried.
+        /// Addresses that were tried.
         server: Box<str>,
-        /// The last error.
+        /// Error of the last attempt.
         why: Box<str>,
     },
     /// {0}
     Failed(Box<str>),
     /// {0}
     Refused(Refused),
-    /// the answer cannot be read: {0}; use the command of the daemon's release
+    /// cannot read the response: {0}; use the yuccalink program of the daemon's release
     InvalidResponse(Box<str>),
-    /// {service} version {version} is accepted and lasts, but not yet in force on: {waiting}; `yuccalink status` shows when it is
+    /// {service} version {version} is accepted and stored, but not yet in force on: {waiting}; see `yuccalink status` for progress
     NotInForce {
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
-        /// The accepted version.
+        /// Accepted version.
         version: u64,
-        /// Entries that may still serve an older one.
+        /// Entries that may still serve an older version.
         waiting: Box<str>,
     },
-    /// the file and what is in force differ
+    /// the file differs from the document in force
     DocumentsDiffer,
     /// {0}; see `yuccalink --help`
     Usage(Box<str>),
@@ -53,16 +53,16 @@
     State(yuccalink_state::Error),
     /// cannot write {path}: {source}
     Write {
-        /// The file.
+        /// File name.
         path: Box<str>,
-        /// The system's error.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// cannot write the output: {0}
     Output(std::io::Error),
 }
 
-/// A problem document as a command's error.
+/// A problem document returned by a daemon, as an error.
 #[derive(Debug)]
 pub struct Refused(pub Problem);
 
@@ -71,7 +71,7 @@
         let Problem { title, detail, faults, ran, .. } = &self.0;
         write!(f, "{title}: {detail}")?;
         if *ran == ExecutionStatus::Unknown {
-            f.write_str(" (it may have been done)")?;
+            f.write_str(" (the request may have been executed)")?;
         }
         for fault in faults {
             write!(f, "\n  {fault}")?;
@@ -83,7 +83,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Exit code of the program; documented in its help.
+    /// Returns the exit code of the program, as listed in its help.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) => 2,
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's side as a library: [`Client`] talks to any daemon of the
-//! system, [`command`] holds what the program `yuccalink` does with it.
+//! Library for operators: [`Client`] sends requests to the daemons of a system, and
+//! [`command`] implements the commands of the program `yuccalink`.
 
 pub mod cell;
 mod client;
--- a/crates/operator/src/losses.rs
+++ b/crates/operator/src/losses.rs
@@ -1,9 +1,9 @@
-//! Where worth is lost in a cell, from the logs of its processes: what held up the jobs
-//! that ended late or not at all, by cause, by queue and by the second they came in.
+//! Lost worth of the jobs of a cell, computed from the logs of its processes: the causes that
+//! delayed jobs which ended late or not at all, by cause, by queue and by time of acceptance.
 //!
-//! A job counts by its work against the mean of its queue. What it lost is divided among
-//! the causes that its leader told, by how long each held it up; what they leave of its
-//! lateness is its own length.
+//! The worth of a job depends on its work relative to the mean work of its queue. The lost
+//! worth of a late job is divided among the causes logged by the leader, in proportion to the
+//! delay by each. The rest of its lateness is attributed to its own length.
 
 use crate::command::{Output, read_text};
 use crate::error::{Error, Result};
@@ -13,75 +13,83 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of a job's worth that does not depend on its work, part that grows with it, and
-/// the most that one job counts.
+/// Part of a job's worth that does not depend on its work.
 const WORTH_FIXED: f64 = 0.3;
+/// Part of a job's worth that grows with its work, at the mean work of its queue.
 const WORTH_PER_WORK: f64 = 0.7;
+/// Largest worth of one job.
 const WORTH_MAX: f64 = 4.0;
-/// Jobs that came in within this time are added up together, in seconds.
+/// Length of a window, in seconds. Jobs accepted in the same window are summed up together.
 pub(crate) const WINDOW_S: u64 = 2;
-/// Windows shown to people.
+/// Number of windows in the text output.
 const WINDOWS_SHOWN: usize = 8;
-/// Causes beside those that a leader tells.
+/// Cause of the part of a job's lateness that no logged delay explains.
 const OWN_LENGTH: &str = "own-length";
+/// Cause for jobs with a task that failed too often.
 const FAILED: &str = "failed";
+/// Cause for jobs with a task that was given up because too many runners were lost with it.
 const CRASHES: &str = "crashes";
+/// Cause for jobs that should have ended but whose end is not in the logs.
 const UNEXPLAINED: &str = "untold";
 
-/// What is known of one job.
+/// A job as found in the logs.
 #[derive(Clone, Debug, Default)]
 struct Job {
     queue: Box<str>,
-    /// When it came in, in seconds of the first day of the logs.
+    /// Time of acceptance, in seconds of the day.
     accepted_s: f64,
+    /// Estimated work, in core-seconds.
     work: f64,
     long_running: bool,
     end: JobEnd,
 }
 
+/// How a job ended.
 #[derive(Clone, Debug, Default)]
 enum JobEnd {
-    /// No line tells of its end.
+    /// The logs contain neither an end nor an overdue line.
     #[default]
     Unknown,
-    /// It is not wanted any more.
+    /// The job was cancelled.
     Cancelled,
     /// A task failed too often.
     Failed,
-    /// A task was given up, since too many runners were lost under it.
+    /// A task was given up because too many runners were lost with it.
     GivenUp,
-    /// It took so long against that objective, held up so long by each cause.
+    /// The job ended or is overdue, `took` after its acceptance. `delays` holds the delay by
+    /// each cause.
     EndedOrOverdue { took: Duration, objective: Duration, delays: Vec<(Box<str>, Duration)> },
 }
 
-/// Worth that was to be had and worth that is missing, by cause.
+/// Worth of a set of jobs and the part of it that was lost, by cause.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossTotals {
-    /// Jobs counted.
+    /// Number of jobs.
     pub jobs: u32,
-    /// What they were worth.
+    /// Worth of these jobs.
     pub worth: f64,
-    /// What is missing of it, by cause.
+    /// Lost worth by cause.
     #[serde(rename = "missing")]
     pub lost_by_cause: BTreeMap<Box<str>, f64>,
 }
 
-/// All sums.
+/// Losses of all jobs, by queue and by window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossReport {
-    /// Of all jobs.
+    /// Totals of all jobs.
     pub all: LossTotals,
-    /// By queue.
+    /// Totals by queue.
     pub queues: BTreeMap<Box<str>, LossTotals>,
-    /// By the second of the first job in the logs, for windows of some seconds.
+    /// Totals by window. The key is the start of the window, in seconds after the first job in
+    /// the logs.
     pub windows: BTreeMap<u64, LossTotals>,
-    /// Jobs that the logs do not tell enough of, as young ones at their end.
+    /// Jobs accepted shortly before the end of the logs, whose end the logs do not contain.
     #[serde(rename = "open")]
     pub unfinished: u32,
 }
 
 impl LossTotals {
-    /// What is missing of all causes.
+    /// Returns the lost worth of all causes together.
     pub fn lost(&self) -> f64 {
         self.lost_by_cause.values().sum()
     }
@@ -95,11 +103,11 @@
     }
 }
 
-/// Adds up what the jobs in these files lost, and draws it where asked to.
+/// Sums up the losses of the jobs in these log files and draws them if a path is given.
 ///
 /// # Errors
-/// [`Error::Read`] for a file that cannot be read or written, [`Error::Cell`] where no
-/// line tells of a job.
+/// [`Error::Read`] for a file that cannot be read; [`Error::Failed`] if the plot cannot be
+/// drawn or the logs contain no job that ended.
 pub(crate) fn run(files: &[Box<str>], plot_path: Option<&str>) -> Result<Output> {
     let mut text = String::new();
     for file in files {
@@ -107,7 +115,7 @@
     }
     let losses = compute_losses(&text);
     if losses.all.jobs == 0 {
-        let what = "no line tells of a job that ended; give the logs of all VMs of that time";
+        let what = "no log line reports the end of a job; give the logs of all VMs of that time";
         return Err(Error::Failed(what.into()));
     }
     if let Some(path) = plot_path {
@@ -118,7 +126,7 @@
     Ok(Output { text: render_report(&losses), json })
 }
 
-/// Adds up the jobs that log lines tell of.
+/// Sums up the losses of all jobs in the log lines.
 ///
 /// ```
 /// let lines = "[2030-01-01T00:00:01.0Z INFO a] job=05 accepted queue=q steps=[2x1000m/1M/500ms]\n\
@@ -149,9 +157,11 @@
     losses
 }
 
-/// What a job lost to each cause; nothing where it is not known or not owed.
+/// Returns the worth that a job lost to each cause. Returns `None` for a cancelled job and for
+/// one that may still be running at the end of the logs.
 fn lost_by_cause(job: &Job, worth: f64, last_s: f64) -> Option<Vec<(Box<str>, f64)>> {
-    /// An open job that came in this long before the last one should have ended.
+    /// A job without an end in the logs counts as lost if it was accepted at least this many
+    /// seconds before the last job.
     const END_EXPECTED_AFTER_S: f64 = 30.0;
     match &job.end {
         JobEnd::Cancelled => None,
@@ -175,7 +185,7 @@
     }
 }
 
-/// Mean work of each queue's jobs.
+/// Returns the mean work of the jobs of each queue, without long-running jobs.
 fn mean_work_by_queue(jobs: &BTreeMap<Box<str>, Job>) -> BTreeMap<Box<str>, f64> {
     let mut sums: BTreeMap<Box<str>, (f64, f64)> = BTreeMap::new();
     for job in jobs.values().filter(|job| !job.long_running) {
@@ -218,7 +228,8 @@
     })
 }
 
-/// Core-seconds of a step as the log shows it: `COUNTxMILLICORESm/MEMORYM/GUESSms+MARKS`.
+/// Returns the core-seconds of a step in the form of the log:
+/// `COUNTxMILLICORESm/MEMORYM/ESTIMATEms+FLAGS`.
 fn step_work(step: &str) -> Option<f64> {
     let (count, rest) = step.split_once('x')?;
     let (millicores, rest) = rest.split_once("m/")?;
@@ -251,13 +262,13 @@
     Some((cause.into(), Duration::from_millis(ms.parse().ok()?)))
 }
 
-/// The word after `name=`.
+/// Returns the value after `name=`.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let word = |word: &'a str| word.strip_prefix(name)?.strip_prefix('=');
     text.split_whitespace().find_map(word)
 }
 
-/// A span as logs show it: `1.5s`, `20ms`, `3µs`.
+/// Parses a duration in the form of the log, such as `1.5s`, `20ms` or `3µs`.
 fn parse_duration(text: &str) -> Option<Duration> {
     const UNITS: [(&str, f64); 4] = [("ms", 1e-3), ("µs", 1e-6), ("ns", 1e-9), ("s", 1.0)];
     let (number, unit) =
@@ -265,7 +276,7 @@
     Duration::try_from_secs_f64(number.parse::<f64>().ok()? * unit).ok()
 }
 
-/// The second of the day in a line's `[DATETTIMEZ`.
+/// Returns the second of the day from the timestamp `[DATETTIMEZ` of a line.
 fn second_of_day(head: &str) -> Option<f64> {
     let time = head.split_once('[')?.1.split_once('T')?.1.split_once('Z')?.0;
     let mut seconds = 0.0;
--- a/crates/operator/src/plot.rs
+++ b/crates/operator/src/plot.rs
@@ -1,20 +1,21 @@
-//! Pictures of what was added up, as SVG.
+//! SVG plot of lost worth over time.
 
 use crate::error::{Error, Result};
 use crate::losses::{LossReport, WINDOW_S};
 use plotters::prelude::*;
 
+/// Width and height of the plot, in pixels.
 const SIZE_PX: (u32, u32) = (1_000, 420);
-/// Room for a label beside the axes, in pixels.
+/// Space for the labels of each axis, in pixels.
 const LABEL_AREA_PX: u32 = 44;
 
-/// Draws the lost share of each window's worth, by cause, one on top of the other.
+/// Draws a stacked bar for each window: the lost share of its worth, by cause.
 ///
 /// # Errors
-/// [`Error::Cell`] naming the file when it cannot be drawn there.
+/// [`Error::Failed`] with the file name if the plot cannot be written.
 pub(crate) fn losses(losses: &LossReport, path: &str) -> Result<()> {
     let plot_error = |why: String| {
-        let what = format!("cannot draw {path}: {why}; name a file that may be written");
+        let what = format!("cannot write the plot {path}: {why}; name a writable file");
         Error::Failed(what.into())
     };
     draw(losses, path).map_err(|error| plot_error(error.to_string()))
@@ -26,7 +27,7 @@
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
-        .caption("worth lost, by cause and by when jobs came", ("sans-serif", 18))
+        .caption("lost worth by cause and time of acceptance", ("sans-serif", 18))
         .x_label_area_size(LABEL_AREA_PX)
         .y_label_area_size(LABEL_AREA_PX)
         .build_cartesian_2d(0..end.max(1), 0.0..1.0)?;
--- a/crates/operator/src/render.rs
+++ b/crates/operator/src/render.rs
@@ -1,4 +1,4 @@
-//! Output for people: aligned columns and plain sentences.
+//! Text output of commands: tables and sentences.
 
 use std::fmt::Write;
 use yuccalink_protocol::api::{
@@ -10,7 +10,7 @@
 use yuccalink_state::target::TargetSpec;
 use yuccalink_state::task::TaskOutcome;
 
-/// Lays out rows under a heading, each column as wide as its widest cell.
+/// Formats rows as a table with a heading. Each column is as wide as its widest cell.
 ///
 /// ```
 /// # use yuccalink_operator::render::table;
@@ -34,7 +34,7 @@
     out
 }
 
-/// What became of an applied document.
+/// Formats the result of applying a document.
 pub fn applied(applied: &Applied) -> String {
     let Applied { service, version, revision, resent, in_force_everywhere, .. } = applied;
     let again = if *resent { " (accepted before)" } else { "" };
@@ -42,7 +42,7 @@
     format!("{service} version {version} accepted as revision {revision}{again}{force}\n")
 }
 
-/// All documents in force.
+/// Formats the documents in force as a table.
 pub fn services(services: &[ServiceView]) -> String {
     let rows: Vec<Vec<String>> = services
         .iter()
@@ -55,7 +55,7 @@
     table(&["SERVICE", "TEAM", "VERSION", "REVISION", "AUTHOR"], &rows)
 }
 
-/// What became of a submission.
+/// Formats the result of a submission: the task number or the range of task numbers.
 pub fn submitted(submitted: &Submitted) -> String {
     let Submitted { first, count, resent } = submitted;
     let again = if *resent { " (submitted before)" } else { "" };
@@ -65,7 +65,7 @@
     }
 }
 
-/// What became of cancellations.
+/// Formats the result of each cancellation, one task a line.
 pub fn cancelled(all: &[Cancelled]) -> String {
     let mut out = String::new();
     for Cancelled { task, outcome } in all {
@@ -82,7 +82,7 @@
     out
 }
 
-/// Tasks as a table.
+/// Formats tasks as a table.
 pub fn tasks(tasks: &[TaskView]) -> String {
     let row = |task: &TaskView| {
         vec![
@@ -102,7 +102,7 @@
     table(&head, &rows)
 }
 
-/// The state of the system.
+/// Formats the state of the system, with a table of the entries.
 pub fn status(status: &Status) -> String {
     let leader = status.leader.as_ref().map_or_else(|| "nobody".into(), ToString::to_string);
     let mut out = format!(
@@ -146,7 +146,7 @@
     )
 }
 
-/// Targets as a table.
+/// Formats targets as a table.
 pub fn targets(targets: &[TargetView]) -> String {
     let row = |view: &TargetView| {
         let (kind, what) = match &view.target {
@@ -173,7 +173,7 @@
     table(&["TARGET", "IS", "ZONE", "HEALTH", "BUSY", "OWNER", "HEARD", "HAS"], &rows)
 }
 
-/// Decisions, one a line, newest first.
+/// Formats decisions, one a line, in the given order.
 pub fn decisions(decisions: &[DecisionView]) -> String {
     let mut out = String::new();
     for decision in decisions {
--- a/crates/operator/src/snapshot_file.rs
+++ b/crates/operator/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Saving the state of a system, checking it, and founding a system anew from it.
+//! Saves and verifies snapshots, and creates a data folder to bootstrap a system from one.
 
 use crate::client::Client;
 use crate::command::Output;
@@ -15,7 +15,8 @@
 use yuccalink_state::snapshot::{self, Meta, Snapshot};
 use yuccalink_state::store::Store;
 
-/// Saves the state that the leader has agreed on. The file is whole or not there.
+/// Saves the committed state of the leader. The file is renamed into place after it is
+/// written and synced, so that it is never partial.
 pub(crate) async fn save(client: &Client, file: &str) -> Result<Output> {
     let bytes = client.snapshot().await?;
     let snapshot = snapshot::decode(&bytes, file).map_err(Error::State)?;
@@ -27,13 +28,13 @@
     Ok(summarize(file, &snapshot))
 }
 
-/// Reads a saved state whole and says what is in it.
+/// Reads and checks a snapshot file and returns a summary of its contents.
 pub(crate) fn verify(file: &str) -> Result<Output> {
     Ok(summarize(file, &read_snapshot(file)?))
 }
 
-/// Makes the data folder of one voter, which then founds the system anew; the
-/// other voters start with empty disks and join it.
+/// Creates the data folder of one voter, which then bootstraps the system from the snapshot.
+/// The other voters start with empty disks and join it.
 pub(crate) fn restore(file: &str, data: &str, name: &Name, address: SocketAddr) -> Result<Output> {
     let Snapshot { meta, mut state } = read_snapshot(file)?;
     let replica = random_replica_id();
@@ -42,7 +43,7 @@
     let members = Members { voters, learners: Vec::new() };
     let members =
         peer::encode(&members).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
-    // Terms that the lost system may have reached must not outdo the new one's.
+    // The new system must start at a higher term than any that the lost one may have reached.
     let term = meta.term + RESTORE_JUMP;
     let meta = Meta { index: meta.index, term, members: members.into() };
     state.restore_jump();
@@ -82,7 +83,7 @@
     Output { text, json }
 }
 
-/// The identity of the new disk.
+/// Returns a random replica id for the new disk. It is odd, so it is never 0.
 fn random_replica_id() -> u64 {
     use rand::TryRng as _;
     rand::rngs::SysRng.try_next_u64().unwrap_or(1) | 1
--- a/crates/operator/src/why.rs
+++ b/crates/operator/src/why.rs
@@ -1,5 +1,5 @@
-//! What a cell decided about one job, from the logs of its processes: all lines of the
-//! job in order of time, and what they come to.
+//! Decisions of a cell about one job, from the logs of its processes: all log lines of the job
+//! in order of time, with its last state and the number of runs by outcome.
 
 use crate::command::{Output, read_text};
 use crate::error::{Error, Result};
@@ -7,20 +7,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// A log line of the job, and the file that it stands in.
+/// A log line of the job, with the name of its file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogLine {
-    /// As the logger writes it; sorts as time does.
+    /// Timestamp in the form of the log, whose text order is the order of time.
     time: Box<str>,
     file: Box<str>,
     text: Box<str>,
 }
 
-/// Puts a job's decisions in order.
+/// Prints the log lines of a job in order of time, with a summary.
 ///
 /// # Errors
-/// [`Error::Read`] for a file that cannot be read, [`Error::Cell`] where no line names
-/// the job.
+/// [`Error::Read`] for a file that cannot be read, [`Error::Failed`] if no line names the job.
 pub(crate) fn explain(id: &str, files: &[Box<str>]) -> Result<Output> {
     let mut lines = Vec::new();
     for file in files {
@@ -30,7 +29,7 @@
         );
     }
     if lines.is_empty() {
-        let what = format!("no line names {id}; give the logs of all VMs of its time");
+        let what = format!("no log line names {id}; give the logs of all VMs of that time");
         return Err(Error::Failed(what.into()));
     }
     lines.sort();
@@ -49,7 +48,8 @@
     Ok(Output { text, json: json!({ "job": id, "lines": rows, "ends": outcomes, "state": state }) })
 }
 
-/// Takes a line apart: `[TIME LEVEL MODULE] TEXT`; another form is kept whole.
+/// Parses a line of the form `[TIME LEVEL MODULE] TEXT`. A line of another form is kept as
+/// text without a time.
 fn parse_line(file: &str, line: &str) -> LogLine {
     let parts = line.split_once('[').and_then(|(_, rest)| rest.split_once("] "));
     let (head, text) = parts.unwrap_or(("", line));
@@ -57,7 +57,7 @@
     LogLine { time: time.into(), file: file.into(), text: text.into() }
 }
 
-/// How often runs ended in which way.
+/// Counts the ended runs by outcome.
 fn count_outcomes(lines: &[LogLine]) -> BTreeMap<Box<str>, u32> {
     let mut outcomes = BTreeMap::new();
     for line in lines.iter().filter(|line| line.text.starts_with("end ")) {
@@ -68,14 +68,14 @@
     outcomes
 }
 
-/// The last line that says where the job stands.
+/// Returns the text of the last line that reports a state of the job.
 fn last_state(lines: &[LogLine]) -> &str {
     const STATE_TEXTS: [&str; 4] = [" ended state=", " cancelled", " refused ", " accepted "];
     let found = lines
         .iter()
         .rev()
         .find(|line| STATE_TEXTS.iter().any(|state_text| line.text.contains(state_text)));
-    found.map_or("no line says where it stands", |line| {
+    found.map_or("no log line reports its state", |line| {
         let text: &str = &line.text;
         text.split_once(' ').map_or(text, |(_, rest)| rest)
     })
--- a/crates/operator/tests/losses.rs
+++ b/crates/operator/tests/losses.rs
@@ -1,8 +1,8 @@
-//! What jobs lost, added up from log lines, some of them recorded from a cell's leader.
+//! Losses of jobs computed from log lines, some of them recorded from the leader of a cell.
 
 use yuccalink_operator::losses::{LossReport, LossTotals, compute_losses};
 
-/// Lines of a leader on a day on which its pool was nearly full and its process was killed.
+/// Log lines of a leader whose pool was nearly full and whose process was killed.
 const RECORDED: &str = include_str!("logs/nearly-full-pool.log");
 
 fn line(second: u32, text: &str) -> String {
@@ -27,13 +27,13 @@
     assert!((seen - wanted).abs() < 1e-9, "{seen} is not {wanted}");
 }
 
-/// What the causes of a sum come to must be what its late jobs were worth.
+/// Asserts that the lost worth does not exceed the worth of the jobs.
 fn assert_adds_up(sum: &LossTotals) {
     assert!(sum.lost() <= sum.worth * (1.0 + 1e-9), "{sum:?}");
 }
 
 #[test]
-fn a_job_in_time_loses_nothing_and_a_late_one_all_of_it() {
+fn a_job_on_time_loses_nothing_and_a_late_one_all_its_worth() {
     let text = accepted(1, "0a", "q", 1)
         + &accepted(1, "0b", "q", 1)
         + &ended(2, "0a", "1.5s", "former:0,room:250")
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn lateness_that_nothing_explains_is_the_jobs_own_length() {
+fn unexplained_lateness_counts_as_own_length() {
     let text = accepted(1, "0a", "q", 1) + &ended(9, "0a", "6s", "former:0,pace:1000");
     let LossReport { all, .. } = compute_losses(&text);
     assert_near(lost_to(&all, "pace"), 0.25);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn jobs_count_by_their_work_against_their_queue() {
+fn worth_depends_on_work_relative_to_the_queue() {
     let text = accepted(1, "0a", "q", 1)
         + &accepted(1, "0b", "q", 3)
         + &accepted(1, "0c", "other", 9)
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn cancelled_and_lasting_jobs_are_not_owed_and_failed_ones_are_lost() {
+fn cancelled_and_long_running_jobs_do_not_count_and_failed_ones_are_lost() {
     let lasting = line(1, "job=0c accepted queue=q steps=[6x5000m/100M/0ms+lasts]");
     let text = accepted(1, "0a", "q", 1)
         + &accepted(1, "0b", "q", 1)
@@ -81,11 +81,10 @@
     assert_near(lost_to(&all, "failed"), 1.0);
 }
 
-/// A job is overdue and the logs end before it does: its account was told when nobody
-/// waited for it any more. One that nothing tells of is shown as such, a young one is not
-/// counted.
+/// A job that is overdue at the end of the logs counts by the causes in its overdue line. An
+/// older job without any line about its end counts as `untold`, and a recent one does not count.
 #[test]
-fn jobs_that_never_ended_count_by_what_the_logs_tell() {
+fn jobs_without_an_end_count_by_their_log_lines() {
     let overdue = "job=0a overdue after=7s objective=2s held-up=former:0,trust:5000";
     let text = accepted(1, "0a", "q", 1)
         + &line(8, overdue)
@@ -97,16 +96,16 @@
     assert_near(lost_to(&all, "untold"), 1.0);
 }
 
-/// On the recorded day each queue's causes come to no more than its jobs were worth, all
-/// queues together and all windows together to the same, and room and margins are what
-/// binds.
+/// In the recorded log, the lost worth of each queue and window does not exceed the worth of
+/// its jobs. The queues and the windows sum up to the same total, and the main causes are room
+/// and margin.
 #[test]
-fn a_recorded_day_adds_up() {
+fn losses_of_a_recorded_log_are_consistent() {
     let losses = compute_losses(RECORDED);
     assert!(losses.all.jobs > 50, "{losses:?}");
     losses.queues.values().chain(losses.windows.values()).for_each(assert_adds_up);
     let lost = losses.all.lost();
-    assert!(lost > 5.0, "many came late: {lost}");
+    assert!(lost > 5.0, "many jobs were late: {lost}");
     let by_queue: f64 = losses.queues.values().map(LossTotals::lost).sum();
     let by_window: f64 = losses.windows.values().map(LossTotals::lost).sum();
     assert!((by_queue - lost).abs() < 0.05 * lost && (by_window - lost).abs() < 0.05 * lost);
@@ -116,9 +115,9 @@
     assert!(lost_to(long, "margin") > lost_to(long, "room"), "{long:?}");
 }
 
-/// A job given up for crashes was counted with those that failed by themselves.
+/// Guards against counting a job given up because of crashes as one whose task failed.
 #[test]
-fn jobs_given_up_for_crashes_have_a_row_of_their_own() {
+fn jobs_given_up_because_of_crashes_have_their_own_cause() {
     let failed = "objective=2s held-up=former:0 failures=0";
     let text = accepted(1, "0a", "q", 1)
         + &line(9, &format!("job=0a ended state=Failed after=8s {failed} why=crashes"))
@@ -130,7 +129,7 @@
 }
 
 #[test]
-fn lines_that_are_cut_or_strange_are_passed_over() {
+fn truncated_or_malformed_lines_are_ignored() {
     let text = "job= accepted\n[2030 job=zz ended state=\njob=0a accepted queue=q steps=[x]\n";
     assert_eq!(compute_losses(text), LossReport::default());
 }
--- a/crates/yuccalink/src/app.rs
+++ b/crates/yuccalink/src/app.rs
@@ -1,4 +1,4 @@
-//! Runs one command and prints its output.
+//! Runs the command given on the command line and prints its output.
 
 use crate::args::{self, Invocation};
 use tokio::task::LocalSet;
--- a/crates/yuccalink/src/args.rs
+++ b/crates/yuccalink/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parser and help of the command line.
 
 use lexopt::{Arg, Parser, ValueExt};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use yuccalink_state::id::{BadTaskId, Name, TaskId};
 use yuccalink_state::jobs::JobId;
 
-/// What the command line asks for.
+/// What the command line requests.
 #[derive(Debug)]
 pub(crate) enum Invocation {
     Help { long: bool },
@@ -21,7 +21,7 @@
     Run(Settings, Command),
 }
 
-/// Settings of any command.
+/// Settings common to all commands.
 #[derive(Debug)]
 pub(crate) struct Settings {
     pub(crate) servers: Vec<SocketAddr>,
@@ -30,6 +30,7 @@
     pub(crate) json: bool,
 }
 
+/// Words and flags as given on the command line.
 #[derive(Default)]
 struct Arguments {
     words: Vec<Box<str>>,
@@ -59,7 +60,7 @@
     Error::Usage(what.into())
 }
 
-/// Reads the command line; `environment` gives defaults.
+/// Parses the command line. Environment variables give the defaults of some flags.
 pub(crate) fn parse<E>(parser: Parser, environment: E) -> Result<Invocation>
 where
     E: Fn(&str) -> Option<String>,
@@ -173,12 +174,12 @@
 }
 
 fn parse_job_id(word: &str) -> Result<Box<str>> {
-    let wrong = || usage(format!("`{word}` is no job's number: write 16 of 0-9 and a-f"));
+    let wrong = || usage(format!("`{word}` is not a job number: write 16 of 0-9 and a-f"));
     JobId::parse(word).map(|id| id.to_string().into()).ok_or_else(wrong)
 }
 
 fn parse_wave_number(text: &str) -> Result<u64> {
-    text.parse().map_err(|_| usage(format!("`{text}` is no wave's number")))
+    text.parse().map_err(|_| usage(format!("`{text}` is not a wave number")))
 }
 
 fn task_query(given: &Arguments) -> Result<Box<str>> {
@@ -206,7 +207,7 @@
     text.parse().map_err(|bad: BadTaskId| usage(bad.to_string()))
 }
 
-/// Single tasks and ranges such as `t3-t9`.
+/// Parses single tasks and ranges such as `t3-t9`.
 fn parse_task_ids(words: &[&str]) -> Result<Vec<TaskId>> {
     let mut all = Vec::new();
     for word in words {
@@ -294,10 +295,10 @@
     })
 }
 
-/// The help, short or long.
+/// Returns the short or the long help.
 pub(crate) fn help(long: bool) -> String {
     let mut out = String::from(
-        "yuccalink - check and apply service documents, run tasks, see what the system does\n\n\
+        "yuccalink - check and apply service documents, run tasks and jobs, show the system's state\n\n\
          Usage: yuccalink [FLAG]... COMMAND\n\nCommands:\n",
     );
     for (name, about) in COMMANDS {
@@ -307,26 +308,26 @@
         "\nFlags:\n  \
          -s, --server IP:PORT,...  daemons to ask [127.0.0.1:8081; YUCCALINK_SERVER]\n  \
          --json                    output for programs\n  \
-         --author NAME             who applies [YUCCALINK_AUTHOR, USER]\n  \
-         --timeout TIME            longest wait for an answer [15s; YUCCALINK_TIMEOUT]\n  \
+         --author NAME             name recorded as author of documents [YUCCALINK_AUTHOR, USER]\n  \
+         --timeout TIME            time limit of a request [15s; YUCCALINK_TIMEOUT]\n  \
          -h, --help                short help, long help\n  \
          -V, --version             the version\n",
     );
     if long {
         out.push_str(LONG_HELP);
     } else {
-        out.push_str("\n`yuccalink --help` tells more.\n");
+        out.push_str("\nSee `yuccalink --help` for more.\n");
     }
     out
 }
 
 const LONG_HELP: &str = "
 Documents (FILE may be - for standard input):
-  check FILE...             read them and report every fault with its place
-  apply FILE [--no-wait]    put it in force; returns when it is in force on every entry
-  get SERVICE               print the text in force
-  list                      all services
-  diff FILE                 what applying it would change
+  check FILE...             check documents and report every error with its position
+  apply FILE [--no-wait]    put a document in force; waits until it is in force on all entries
+  get SERVICE               print the document in force
+  list                      list the documents in force
+  diff FILE                 show what applying the file would change
 
 Tasks (TASK is a number such as t7; cancel also takes ranges such as t7-t12):
   task submit SERVICE KIND [-n N] [--urgent] [--payload TEXT] [--key KEY] [--wait]
@@ -335,36 +336,36 @@
   task show TASK [--wait]
   A submission sent again with the same --key gets the same answer and adds nothing.
 
-Job cells (--server names callers' ports for jobs, runners' and operators' for the rest):
+Job cells (--server: callers' ports for jobs, runners' and operators' ports for the rest):
   job submit FILE --queue HOST/PATH/ --id JOB
-                            hand a job in; the same number is the same job
+                            submit a job; submitting the same number again adds no job
   job get JOB --queue HOST/PATH/
   job cancel JOB --queue HOST/PATH/
   job pending --queue HOST/PATH/
-  change apply FILE         put queues and pools in force, whole or not at all
-  change get                print what is in force
-  wave start N FILE         take machines down for upkeep, a few at a time
-  wave get N                whether all are up again
-  why JOB FILE...           a job's lines of the processes' logs, in order of time, and
-                            what they come to
+  change apply FILE         put a change set of queues and pools in force as a whole
+  change get                print the change set in force
+  wave start N FILE         take machines down for maintenance, a few at a time
+  wave get N                show the state of a wave
+  why JOB FILE...           print a job's lines from the processes' logs in order of time,
+                            with its last state and its runs by outcome
   losses [--plot FILE.svg] FILE...
-                            what jobs lost, by cause, by queue and by when they came, from
-                            the processes' logs; --json has every window
+                            sum up the lost worth of jobs by cause, queue and time of
+                            acceptance, from the processes' logs; --json has all windows
 
 The system:
-  status                    who leads, which revision each entry has in force
-  targets                   runners and workers, their health and their owners
-  decisions                 the last routing and placement decisions, newest first
-  snapshot save FILE        save the state that is agreed on
-  snapshot verify FILE      read it whole and say what is in it
+  status                    show the leader and the revision in force on each entry
+  targets                   list runners and workers, their health and their owners
+  decisions                 list the last routing and placement decisions, newest first
+  snapshot save FILE        save a snapshot of the committed state
+  snapshot verify FILE      check a snapshot and print a summary
   snapshot restore FILE --data FOLDER --name NAME --address IP:PORT
-                            make a voter's data folder to found the system anew from
-  completions SHELL         for bash, zsh or fish
+                            create a voter's data folder to bootstrap the system again
+  completions SHELL         print completions for bash, zsh or fish
 
 Exit codes:
   0 done            1 failed or refused        2 wrong usage
-  3 the document has faults                    4 conflict: another document is in force
+  3 the document is invalid                    4 conflict: another document is in force
   5 no daemon answers                          6 accepted, but not in force everywhere in time
-  7 diff: the file differs from what is in force
+  7 diff: the file differs from the document in force
   8 a snapshot or a data folder cannot be used
 ";
--- a/crates/yuccalink/src/main.rs
+++ b/crates/yuccalink/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `yuccalink`: reads the command line and runs one command.
+//! The program `yuccalink`, which runs one command for operators and service teams.
 
 mod app;
 mod args;
--- a/crates/yuccalink/tests/cell.rs
+++ b/crates/yuccalink/tests/cell.rs
@@ -1,4 +1,4 @@
-//! The operator's commands against a job cell of one process.
+//! Commands of `yuccalink` against a job cell of one process.
 
 mod support;
 
@@ -16,7 +16,8 @@
 }
 
 impl Cell {
-    /// On a loopback address of its own, so that fixed ports are free.
+    /// Starts a cell on a loopback address derived from the process id, so that the fixed ports
+    /// are free.
     fn start() -> Self {
         Self::start_with(77, &[])
     }
@@ -82,7 +83,7 @@
 const ID: &str = "5c0e7a21d94b36f8";
 
 #[test]
-fn a_job_is_handed_in_looked_at_and_cancelled() {
+fn a_job_is_submitted_read_and_cancelled() {
     let cell = Cell::start();
     let change = cell.file("change.json", CHANGE);
     let job = cell.file("job.json", JOB);
@@ -116,10 +117,10 @@
     assert!(message.contains("names pool x, which is not among the pools"), "{message}");
 }
 
-/// On call, the lines of one job are put in order from the logs of two VMs; a job that no
-/// log names is said to be unknown, with what to do.
+/// The lines of one job from the logs of two VMs are printed in order of time. For a job that
+/// is in no log, the error message says which logs to give.
 #[test]
-fn a_jobs_decisions_are_put_in_order_from_logs() {
+fn log_lines_of_a_job_are_printed_in_order_of_time() {
     let folder = tempfile::tempdir().expect("a folder");
     let (first, second) = (folder.path().join("e1.log"), folder.path().join("e2.log"));
     let id = "5c0e7a21d94b36f8";
@@ -156,8 +157,8 @@
     assert!(shown.contains("give the logs of all VMs"), "{shown}");
 }
 
-/// An operator asks a process what it decides by: what its policy file changes is shown,
-/// and the whole policy as JSON.
+/// `status` shows the settings that the policy file changes, and `status --json` the whole
+/// policy.
 #[test]
 fn status_shows_the_policy_of_a_cell() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/yuccalink/tests/connections.rs
+++ b/crates/yuccalink/tests/connections.rs
@@ -1,4 +1,4 @@
-//! A process of a job cell holds so many connections and no more.
+//! Limit on the connections of a process of a job cell.
 
 mod support;
 
@@ -13,9 +13,10 @@
     Caller::new(cell.at(1, CONTROL)).get("/v1/status").ok()
 }
 
-/// Connections without end used up a process's descriptors, and with them its way to the others.
+/// Without a limit, client connections used up the file descriptors of a process, which then
+/// could not connect to the other processes.
 #[test]
-fn a_connection_beyond_the_most_is_told_to_come_back() {
+fn a_connection_over_the_limit_is_refused_with_503() {
     let cell = Cell::start_with(140, &["--connections-max", "3"]);
     let good = || status(&cell).filter(|reply| reply.status == 200);
     wait::wait_until(TIMEOUT, "the process", good);
@@ -29,9 +30,9 @@
     wait::wait_until(TIMEOUT, "a place", good);
 }
 
-/// A limit of none would let nobody in, and nobody would know why.
+/// With a limit of 0 a process would refuse every connection without a visible reason.
 #[test]
-fn a_process_that_could_be_reached_by_nobody_does_not_start() {
+fn a_process_with_a_connection_limit_of_0_does_not_start() {
     let output = std::process::Command::new(support::daemon())
         .args(["cell", "--callers", "127.0.0.1:0", "--seeds", "127.0.0.1:1"])
         .args(["--connections-max", "0"])
--- a/crates/yuccalink/tests/program.rs
+++ b/crates/yuccalink/tests/program.rs
@@ -1,4 +1,4 @@
-//! The real command: usage, exit codes and output, without and against a daemon.
+//! The program `yuccalink`: usage, exit codes and output, without a daemon and with one.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_silent_server_ends_with_code_5() {
+fn an_unreachable_server_ends_with_code_5() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     drop(taken);
@@ -74,7 +74,7 @@
     assert!(stderr(&output).contains("no daemon answers at 127.0.0.1"));
 }
 
-/// A reader takes the first lines and closes the pipe: no error, no noise.
+/// A reader such as `head` that closes the pipe early must not cause an error message.
 #[test]
 fn a_broken_pipe_is_no_error() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_yuccalink"))
@@ -145,9 +145,9 @@
     daemon.kill();
 }
 
-/// From log files to a table, JSON and a picture, without a daemon.
+/// `losses` prints a table and JSON and draws a plot from log files, without a daemon.
 #[test]
-fn losses_are_added_up_and_drawn() {
+fn losses_are_printed_and_drawn() {
     let folder = tempfile::tempdir().expect("a folder");
     let at = |name: &str| folder.path().join(name).display().to_string();
     let log = "[2030-01-01T10:00:01.0Z INFO a] job=0a accepted queue=q steps=[1x1000m/1M/900ms]\n\
--- a/crates/yuccalink/tests/reports.rs
+++ b/crates/yuccalink/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Runners of a job cell report to the process that they reached first.
+//! Which process of a job cell runners report to.
 
 mod support;
 
@@ -17,7 +17,8 @@
     (reply.status == 200).then(|| serde_json::from_slice(&reply.body).expect("JSON"))
 }
 
-/// A leader that every runner connected to had no descriptor and no time left at some thousands.
+/// When all runners reported to the leader, it ran out of file descriptors and CPU time at some
+/// thousands of runners. Each process therefore names itself in `report-to`.
 #[test]
 fn runners_stay_with_the_process_that_answers_them() {
     let cell = Cell::start(120);
@@ -31,7 +32,8 @@
     }
 }
 
-/// A runner told to report to a process that is about to stop would lose its next report.
+/// A runner that reports to a stopping process would lose its next report, so such a process
+/// names none in `report-to`.
 #[test]
 fn a_process_that_stops_keeps_no_runner() {
     let cell = Cell::start(130);
--- a/crates/yuccalink/tests/slow_link.rs
+++ b/crates/yuccalink/tests/slow_link.rs
@@ -1,15 +1,15 @@
-//! The operator's commands at an entry without a disk whose link to the leader is slow.
+//! Commands of `yuccalink` through an entry without a disk, over a slow link to the leader.
 
 mod support;
 
 use std::path::Path;
 use support::Cell;
 
-/// What the slow link carries, in bytes a second and direction: a fifth of 2 Mbit/s, so
-/// that no speed of the machine decides whether a large body passes within a second.
+/// Bytes per second and direction over the slow link: a fifth of 2 Mbit/s. Whether a large body
+/// passes within a second then does not depend on the speed of the machine.
 const BYTES_PER_SECOND: u64 = 50_000;
 
-/// A change set of at least `size` bytes.
+/// Returns a change set of at least `size` bytes.
 fn change(version: u64, size: usize) -> String {
     let queue = |at: usize| {
         format!(
@@ -27,7 +27,8 @@
     path.display().to_string()
 }
 
-/// A change set that takes longer over an entry's link than one try may could never be read there.
+/// A change set that took longer over the link than the time limit of one attempt could never
+/// be read at this entry.
 #[test]
 fn a_change_set_of_any_size_is_read_back_through_a_slow_link() {
     let cell = Cell::start_with_slow_link(100, BYTES_PER_SECOND);
@@ -35,11 +36,15 @@
         let text = change(version, size);
         let file = write(cell.folder.path(), &text);
         assert_eq!(cell.run_ok(1, &["change", "apply", &file]), "in force");
-        assert!(cell.run_ok(2, &["change", "get"]) == text, "version {version} is another text");
+        assert!(
+            cell.run_ok(2, &["change", "get"]) == text,
+            "version {version} differs from the applied text"
+        );
     }
 }
 
-/// A large change set sent to an entry that does not lead was answered with a redirect that the command did not follow.
+/// An entry that does not lead answered a large change set with a redirect, which the command
+/// did not follow.
 #[test]
 fn a_change_set_of_any_size_is_applied_through_a_slow_link() {
     let cell = Cell::start_with_slow_link(110, BYTES_PER_SECOND);
@@ -47,6 +52,9 @@
         let text = change(version, size);
         let file = write(cell.folder.path(), &text);
         assert_eq!(cell.run_ok(2, &["change", "apply", &file]), "in force");
-        assert!(cell.run_ok(1, &["change", "get"]) == text, "version {version} is another text");
+        assert!(
+            cell.run_ok(1, &["change", "get"]) == text,
+            "version {version} differs from the applied text"
+        );
     }
 }
--- a/crates/yuccalink/tests/support/mod.rs
+++ b/crates/yuccalink/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the command share.
+//! Helpers shared by the tests of `yuccalink`.
 #![allow(dead_code, missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Output};
 use yuccalink_fakes::slow_link;
 
-/// The daemon beside the test's program; the workspace's tests build it.
+/// Returns the path of the daemon, which is built beside the test programs of the workspace.
 pub fn daemon() -> PathBuf {
     let mut path = std::env::current_exe().expect("this test's path");
     path.pop();
@@ -29,20 +29,21 @@
 }
 
 impl Cell {
-    /// `number` is the last part of e1's address, less one; no two cells of one test program
-    /// may share any of it.
+    /// Starts a cell. `address_offset` is the last byte of e1's address minus one; e2 has the
+    /// address after it. No two cells of one test program may share an address.
     pub fn start(address_offset: u8) -> Self {
         Self::start_with(address_offset, &[])
     }
 
-    /// Both processes have these flags besides.
+    /// Starts a cell with further flags for both processes.
     pub fn start_with(address_offset: u8, more: &[&str]) -> Self {
         let cell = Self::new(address_offset);
         let leader = cell.at(1, PEER);
         cell.launch_both(leader, more)
     }
 
-    /// The link from e2 to the leader carries `rate` bytes a second in each direction.
+    /// Starts a cell whose link from e2 to the leader carries `rate` bytes per second in each
+    /// direction.
     pub fn start_with_slow_link(address_offset: u8, rate: u64) -> Self {
         let cell = Self::new(address_offset);
         let forwarder = cell.at(1, FORWARDER);
@@ -64,7 +65,8 @@
         self
     }
 
-    /// Loopback addresses of this process, so that fixed ports are free.
+    /// Returns an address of an entry on a loopback address derived from the process id, so that
+    /// the fixed ports are free.
     pub fn at(&self, entry: u8, port: u16) -> SocketAddr {
         let id = std::process::id();
         let host = Ipv4Addr::new(127, (id >> 8) as u8 | 1, id as u8, self.address_offset + entry);
@@ -86,7 +88,7 @@
         self.children.push(child);
     }
 
-    /// SIGTERM, without waiting for its end.
+    /// Sends SIGTERM without waiting for the process to exit.
     pub fn stop(&self, entry: u8) {
         let id = self.children[usize::from(entry) - 1].id().to_string();
         let done = Command::new("kill").args(["-TERM", &id]).status();
--- a/crates/yuccalinkd/benches/system.rs
+++ b/crates/yuccalinkd/benches/system.rs
@@ -1,6 +1,6 @@
-//! Ten daemons as processes on loopback, three of which keep the state: how long
-//! a change takes to be in force everywhere, how long the system is without a
-//! leader, what the ledger takes, and what the daemons cost while idle.
+//! Benchmarks of ten daemon processes on loopback, three of which keep the state: time until a
+//! change is in force everywhere, time without a leader, throughput of the request ledger, and
+//! use of CPU, memory and network while idle.
 //!
 //! `cargo bench -p yuccalinkd --bench system`
 
@@ -39,7 +39,7 @@
     fs::read_to_string(format!("/proc/{pid}/{file}")).unwrap_or_default()
 }
 
-/// Processor time used, in seconds.
+/// Returns the CPU time used by a daemon, in seconds.
 fn cpu_seconds(daemons: &Daemons, at: usize) -> f64 {
     let stat = proc(daemons, at, "stat");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
@@ -53,7 +53,7 @@
     line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-/// Bytes that went over the loopback device.
+/// Returns the bytes received on the loopback device since boot.
 fn loopback_bytes() -> u64 {
     let devices = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = devices.lines().find(|line| line.trim_start().starts_with("lo:"));
--- a/crates/yuccalinkd/src/app.rs
+++ b/crates/yuccalinkd/src/app.rs
@@ -1,4 +1,4 @@
-//! Turns settings into a running daemon and signals into its stop.
+//! Starts the daemon from its settings and stops it on a signal.
 
 use crate::args::{self, ArgumentError, Invocation};
 use crate::cell;
@@ -10,15 +10,15 @@
 use yuccalink_daemon::{Config, Daemon};
 
 const VERSION: &str = concat!("yuccalinkd ", env!("CARGO_PKG_VERSION"), "\n");
-/// How often the disk's state is looked at.
+/// Interval at which the daemon is checked for a failed disk.
 const DISK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Word that runs the process under the platform's settings.
+/// First argument that starts a process of a cell with the platform's settings.
 const PLATFORM_COMMAND: &str = "platform";
-/// Word that runs one process of a job cell by flags.
+/// First argument that starts a process of a job cell with flags.
 const CELL_COMMAND: &str = "cell";
 
-/// Why the program ends with an error.
+/// Error with which the program ends.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum Failure {
     /// {0}
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a process of a cell as the platform's settings say.
+/// Runs a process of a cell with the platform's settings.
 fn run_on_platform() -> Result<(), Failure> {
     start_logging()?;
     let result = yuccalink_platform::run().map_err(Failure::Platform);
@@ -69,7 +69,7 @@
     result
 }
 
-/// Runs a process of a cell as its flags say.
+/// Runs a process of a cell with the settings from its flags.
 fn run_cell_process() -> Result<(), Failure> {
     let parser = lexopt::Parser::from_args(std::env::args_os().skip(2));
     let builder = match cell::parse(parser, |name| std::env::var_os(name)) {
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// A reader that has seen enough is no error.
+/// Prints to standard output. A closed pipe, as with `head`, is not an error.
 fn print(text: &str) -> Result<(), Failure> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(Failure::Start(error)),
@@ -115,7 +115,7 @@
     result
 }
 
-/// Waits for a signal, or for the disk to fail.
+/// Waits for SIGTERM or SIGINT, or for the disk to fail. Returns the error of the disk.
 fn wait_for_end(daemon: &mut Daemon) -> Result<Option<yuccalink_state::Error>, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/yuccalinkd/src/args.rs
+++ b/crates/yuccalinkd/src/args.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables: one table describes them all.
+//! Flags and environment variables, defined in one table.
 
 use lexopt::{Arg, Parser, ValueExt};
 use std::collections::BTreeMap;
@@ -9,18 +9,18 @@
 use yuccalink_protocol::units;
 use yuccalink_state::id::Name;
 
-/// What is wrong with a flag or variable.
+/// Error in a flag or environment variable.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum ArgumentError {
     /// {0}; see `yuccalinkd --help`
     Usage(lexopt::Error),
     /// {from}: `{value}` is not accepted: {why}
     Value {
-        /// The flag or variable.
+        /// Name of the flag or variable.
         from: Box<str>,
-        /// What it was set to.
+        /// Value of the flag or variable.
         value: Box<str>,
-        /// What is wrong and the remedy.
+        /// Reason and remedy.
         why: Box<str>,
     },
     /// {0} is not UTF-8; write it in UTF-8
@@ -29,7 +29,7 @@
 
 impl std::error::Error for ArgumentError {}
 
-/// What the command line asks for.
+/// What the command line requests.
 #[derive(Debug)]
 pub(crate) enum Invocation<B = ConfigBuilder> {
     /// Run with these settings.
@@ -42,9 +42,10 @@
     Version,
 }
 
+/// Applies the text of a setting to a configuration.
 type Setter<B> = fn(B, &str) -> Result<B, String>;
 
-/// One setting: `--flag` and `YUCCALINK_FLAG`.
+/// A setting, given as `--flag` or as variable `YUCCALINK_FLAG`.
 pub(crate) struct Setting<B = ConfigBuilder> {
     pub(crate) flag: &'static str,
     pub(crate) value: &'static str,
@@ -53,7 +54,7 @@
     pub(crate) set: Setter<B>,
 }
 
-/// All settings, in the order of the help.
+/// All settings in the order of the help.
 pub(crate) const SETTINGS: [Setting; 19] = [
     Setting {
         flag: "name",
@@ -66,7 +67,7 @@
         flag: "zone",
         value: "NAME",
         short: "availability zone of this entry VM [zone]",
-        long: "Runners in the same zone are preferred while they have room.",
+        long: "Runners in the same zone are preferred while they have free slots.",
         set: |config, text| Ok(config.zone(text)),
     },
     Setting {
@@ -74,7 +75,7 @@
         value: "FOLDER",
         short: "folder for the state, on a VM with a disk",
         long: "Needed by a daemon that keeps the state: one that runs alone, or is among --voters. \
-               Made when it is not there.",
+               Created if missing.",
         set: |config, text| Ok(config.data(text)),
     },
     Setting {
@@ -88,13 +89,13 @@
         flag: "callers",
         value: "IP:PORT",
         short: "where callers connect [127.0.0.1:8080]",
-        long: "Behind the platform's balancer. Port 0 takes any free one.",
+        long: "Behind the platform's load balancer. Port 0 selects any free port.",
         set: |config, text| Ok(config.callers(parse_address(text)?)),
     },
     Setting {
         flag: "callers-advertised",
         value: "IP:PORT",
-        short: "where other entries hand requests to [as --callers]",
+        short: "where other entries forward requests to [as --callers]",
         long: "Needed where --callers is a wildcard such as 0.0.0.0:8080.",
         set: |config, text| Ok(config.callers_advertised(Some(parse_address(text)?))),
     },
@@ -116,71 +117,71 @@
         flag: "peer-keys",
         value: "FILE",
         short: "keys that daemons share [none: any daemon is trusted]",
-        long: "One key of at least 32 characters a line. The first is shown, any is accepted; the \
-               file is read anew for each connection, so keys can be exchanged without a stop.",
+        long: "One key of at least 32 characters a line. The first is sent, any is accepted. The \
+               file is read again for each connection, so keys can be rotated without a restart.",
         set: |config, text| Ok(config.peer_keys(Some(text.into()))),
     },
     Setting {
         flag: "traffic-threads",
         value: "N",
         short: "threads for callers' traffic [2]",
-        long: "One less than the VM has processors is a good start.",
+        long: "Start with one less than the VM's number of processors.",
         set: |config, text| Ok(config.traffic_threads(parse_number(text)?)),
     },
     Setting {
         flag: "connections",
         value: "N",
         short: "callers' connections at once [4096]",
-        long: "Further ones wait to be accepted.",
+        long: "Further connections wait to be accepted.",
         set: |config, text| Ok(config.connections(parse_number(text)?)),
     },
     Setting {
         flag: "body-max",
         value: "SIZE",
         short: "largest request body [1MiB]",
-        long: "Requests are read whole before they are sent on; answers are not. In MiB, GiB or TiB.",
+        long: "Request bodies are read completely before they are forwarded; response bodies are streamed. In MiB, GiB or TiB.",
         set: |config, text| Ok(config.body_max(parse_size(text)?)),
     },
     Setting {
         flag: "head-timeout",
         value: "TIME",
-        short: "time for the head of a request [5s]",
-        long: "A connection that takes longer is answered 408 and closed.",
+        short: "time limit for the head of a request [5s]",
+        long: "A connection that takes longer gets status 408 and is closed.",
         set: |config, text| Ok(config.head_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "body-timeout",
         value: "TIME",
-        short: "time for the body of a request [10s]",
-        long: "A request that takes longer is answered 400 as not run.",
+        short: "time limit for the body of a request [10s]",
+        long: "A request that takes longer gets status 400 and is not run.",
         set: |config, text| Ok(config.body_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "idle-timeout",
         value: "TIME",
-        short: "time that a connection may stay unused [60s]",
-        long: "Longer than the balancer keeps its own, so that it closes first.",
+        short: "time after which an unused connection is closed [60s]",
+        long: "Longer than the load balancer's idle timeout, so that the balancer closes first.",
         set: |config, text| Ok(config.idle_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "stall-timeout",
         value: "TIME",
-        short: "time that a caller may leave an answer untaken [10s]",
-        long: "Then its connection is cut and the runner's slot given back.",
+        short: "time that a caller may leave a response unread [10s]",
+        long: "After it, the caller's connection is closed and the runner's slot released.",
         set: |config, text| Ok(config.stall_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "connect-timeout",
         value: "TIME",
-        short: "time for a connection to a runner [500ms]",
-        long: "A request whose runner cannot be reached goes to another one.",
+        short: "time limit for connecting to a runner [500ms]",
+        long: "A request whose runner cannot be reached goes to another runner.",
         set: |config, text| Ok(config.connect_timeout(parse_duration(text)?)),
     },
     Setting {
         flag: "drain-delay",
         value: "TIME",
-        short: "time between turning red and refusing callers at a stop [5s]",
-        long: "As long as the balancer takes to notice a red health check.",
+        short: "time from failing health checks to refusing callers at a stop [5s]",
+        long: "As long as the load balancer takes to notice a failed health check.",
         set: |config, text| Ok(config.drain_delay(parse_duration(text)?)),
     },
     Setting {
@@ -192,7 +193,7 @@
     },
 ];
 
-/// Reads the environment, then the command line, which goes first.
+/// Parses the environment and the command line. Flags take precedence over variables.
 pub(crate) fn parse<E>(parser: Parser, environment: E) -> Result<Invocation, ArgumentError>
 where
     E: Fn(&str) -> Option<OsString>,
@@ -200,7 +201,8 @@
     parse_settings(parser, environment, &SETTINGS, Config::builder())
 }
 
-/// The same for any table of settings.
+/// Parses the environment and the command line for a table of settings. Flags take precedence
+/// over variables.
 pub(crate) fn parse_settings<B, E>(
     parser: Parser,
     environment: E,
@@ -288,25 +290,25 @@
     Ok(Peer { name, address: parse_address(at)? })
 }
 
-/// The help: a line a setting, or with `long` a paragraph each.
+/// Returns the help, with one line for each setting or, with `long`, a paragraph.
 pub(crate) fn help(long: bool) -> String {
-    let head = "yuccalinkd - takes callers' requests, hears targets' announcements and keeps the state\n\n\
+    let head = "yuccalinkd - routes callers' requests, receives targets' heartbeats and keeps the state\n\n\
          Usage: yuccalinkd [--FLAG VALUE]...\n       yuccalinkd cell [--FLAG VALUE]...\n       \
          yuccalinkd platform\n\n\
-         `yuccalinkd cell --help` tells of job cells. Under `platform` the users' platform sets\n\
-         everything. Every flag can also be set as a variable: --drain-delay as\n\
-         YUCCALINK_DRAIN_DELAY. A flag goes before its variable. With no --voters the daemon\n\
-         runs alone.\n\nFlags:\n";
+         See `yuccalinkd cell --help` for job cells. With `platform`, all settings come from the\n\
+         users' platform. Every flag can also be set as a variable: --drain-delay as\n\
+         YUCCALINK_DRAIN_DELAY. A flag takes precedence over its variable. Without --voters\n\
+         the daemon runs alone.\n\nFlags:\n";
     let tail = "\nLog lines go to standard output; RUST_LOG filters them, such as\n\
          RUST_LOG=info,yuccalink::decision=off.\n\n\
-         SIGTERM and SIGINT stop it gracefully: the health check turns red, requests are\n\
-         served for --drain-delay more, those in flight are finished, and it exits with 0.\n\n\
+         SIGTERM and SIGINT stop it gracefully: health checks fail, new requests are served\n\
+         for --drain-delay, requests in flight are completed, and it exits with 0.\n\n\
          Exit codes: 0 stopped as asked, 1 failed while running, 2 wrong settings,\n\
          3 the state on the disk cannot be used.\n";
     render_help(&SETTINGS, head, if long { tail } else { "" }, long)
 }
 
-/// The help of any table of settings.
+/// Returns the help for a table of settings.
 pub(crate) fn render_help<B>(
     settings: &[Setting<B>],
     head: &str,
--- a/crates/yuccalinkd/src/cell.rs
+++ b/crates/yuccalinkd/src/cell.rs
@@ -1,4 +1,4 @@
-//! Flags and variables of `yuccalinkd cell`.
+//! Flags and environment variables of `yuccalinkd cell`.
 
 use crate::args::{self, ArgumentError, Invocation, Setting};
 use lexopt::Parser;
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use yuccalink_daemon::cell::{CellConfig, CellConfigBuilder, SeedSource, policy};
 
-/// All settings, in the order of the help.
+/// All settings in the order of the help.
 pub(crate) const SETTINGS: [Setting<CellConfigBuilder>; 15] = [
     Setting {
         flag: "name",
@@ -27,7 +27,7 @@
         flag: "data",
         value: "FOLDER",
         short: "folder for the state, on a VM with a disk",
-        long: "A process without one takes requests and passes them on.",
+        long: "A process without a data folder forwards requests to the leader.",
         set: |config, text| Ok(config.data(PathBuf::from(text))),
     },
     Setting {
@@ -41,64 +41,64 @@
         flag: "peer-advertised",
         value: "IP:PORT",
         short: "where other processes reach it [as --peer]",
-        long: "Needed behind a forwarder.",
+        long: "Needed behind a port forwarder.",
         set: |config, text| Ok(config.peer_advertised(args::parse_address(text)?)),
     },
     Setting {
         flag: "seeds",
         value: "IP:PORT,...",
         short: "where some other processes listen for peers",
-        long: "The same list everywhere when the cell is founded; later any that are up.",
+        long: "The same list on all VMs when the cell is bootstrapped; later any running processes.",
         set: |config, text| Ok(config.seeds(parse_addresses(text)?)),
     },
     Setting {
         flag: "found",
         value: "yes|no",
         short: "whether the cell is new [no]",
-        long: "The first of the seeds with a disk founds it, if that disk is empty.",
+        long: "The first of the seeds with a disk bootstraps the cell if that disk is empty.",
         set: |config, text| Ok(config.bootstrap(parse_yes_no(text)?)),
     },
     Setting {
         flag: "losses",
         value: "N",
-        short: "disks that may be lost at once [1]",
-        long: "Decides how many vote: 3 for 1, 5 for 2.",
+        short: "disks that may be lost at the same time [1]",
+        long: "Sets the number of voters: 3 for 1, 5 for 2.",
         set: |config, text| Ok(config.tolerated_disk_losses(args::parse_number(text)?)),
     },
     Setting {
         flag: "callers",
         value: "IP:PORT",
         short: "where callers connect [none]",
-        long: "Behind the platform's balancer.",
+        long: "Behind the platform's load balancer.",
         set: |config, text| Ok(config.callers(args::parse_address(text)?)),
     },
     Setting {
         flag: "control",
         value: "IP:PORT",
         short: "where runners and operators connect [none]",
-        long: "Runners stay with the process that they reached first.",
+        long: "Runners keep reporting to the process that they reached first.",
         set: |config, text| Ok(config.control(args::parse_address(text)?)),
     },
     Setting {
         flag: "ready",
         value: "IP:PORT",
-        short: "where the balancer asks whether it is ready [none]",
-        long: "200 while it can serve callers, else 503.",
+        short: "where the load balancer checks readiness [none]",
+        long: "Status 200 while the process can serve callers, otherwise 503.",
         set: |config, text| Ok(config.ready(args::parse_address(text)?)),
     },
     Setting {
         flag: "metrics",
         value: "IP:PORT",
         short: "where counters and histograms are read [none]",
-        long: "As text, one figure a line.",
+        long: "As text, one value a line.",
         set: |config, text| Ok(config.metrics(args::parse_address(text)?)),
     },
     Setting {
         flag: "policy",
         value: "FILE",
-        short: "what the leader decides by [as shipped]",
-        long: "TOML, a section a mechanism; what it does not name stays as shipped. The same \
-               file on every VM, since any may lead.",
+        short: "settings of the leader's decisions [as shipped]",
+        long: "TOML with one section for each mechanism; settings not named stay as shipped. Use the \
+               same file on every VM, since any process may become leader.",
         set: |config, text| {
             let policy = policy::read(Path::new(text)).map_err(|error| error.to_string())?;
             Ok(config.policy(policy))
@@ -108,20 +108,21 @@
         flag: "connections-max",
         value: "N",
         short: "connections of callers, runners and operators held at once [800]",
-        long: "Further ones are told to come back. Keep it below the limit of open files, of \
-               which other processes of the cell and the data folder need some.",
+        long: "Further connections are refused with status 503. Keep it below the limit of open files: \
+               the other processes of the cell and the data folder need some of them.",
         set: |config, text| Ok(config.connections_max(args::parse_number(text)?)),
     },
     Setting {
         flag: "drain",
         value: "TIME",
-        short: "how long a stopping process goes on serving [3s]",
-        long: "For the balancer to notice that it is not ready any more.",
+        short: "time that a stopping process continues to serve [3s]",
+        long: "As long as the load balancer takes to notice that the process is not ready.",
         set: |config, text| Ok(config.drain(args::parse_duration(text)?)),
     },
 ];
 
-/// Reads the environment, then the command line after the word `cell`.
+/// Parses the environment and the command line after the word `cell`. Flags take precedence
+/// over variables.
 pub(crate) fn parse<E>(
     parser: Parser,
     environment: E,
@@ -133,13 +134,13 @@
     args::parse_settings(parser, environment, &SETTINGS, CellConfig::builder("entry", default_peer))
 }
 
-/// The help: a line a setting, or with `long` a paragraph each.
+/// Returns the help, with one line for each setting or, with `long`, a paragraph.
 pub(crate) fn help(long: bool) -> String {
     let head = "yuccalinkd cell - one process of a job cell\n\n\
          Usage: yuccalinkd cell [--FLAG VALUE]...\n\n\
          Every flag can also be set as a variable: --found as YUCCALINK_FOUND.\n\nFlags:\n";
-    let tail = "\nSIGTERM and SIGINT stop it gracefully; SIGHUP is taken and changes nothing, since\n\
-         flags cannot change.\n\n\
+    let tail = "\nSIGTERM and SIGINT stop it gracefully; SIGHUP is accepted and has no effect,\n\
+         since flags cannot change.\n\n\
          Exit codes: 0 stopped as asked, 1 failed while running, 2 wrong settings.\n";
     args::render_help(&SETTINGS, head, if long { tail } else { "" }, long)
 }
@@ -157,7 +158,7 @@
     }
 }
 
-/// Flags do not change while a process runs.
+/// Seed addresses from the flags, which do not change while the process runs.
 pub(crate) struct FixedSeeds(pub(crate) Vec<SocketAddr>);
 
 impl SeedSource for FixedSeeds {
--- a/crates/yuccalinkd/src/main.rs
+++ b/crates/yuccalinkd/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `yuccalinkd`: reads settings, runs the daemon, obeys signals.
+//! The program `yuccalinkd`, the daemon that runs on every entry VM.
 
 mod app;
 mod args;
--- a/crates/yuccalinkd/tests/program.rs
+++ b/crates/yuccalinkd/tests/program.rs
@@ -1,4 +1,4 @@
-//! The real program: settings, exit codes, signals, and a kill at any moment.
+//! The program `yuccalinkd`: settings, exit codes, signals and kills.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     program().args(args).output().expect("the program")
 }
 
-/// A daemon that ends with its test.
+/// A daemon process that is killed when its test ends.
 struct Running {
     child: Child,
     callers: SocketAddr,
@@ -76,7 +76,8 @@
 }
 
 impl Running {
-    /// A runner of `quotes` that is routed to, and a caller.
+    /// Starts a runner of the service `quotes` and returns it with a caller once requests are
+    /// routed to the runner.
     fn with_runner(&self) -> (FakeRunner, Caller) {
         let runner = FakeRunner::start(RunnerSettings {
             name: name("r1"),
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_folder_in_use_and_a_taken_port_are_told_apart() {
+fn a_folder_in_use_and_a_taken_port_have_different_errors() {
     let folder = tempfile::tempdir().expect("a folder");
     let running = Running::start(folder.path());
     let any = "127.0.0.1:0";
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn sigterm_stops_it_gracefully_with_code_0() {
+fn sigterm_and_sigint_stop_the_daemon_with_code_0() {
     let folder = tempfile::tempdir().expect("a folder");
     for signal in ["-TERM", "-INT"] {
         let mut running = Running::start(folder.path());
@@ -169,9 +170,8 @@
     }
 }
 
-/// The daemon is killed again and again while an operator applies one version
-/// after the other. Every version that was acknowledged is there after each
-/// restart, and none ever reverts.
+/// The daemon is killed repeatedly while new versions of a document are applied. After each
+/// restart, it must have the last acknowledged version or a later one.
 #[test]
 fn kill_9_at_any_moment_loses_nothing_acknowledged() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -188,7 +188,7 @@
         }
         let pid = running.child.id().to_string();
         let killer = std::thread::spawn(move || {
-            // Drawn from the round: some kills come early, some after many changes.
+            // The delay depends on the round: some kills come early, some after many changes.
             std::thread::park_timeout(Duration::from_millis(3 + round * 17));
             let _ = Command::new("kill").args(["-9", &pid]).status();
         });
@@ -206,8 +206,8 @@
     assert!(acknowledged > 0);
 }
 
-/// The platform stops a VM while a long request is in flight. The process lives until
-/// the whole answer has gone to its caller, and ends well.
+/// After SIGTERM during a long request, the process must run until the caller has the whole
+/// response, and then exit with code 0.
 #[test]
 fn sigterm_waits_for_the_request_in_flight() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -227,13 +227,12 @@
     runner.stop();
 }
 
-/// A runner's answer of 200 MB goes through the entry. Its memory must not grow
-/// with the answer's size.
+/// The memory of an entry must not grow with the size of a response, here 200 MB.
 #[test]
 fn a_large_answer_streams_in_constant_memory() {
     let folder = tempfile::tempdir().expect("a folder");
     let running = Running::start(folder.path());
-    // The whole answer must pass within its deadline, also on a busy machine.
+    // The whole response must pass within the deadline, also on a busy machine.
     let patient = DOCUMENT.replace("deadline = \"800ms\"", "deadline = \"60s\"");
     assert!(patient != DOCUMENT && running.apply_text(&patient).is_some());
     let (mut runner, caller) = running.with_runner();
--- a/crates/yuccalinkd/tests/slow_link.rs
+++ b/crates/yuccalinkd/tests/slow_link.rs
@@ -1,4 +1,4 @@
-//! A daemon without a disk whose links to the voters carry little.
+//! A daemon without a disk whose links to the voters are slow.
 
 mod support;
 
@@ -6,15 +6,16 @@
 use support::{Daemons, VOTERS, until};
 use yuccalink_fakes::slow_link;
 
-/// Bytes a second: a fifth of 2 Mbit/s.
+/// Rate of the slow links: a fifth of 2 Mbit/s.
 const BYTES_PER_SECOND: u64 = 50_000;
-/// With 40 KB each they take 9.6 s over the link, six times what one call may.
+/// Documents of 40 KB each take 9.6 s over the link, six times the time limit of one request.
 const SERVICE_COUNT: usize = 12;
 const DOCUMENT_BYTES: usize = 40_000;
 
-/// More documents than the link carries within one call kept an entry out of service for ever.
+/// An entry never became ready if its documents took longer over the link than the time limit
+/// of one request.
 #[test]
-fn an_entry_behind_a_slow_link_comes_into_service_with_any_number_of_documents() {
+fn an_entry_behind_a_slow_link_becomes_ready_with_any_number_of_documents() {
     let mut daemons = Daemons::start(4);
     for service in 0..SERVICE_COUNT {
         let comment = "#".repeat(DOCUMENT_BYTES);
--- a/crates/yuccalinkd/tests/support/mod.rs
+++ b/crates/yuccalinkd/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Real daemons as processes on loopback addresses of their own, with fakes
-//! around them and a balancer that looks at their health checks.
+//! Daemon processes on loopback addresses of their own, with fake runners, workers and callers,
+//! and a load balancer that follows the health checks.
 #![allow(dead_code, missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -27,13 +27,13 @@
     [[request]]\nname = 'any'\npath = '/any'\nidempotent = true\ndeadline = '4s'\n\
     [[task]]\nname = 'k'\nprocessors = 1\nmemory = '10MiB'\nduration = '1s'\n";
 
-/// Waits as [`yuccalink_fakes::wait::wait_until`] does.
+/// Waits up to 30 s until `found` returns a value, and panics after that.
 pub fn until<T>(what: &str, found: impl FnMut() -> Option<T>) -> T {
     yuccalink_fakes::wait::wait_until(Duration::from_secs(30), what, found)
 }
 
-/// Loopback addresses that no other test of this machine uses, so that daemons
-/// can be started again where they were.
+/// Returns the middle bytes of loopback addresses for one test, derived from the process id and
+/// a counter. With addresses of its own, a test can restart a daemon at the same address.
 fn loopback_prefix() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
@@ -93,7 +93,7 @@
         self.launch_with(at, &voters);
     }
 
-    /// Starts a daemon that reaches the voters at these addresses.
+    /// Starts a daemon that connects to the voters at these addresses.
     pub fn launch_with(&mut self, at: usize, voters: &[SocketAddr]) {
         let voters = voters.iter().enumerate();
         let voters: Vec<String> = voters.map(|(v, to)| format!("e{}={to}", v + 1)).collect();
@@ -123,7 +123,7 @@
         assert!(done.expect("kill").success());
     }
 
-    /// kill -9.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, at: usize) {
         if let Some(mut child) = self.children[at].take() {
             let _ = child.kill();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// SIGTERM, and its exit code.
+    /// Stops a daemon with SIGTERM and returns its exit code.
     pub fn stop(&mut self, at: usize) -> Option<i32> {
         self.signal(at, "-TERM");
         let mut child = self.children[at].take().expect("a daemon");
@@ -157,7 +157,7 @@
         reply.ok().and_then(|r| serde_json::from_slice(&r.body).ok()).unwrap_or_default()
     }
 
-    /// The daemon that leads, by the word of any that answers.
+    /// Returns the index of the leader, as reported by the first daemon that answers.
     pub fn leader(&self) -> usize {
         until("a leader", || {
             let answers = (0..self.children.len()).filter(|at| self.children[*at].is_some());
@@ -239,7 +239,7 @@
         assert!(self.runners.iter().all(|runner| runner.peak_requests() <= 8));
     }
 
-    /// Callers that ask through the balancer until told to stop.
+    /// Starts callers that send requests through the load balancer until [`Load::finish`].
     pub fn load(&self, callers: usize) -> Load {
         let health: Arc<Vec<AtomicBool>> =
             Arc::new((0..self.children.len()).map(|_| AtomicBool::new(true)).collect());
@@ -294,7 +294,7 @@
     health: Arc<Vec<AtomicBool>>,
     stop: Arc<AtomicBool>,
     pub answered: Arc<AtomicU64>,
-    /// What went wrong for callers of idempotent requests, in words.
+    /// Descriptions of failed requests.
     pub failed: Arc<Mutex<Vec<String>>>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -321,7 +321,7 @@
             checker.lock().expect("a lock").sent(&label, tag, once);
             let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
             let mut outcome = self.send_request(entry, tag, once, &label);
-            // A caller that wants its invoice asks again with the same key.
+            // The caller repeats a request of unknown outcome with the same idempotency key.
             while once
                 && outcome == Some(CallerOutcome::Unknown)
                 && !self.stop.load(Ordering::SeqCst)
@@ -338,7 +338,7 @@
         }
     }
 
-    /// The next entry whose health check is green.
+    /// Returns the next entry whose health check succeeds.
     fn next_healthy_entry(&self, entries: &[SocketAddr], at: &mut usize) -> Option<SocketAddr> {
         for _ in 0..entries.len() {
             *at += 1;
@@ -349,7 +349,8 @@
         None
     }
 
-    /// `None` when the connection failed, which tells nothing.
+    /// Sends a request. Returns `None` if the connection failed, so that the outcome is not
+    /// recorded.
     fn send_request(
         &self,
         entry: SocketAddr,
--- a/crates/yuccalinkd/tests/system.rs
+++ b/crates/yuccalinkd/tests/system.rs
@@ -1,5 +1,5 @@
-//! Ten real daemons on loopback, three of which keep the state, while they are
-//! killed, frozen, restarted and replaced under load.
+//! Up to ten daemons on loopback, three of which keep the state, while they are killed,
+//! frozen, restarted and replaced under load.
 
 mod support;
 
@@ -17,8 +17,8 @@
     voters.map(|member| member.replica.to_string()).collect()
 }
 
-/// The VM of the leader dies, then its successor's. Acknowledged documents and
-/// tasks stay, requests are answered on, and no request with a key runs twice.
+/// The leader is killed, then its successor. Acknowledged documents and tasks must remain,
+/// requests must still be answered, and no request with an idempotency key may run twice.
 #[test]
 fn the_leaders_death_loses_nothing() {
     let mut daemons = Daemons::start(10).with_document().with_runners(6).with_workers(2, 8);
@@ -51,11 +51,10 @@
     daemons.assert_no_violations();
 }
 
-/// An entry is frozen without a word. A change is in force everywhere all the
-/// same, for the frozen one stops serving when its lease ends; and when it wakes
-/// up it does not answer by the old document.
+/// A frozen entry must not delay a change: the change is in force everywhere once the lease of
+/// that entry has expired. When the entry runs again, it must not serve the old document.
 #[test]
-fn a_frozen_entry_holds_up_no_change_and_serves_nothing_old() {
+fn a_frozen_entry_delays_no_change_and_serves_no_old_document() {
     let daemons = Daemons::start(10).with_document().with_runners(3);
     let frozen = 9;
     daemons.signal(frozen, "-STOP");
@@ -64,7 +63,7 @@
     assert!(reply.text().contains("\"in-force-everywhere\":true"), "{}", reply.text());
     let status = daemons.status(1).expect("a status");
     let e10 = status.entries.iter().find(|entry| entry.entry.as_str() == "e10").expect("e10");
-    assert!(!e10.lease, "said to be in force while an entry may serve the old: {e10:?}");
+    assert!(!e10.lease, "reported in force while an entry may serve the old document: {e10:?}");
     daemons.signal(frozen, "-CONT");
     let old = Caller::new(daemons.callers(frozen)).get("/q/any").expect("an answer");
     assert!(matches!(old.status, 404 | 503), "{}: {}", old.status, old.text());
@@ -74,9 +73,9 @@
     });
 }
 
-/// All voters are cut off at once. The entries that are left cannot know whether
-/// their documents are still in force: when their leases have ended they turn red
-/// and refuse at once, as "not run". They serve again when the voters are back.
+/// All voters are frozen at once. The other entries cannot know whether their documents are
+/// still in force. After their leases have expired, their health checks must fail and they must
+/// refuse requests immediately as "not run". They serve again when the voters are back.
 #[test]
 fn entries_without_a_leader_stop_serving() {
     let daemons = Daemons::start(5).with_document().with_runners(3);
@@ -97,8 +96,8 @@
     }
 }
 
-/// A voter's VM is replaced by one with an empty disk, and right after it has
-/// caught up another voter's VM is lost. The system goes on: the new disk votes.
+/// A voter is replaced by one with an empty disk, and another voter is lost as soon as the new
+/// one has caught up. The new voter must count for the quorum.
 #[test]
 fn a_replaced_voter_counts_before_the_next_is_lost() {
     let mut daemons = Daemons::start(10).with_document();
@@ -120,7 +119,7 @@
     let reply =
         until("a decision", || daemons.apply(9, 40).ok().filter(|reply| reply.status == 200));
     assert!(reply.text().contains("\"version\":40"), "{}", reply.text());
-    // The leader goes as well: what is left has no quorum, and promises nothing.
+    // Without the leader there is no quorum, so no change may be acknowledged.
     daemons.kill(leader);
     let refused =
         until("an answer", || daemons.apply(9, 41).ok().filter(|reply| reply.status != 200));
@@ -129,8 +128,8 @@
     until("a quorum again", || daemons.apply(9, 41).ok().filter(|reply| reply.status == 200));
 }
 
-/// Every daemon is stopped and started again, one after the other, under load.
-/// No idempotent request fails, and each daemon ends well.
+/// All daemons are restarted one after the other under load. No idempotent request may fail,
+/// and each daemon must exit with code 0.
 #[test]
 fn a_rolling_restart_fails_no_request() {
     let mut daemons = Daemons::start(10).with_document().with_runners(6);
@@ -148,8 +147,8 @@
     daemons.assert_no_violations();
 }
 
-/// What a change costs in syncs and in bytes of the log, and that changes which come
-/// at once share syncs. Bounds are on counts: a lost group commit shows at once.
+/// Bounds the syncs and log bytes per change, and checks that concurrent changes share syncs.
+/// The bounds are on counts, so that a loss of group commit fails the test on any machine.
 #[test]
 fn a_change_costs_few_syncs_and_bytes() {
     const CHANGES: u64 = 20;
@@ -178,7 +177,7 @@
     }
     let at_once = log();
     assert_eq!(at_once.records - one_by_one.records, 48);
-    assert!(at_once.syncs - one_by_one.syncs < 48, "nothing shared a sync");
+    assert!(at_once.syncs - one_by_one.syncs < 48, "no changes shared a sync");
 }
 
 fn run_command(daemons: &Daemons, at: usize, command: Command) -> command::Output {
@@ -188,11 +187,11 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), work).expect("an output")
 }
 
-/// All three voters lose their disks. An operator restores a saved state on one of
-/// them; the others join with empty disks, and the seven entries that ran on take
-/// the restored documents although they had seen later ones.
+/// All three voters lose their disks, and one of them is restored from a snapshot. The other
+/// voters join with empty disks. The seven entries that kept running must accept the restored
+/// documents although they had later ones.
 #[test]
-fn a_lost_quorum_is_restored_from_a_saved_state() {
+fn a_lost_quorum_is_restored_from_a_snapshot() {
     let mut daemons = Daemons::start(10).with_document();
     assert_eq!(daemons.apply(0, 2).expect("an answer").status, 200);
     let file: Box<str> = daemons.folder.path().join("saved").to_string_lossy().into();
