--- a/crates/operator/src/command.rs
+++ b/crates/operator/src/command.rs
@@ -1,12 +1,12 @@
-//! What the program `yuccalink` does: each command takes a client and returns
-//! its output, as a value for `--json` and as text for people.
+//! Commands of the program `yuccalink`. Each command returns its output as text for people
+//! and as a JSON value for `--json`.
 
 use crate::cell::{self, CellCommand};
 use crate::client::Client;
 use crate::error::{Error, Result};
 use crate::losses;
 use crate::render;
-use crate::saved;
+use crate::snapshot_file;
 use crate::why;
 use serde_json::{Value, json};
 use similar::TextDiff;
@@ -20,113 +20,114 @@
 use yuccalink_state::Document;
 use yuccalink_state::id::{Name, TaskId};
 
-/// How often a waiting command looks again.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which a waiting command reads the state of a task again.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What to do.
+/// A command of the program `yuccalink`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Check documents without sending them.
     Check {
-        /// Files; `-` is standard input.
+        /// Document files; `-` is standard input.
         files: Vec<Box<str>>,
     },
     /// Put a document in force.
     Apply {
-        /// A file; `-` is standard input.
+        /// Document file; `-` is standard input.
         file: Box<str>,
-        /// Return as soon as it is accepted.
+        /// Return as soon as the document is accepted, before it is in force on all entries.
         no_wait: bool,
     },
     /// Print the document in force.
     Get {
-        /// The service.
+        /// Name of the service.
         service: Box<str>,
     },
     /// List the documents in force.
     List,
-    /// Compare a file with what is in force.
+    /// Compare a file with the document in force.
     Diff {
-        /// A file; `-` is standard input.
+        /// Document file; `-` is standard input.
         file: Box<str>,
     },
-    /// Add tasks.
+    /// Submit tasks.
     Submit {
-        /// What to add.
+        /// Tasks to add.
         tasks: SubmitTasks,
-        /// Same key, same answer; drawn when absent.
+        /// Idempotency key. A second submission with the same key gets the same answer and
+        /// adds no tasks. Without a key, the command generates one.
         key: Option<Box<str>>,
-        /// Wait until all have ended.
+        /// Wait until all submitted tasks have ended.
         wait: bool,
     },
     /// Cancel tasks.
     Cancel {
-        /// Their numbers.
+        /// Task numbers.
         tasks: Vec<TaskId>,
     },
     /// List tasks.
     Tasks {
-        /// A filter, as the daemon takes it.
+        /// Query string of the daemon's task list.
         query: Box<str>,
     },
     /// Show one task.
     Task {
-        /// Its number.
+        /// Task number.
         task: TaskId,
-        /// Wait until it has ended.
+        /// Wait until the task has ended.
         wait: bool,
     },
-    /// Put a job's decisions in order, from logs.
+    /// Print the log lines of a job in order of time.
     Why {
-        /// The job's 16 digits.
+        /// Job number of 16 hexadecimal digits.
         id: Box<str>,
         /// Log files; `-` is standard input.
         files: Vec<Box<str>>,
     },
-    /// Add up what a cell's jobs lost, by cause, from logs.
+    /// Sum up the lost worth of a cell's jobs by cause, from logs.
     Losses {
         /// Log files; `-` is standard input.
         files: Vec<Box<str>>,
-        /// Where to draw it.
+        /// SVG file to draw the losses in.
         plot: Option<Box<str>>,
     },
     /// Show the state of the system.
     Status,
     /// List targets.
     Targets,
-    /// List the last decisions.
+    /// List the last routing and placement decisions.
     Decisions,
-    /// Ask a job cell.
+    /// Run a command for a job cell.
     Cell(CellCommand),
-    /// Save the state of the system.
+    /// Save a snapshot of the state of the system.
     SnapshotSave {
-        /// Where to.
+        /// File to write.
         file: Box<str>,
     },
-    /// Check a saved state.
+    /// Check a saved snapshot.
     SnapshotVerify {
-        /// The file.
+        /// Snapshot file.
         file: Box<str>,
     },
-    /// Make a data folder from a saved state, to found the system anew.
+    /// Create a data folder from a snapshot, to bootstrap the system again.
     SnapshotRestore {
-        /// The file.
+        /// Snapshot file.
         file: Box<str>,
-        /// The new data folder.
+        /// Data folder to create.
         data: Box<str>,
-        /// The daemon that will use it.
+        /// Name of the daemon that will use the data folder.
         name: Name,
-        /// Where other daemons reach it.
+        /// Address at which other daemons reach that daemon.
         address: SocketAddr,
     },
 }
 
-/// A command's output in both forms.
+/// Output of a command, as text and as JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// For people.
+    /// Text for people.
     pub text: String,
-    /// For programs.
+    /// JSON value for programs.
     pub json: Value,
 }
 
@@ -134,14 +135,15 @@
 where
     T: serde::Serialize,
 {
-    let json = serde_json::to_value(value).map_err(|e| Error::Answer(e.to_string().into()))?;
+    let json =
+        serde_json::to_value(value).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
     Ok(Output { text, json })
 }
 
-/// Carries out a command. Its calls must run on a `LocalSet`.
+/// Runs a command. The returned future must run on a `LocalSet`.
 ///
 /// # Errors
-/// [`Error`], whose exit code is the program's.
+/// Any [`Error`]; its exit code is that of the program.
 pub async fn run(client: &Client, command: Command) -> Result<Output> {
     match command {
         Command::Check { files } => check(&files),
@@ -166,7 +168,11 @@
             output(&all, render::tasks(&all))
         }
         Command::Task { task, wait } => {
-            let view = if wait { ended(client, task).await? } else { client.task(task).await? };
+            let view = if wait {
+                wait_until_ended(client, task).await?
+            } else {
+                client.task(task).await?
+            };
             output(&view, render::tasks(std::slice::from_ref(&view)))
         }
         Command::Status => match cell::status(client).await? {
@@ -180,10 +186,10 @@
             let all = client.targets().await?;
             output(&all, render::targets(&all))
         }
-        Command::SnapshotSave { file } => saved::save(client, &file).await,
-        Command::SnapshotVerify { file } => saved::verify(&file),
+        Command::SnapshotSave { file } => snapshot_file::save(client, &file).await,
+        Command::SnapshotVerify { file } => snapshot_file::verify(&file),
         Command::SnapshotRestore { file, data, name, address } => {
-            saved::restore(&file, &data, &name, address)
+            snapshot_file::restore(&file, &data, &name, address)
         }
         Command::Why { id, files } => why::explain(&id, &files),
         Command::Losses { files, plot } => losses::run(&files, plot.as_deref()),
@@ -197,24 +203,24 @@
 
 fn check(files: &[Box<str>]) -> Result<Output> {
     let mut text = String::new();
-    let mut good = Vec::new();
+    let mut valid = Vec::new();
     for file in files {
-        let (_, document) = read(file)?;
+        let (_, document) = read_document(file)?;
         text.push_str(&format!(
             "{file}: {} version {} is good\n",
             document.service, document.version
         ));
-        good.push(
+        valid.push(
             json!({ "file": file, "service": document.service, "version": document.version }),
         );
     }
-    Ok(Output { text, json: good.into() })
+    Ok(Output { text, json: valid.into() })
 }
 
 async fn apply(client: &Client, file: &str, no_wait: bool) -> Result<Output> {
-    let (text, document) = read(file)?;
+    let (text, document) = read_document(file)?;
     if !no_wait {
-        progress(&format!("applying {} version {} ...", document.service, document.version));
+        print_progress(&format!("applying {} version {} ...", document.service, document.version));
     }
     let applied = client.apply(document.service.as_str(), &text, !no_wait).await?;
     if !no_wait && !applied.in_force_everywhere {
@@ -230,16 +236,16 @@
 }
 
 async fn diff(client: &Client, file: &str) -> Result<Output> {
-    let (text, document) = read(file)?;
+    let (text, document) = read_document(file)?;
     let found = client.service(document.service.as_str()).await?;
-    let force = found.text.unwrap_or_default();
-    if *force == *text {
+    let current = found.text.unwrap_or_default();
+    if *current == *text {
         return Ok(Output { text: String::new(), json: json!({ "different": false }) });
     }
-    let diff = TextDiff::from_lines(&*force, &*text);
+    let diff = TextDiff::from_lines(&*current, &*text);
     let shown = diff.unified_diff().header("in force", file).to_string();
     print(&shown)?;
-    Err(Error::Different)
+    Err(Error::DocumentsDiffer)
 }
 
 async fn submit(
@@ -248,44 +254,45 @@
     key: Option<Box<str>>,
     wait: bool,
 ) -> Result<Output> {
-    let key = key.unwrap_or_else(drawn_key);
+    let key = key.unwrap_or_else(unique_key);
     let done = client.submit(tasks, &key).await?;
     if !wait {
         return output(&done, render::submitted(&done));
     }
     let mut views = Vec::new();
     for at in 0..u64::from(done.count) {
-        progress(&format!("waiting for task {} of {} ...", at + 1, done.count));
-        views.push(ended(client, TaskId(done.first.0 + at)).await?);
+        print_progress(&format!("waiting for task {} of {} ...", at + 1, done.count));
+        views.push(wait_until_ended(client, TaskId(done.first.0 + at)).await?);
     }
     output(&views, render::tasks(&views))
 }
 
-async fn ended(client: &Client, task: TaskId) -> Result<TaskView> {
+async fn wait_until_ended(client: &Client, task: TaskId) -> Result<TaskView> {
     loop {
         let view = client.task(task).await?;
         if matches!(&*view.phase, "finished" | "failed" | "cancelled") {
             return Ok(view);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A key that no other submission has: a resend within this command is safe.
-fn drawn_key() -> Box<str> {
+/// Generates an idempotency key from the time and the process id, so that the client can
+/// send the submission again safely.
+fn unique_key() -> Box<str> {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let nanos = since.map_or(0, |since| since.as_nanos());
     format!("command-{nanos:x}-{:x}", std::process::id()).into()
 }
 
-fn read(file: &str) -> Result<(String, Document)> {
+fn read_document(file: &str) -> Result<(String, Document)> {
     let text = read_text(file)?;
     let document =
         document::read(&text).map_err(|faults| Error::Document { path: file.into(), faults })?;
     Ok((text, document))
 }
 
-/// A file, or standard input for `-`.
+/// Reads a file, or standard input for `-`.
 pub(crate) fn read_text(file: &str) -> Result<String> {
     let fail = |source| Error::Read { path: file.into(), source };
     match file {
@@ -298,15 +305,15 @@
     }
 }
 
-/// Says on standard error what a command waits for.
-fn progress(what: &str) {
+/// Prints to standard error what a command waits for.
+fn print_progress(what: &str) {
     let _ = writeln!(io::stderr(), "{what}");
 }
 
-/// Prints; a reader that has seen enough is no error.
+/// Prints to standard output. A closed pipe, as with `head`, is not an error.
 ///
 /// # Errors
-/// [`Error::Output`] when standard output fails otherwise.
+/// [`Error::Output`] for any other failure of standard output.
 pub fn print(text: &str) -> Result<()> {
     let mut out = io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/yuccalinkd/tests/support/mod.rs
+++ b/crates/yuccalinkd/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Real daemons as processes on loopback addresses of their own, with fakes
-//! around them and a balancer that looks at their health checks.
+//! Daemon processes on loopback addresses of their own, with fake runners, workers and callers,
+//! and a load balancer that follows the health checks.
 #![allow(dead_code, missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -27,14 +27,14 @@
     [[request]]\nname = 'any'\npath = '/any'\nidempotent = true\ndeadline = '4s'\n\
     [[task]]\nname = 'k'\nprocessors = 1\nmemory = '10MiB'\nduration = '1s'\n";
 
-/// Waits as [`yuccalink_fakes::wait::wait_until`] does.
+/// Waits up to 30 s until `found` returns a value, and panics after that.
 pub fn until<T>(what: &str, found: impl FnMut() -> Option<T>) -> T {
     yuccalink_fakes::wait::wait_until(Duration::from_secs(30), what, found)
 }
 
-/// Loopback addresses that no other test of this machine uses, so that daemons
-/// can be started again where they were.
-fn network() -> [u8; 2] {
+/// Returns the middle bytes of loopback addresses for one test, derived from the process id and
+/// a counter. With addresses of its own, a test can restart a daemon at the same address.
+fn loopback_prefix() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
     [(number >> 8) as u8 | 1, number as u8]
@@ -54,7 +54,7 @@
     pub fn start(count: usize) -> Self {
         let mut daemons = Self {
             folder: tempfile::tempdir().expect("a folder"),
-            network: network(),
+            network: loopback_prefix(),
             children: (0..count).map(|_| None).collect(),
             runners: Vec::new(),
             workers: Vec::new(),
@@ -93,7 +93,7 @@
         self.launch_with(at, &voters);
     }
 
-    /// Starts a daemon that reaches the voters at these addresses.
+    /// Starts a daemon that connects to the voters at these addresses.
     pub fn launch_with(&mut self, at: usize, voters: &[SocketAddr]) {
         let voters = voters.iter().enumerate();
         let voters: Vec<String> = voters.map(|(v, to)| format!("e{}={to}", v + 1)).collect();
@@ -123,7 +123,7 @@
         assert!(done.expect("kill").success());
     }
 
-    /// kill -9.
+    /// Kills a daemon with SIGKILL.
     pub fn kill(&mut self, at: usize) {
         if let Some(mut child) = self.children[at].take() {
             let _ = child.kill();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// SIGTERM, and its exit code.
+    /// Stops a daemon with SIGTERM and returns its exit code.
     pub fn stop(&mut self, at: usize) -> Option<i32> {
         self.signal(at, "-TERM");
         let mut child = self.children[at].take().expect("a daemon");
@@ -157,7 +157,7 @@
         reply.ok().and_then(|r| serde_json::from_slice(&r.body).ok()).unwrap_or_default()
     }
 
-    /// The daemon that leads, by the word of any that answers.
+    /// Returns the index of the leader, as reported by the first daemon that answers.
     pub fn leader(&self) -> usize {
         until("a leader", || {
             let answers = (0..self.children.len()).filter(|at| self.children[*at].is_some());
@@ -230,7 +230,7 @@
         self
     }
 
-    pub fn no_breach(&self) {
+    pub fn assert_no_violations(&self) {
         let requests = self.requests.lock().expect("a lock").violations();
         assert!(requests.is_empty(), "{requests:?}");
         let tasks = self.tasks.lock().expect("a lock");
@@ -239,7 +239,7 @@
         assert!(self.runners.iter().all(|runner| runner.peak_requests() <= 8));
     }
 
-    /// Callers that ask through the balancer until told to stop.
+    /// Starts callers that send requests through the load balancer until [`Load::finish`].
     pub fn load(&self, callers: usize) -> Load {
         let health: Arc<Vec<AtomicBool>> =
             Arc::new((0..self.children.len()).map(|_| AtomicBool::new(true)).collect());
@@ -259,9 +259,9 @@
         let entries: Vec<SocketAddr> =
             (0..self.children.len()).map(|at| self.callers(at)).collect();
         for caller in 0..callers {
-            let (load, entries) = (load.share(), entries.clone());
-            let watch = self.requests.clone();
-            threads.push(thread::spawn(move || load.run(caller, &entries, &watch)));
+            let (load, entries) = (load.clone_handles(), entries.clone());
+            let checker = self.requests.clone();
+            threads.push(thread::spawn(move || load.run(caller, &entries, &checker)));
         }
         Load { threads, ..load }
     }
@@ -294,13 +294,13 @@
     health: Arc<Vec<AtomicBool>>,
     stop: Arc<AtomicBool>,
     pub answered: Arc<AtomicU64>,
-    /// What went wrong for callers of idempotent requests, in words.
+    /// Descriptions of failed requests.
     pub failed: Arc<Mutex<Vec<String>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    fn share(&self) -> Self {
+    fn clone_handles(&self) -> Self {
         Self {
             health: self.health.clone(),
             stop: self.stop.clone(),
@@ -310,7 +310,7 @@
         }
     }
 
-    fn run(&self, caller: usize, entries: &[SocketAddr], watch: &Mutex<RequestChecker>) {
+    fn run(&self, caller: usize, entries: &[SocketAddr], checker: &Mutex<RequestChecker>) {
         let mut at = caller;
         let mut number = 0u64;
         while !self.stop.load(Ordering::SeqCst) {
@@ -318,26 +318,28 @@
             let tag = caller as u64 * 1_000_000 + number;
             let once = number.is_multiple_of(4);
             let label = format!("n{tag}");
-            watch.lock().expect("a lock").sent(&label, tag, once);
-            let Some(entry) = self.pick(entries, &mut at) else { continue };
-            let mut told = self.ask(entry, tag, once, &label);
-            // A caller that wants its invoice asks again with the same key.
-            while once && told == Some(CallerOutcome::Unknown) && !self.stop.load(Ordering::SeqCst)
+            checker.lock().expect("a lock").sent(&label, tag, once);
+            let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
+            let mut outcome = self.send_request(entry, tag, once, &label);
+            // The caller repeats a request of unknown outcome with the same idempotency key.
+            while once
+                && outcome == Some(CallerOutcome::Unknown)
+                && !self.stop.load(Ordering::SeqCst)
             {
-                let Some(entry) = self.pick(entries, &mut at) else { continue };
-                match self.ask(entry, tag, once, &label) {
+                let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
+                match self.send_request(entry, tag, once, &label) {
                     Some(CallerOutcome::Unknown) | None => break,
-                    other => told = other,
+                    other => outcome = other,
                 }
             }
-            if let Some(told) = told {
-                watch.lock().expect("a lock").record_outcome(&label, told);
+            if let Some(outcome) = outcome {
+                checker.lock().expect("a lock").record_outcome(&label, outcome);
             }
         }
     }
 
-    /// The next entry whose health check is green.
-    fn pick(&self, entries: &[SocketAddr], at: &mut usize) -> Option<SocketAddr> {
+    /// Returns the next entry whose health check succeeds.
+    fn next_healthy_entry(&self, entries: &[SocketAddr], at: &mut usize) -> Option<SocketAddr> {
         for _ in 0..entries.len() {
             *at += 1;
             if self.health[*at % entries.len()].load(Ordering::SeqCst) {
@@ -347,15 +349,22 @@
         None
     }
 
-    /// `None` when the connection failed, which tells nothing.
-    fn ask(&self, entry: SocketAddr, tag: u64, once: bool, label: &str) -> Option<CallerOutcome> {
+    /// Sends a request. Returns `None` if the connection failed, so that the outcome is not
+    /// recorded.
+    fn send_request(
+        &self,
+        entry: SocketAddr,
+        tag: u64,
+        once: bool,
+        label: &str,
+    ) -> Option<CallerOutcome> {
         let caller = Caller::new(entry).header("fake-tag", &tag.to_string());
         let caller = caller.header("fake-name", label).header("fake-delay-ms", "3");
         let reply = match once {
             true => caller.header("idempotency-key", label).post("/q/once", b"x"),
             false => caller.post("/q/any", b"x"),
         };
-        let told = match &reply {
+        let outcome = match &reply {
             Ok(reply) if reply.status == 200 => {
                 self.answered.fetch_add(1, Ordering::SeqCst);
                 return Some(CallerOutcome::Answer(reply.text().parse().expect("a tag")));
@@ -371,7 +380,7 @@
             Err(error) => error,
         };
         self.failed.lock().expect("a lock").push(format!("{entry} {label}: {words}"));
-        told
+        outcome
     }
 
     pub fn wait_for(&self, more: u64) {
