--- a/crates/coordination/src/jobs.rs
+++ b/crates/coordination/src/jobs.rs
@@ -5,6 +5,7 @@
 pub mod account;
 mod admission;
 mod advice;
+mod capacity;
 mod colocation;
 mod commits;
 mod compatibility;
@@ -25,7 +26,6 @@
 pub mod policy;
 mod ready;
 mod requests;
-mod room;
 mod routes;
 pub mod runner;
 mod sizes;
--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -127,7 +127,7 @@
 
 impl<'a> FreeRunners<'a> {
     /// Some runners of a pool with enough free capacity for a task.
-    fn with_room(&mut self, pool: &str, need: Resources) -> Vec<&'a Runner> {
+    fn with_capacity_for(&mut self, pool: &str, need: Resources) -> Vec<&'a Runner> {
         let runners = self.by_pool.get(pool).into_iter().flatten().copied();
         let enough = runners.take_while(|runner| runner.free.millicores >= need.millicores);
         let runners_scanned: Vec<&Runner> = enough.take(RUNNERS_SCANNED_MAX).collect();
@@ -143,7 +143,7 @@
         let mut overdue = Vec::new();
         let mut free_runners = self.free_runners(now);
         for (id, job) in self.state.all() {
-            if job.phase != JobPhase::Active || self.ready.lasts_or_comes_later(id) {
+            if job.phase != JobPhase::Active || self.ready.has_no_deadline(id) {
                 continue;
             }
             if let Some(cause) = self.delay_cause(now, id, job, &mut free_runners) {
@@ -171,8 +171,8 @@
         job: &Job,
         free_runners: &mut FreeRunners<'_>,
     ) -> Option<DelayCause> {
-        if let Some(group) = self.ready.first_waiting(id) {
-            return Some(self.waiting_cause(now, group, free_runners));
+        if let Some(step_key) = self.ready.first_waiting(id) {
+            return Some(self.waiting_cause(now, step_key, free_runners));
         }
         let mut worst = None;
         for (task, last_run, view) in self.running_of(id, job) {
@@ -200,20 +200,22 @@
     fn waiting_cause(
         &self,
         now: Now,
-        group: StepKey,
+        step_key: StepKey,
         free_runners: &mut FreeRunners<'_>,
     ) -> DelayCause {
-        let Some(step) = self.ready.step(group.job, group.step) else { return DelayCause::Order };
-        let Some(job) = self.state.job(group.job) else { return DelayCause::Order };
+        let Some(step) = self.ready.step(step_key.job, step_key.step) else {
+            return DelayCause::Order;
+        };
+        let Some(job) = self.state.job(step_key.job) else { return DelayCause::Order };
         let mut cause = DelayCause::Room;
-        for runner in free_runners.with_room(self.pool_of(job), step.reserved) {
-            let Some((job, spec)) = self.may_host(now, runner, group) else { continue };
+        for runner in free_runners.with_capacity_for(self.pool_of(job), step.reserved) {
+            let Some((job, spec)) = self.may_host(now, runner, step_key) else { continue };
             let trust = self.trust(now, runner);
-            let takes_more = matches!(trust, Trust::Full | Trust::SecondTryOnly);
-            if !takes_more || !self.has_task_for(now, job, spec, group, runner, trust) {
-                let suspect = self.has_suspect(now, group);
+            let takes_more = matches!(trust, Trust::Full | Trust::RetryableOnly);
+            if !takes_more || !self.has_task_for(now, job, spec, step_key, runner, trust) {
+                let suspect = self.has_suspect(now, step_key);
                 cause = if suspect { DelayCause::Suspect } else { DelayCause::Trust };
-            } else if step.disturbs() {
+            } else if step.may_interfere() {
                 return DelayCause::Margin;
             } else {
                 return DelayCause::Order;
@@ -228,11 +230,11 @@
         now: Now,
         job: &Job,
         step: &StepSpec,
-        group: StepKey,
+        step_key: StepKey,
         runner: &Runner,
         trust: Trust,
     ) -> bool {
-        let StepKey { job: id, occurrence, step: at } = group;
+        let StepKey { job: id, occurrence, step: at } = step_key;
         (0..step.count).any(|index| {
             let index = u16::try_from(index).unwrap_or(u16::MAX);
             let task = TaskKey { job: id, occurrence, step: at, index };
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct PendingQuery {
     call: ExternalCallId,
-    group: StepKey,
+    step_key: StepKey,
     /// The runners in the query, by name.
     incarnations: BTreeMap<Box<str>, IncarnationKey>,
     since: Moment,
@@ -46,11 +46,12 @@
     /// The ticket for a step's tasks on a runner, if it is valid for long enough.
     pub(super) fn ticket(
         &self,
-        group: StepKey,
+        step_key: StepKey,
         incarnation: IncarnationKey,
         now: Moment,
     ) -> Option<&str> {
-        let known = self.by_step.get(&group).filter(|known| known.until > now + TICKET_MARGIN)?;
+        let known =
+            self.by_step.get(&step_key).filter(|known| known.until > now + TICKET_MARGIN)?;
         known.tickets.get(&incarnation).map(|ticket| &**ticket)
     }
 
@@ -58,7 +59,7 @@
     pub(super) fn handle_reply(&mut self, call: ExternalCallId, reply: &ExternalReply) -> bool {
         let Some(query) = self.pending.take_if(|query| query.call == call) else { return false };
         let ExternalReply::Advice { allowed, validity_ms } = reply else { return true };
-        let known = self.by_step.entry(query.group).or_default();
+        let known = self.by_step.entry(query.step_key).or_default();
         // The validity begins between the query and its reply; count from the earliest time.
         known.until = query.since + Duration::from_millis(*validity_ms);
         known.queried.extend(query.incarnations.values());
@@ -73,8 +74,8 @@
 
 impl Leader {
     /// Whether a step's tasks need a ticket.
-    pub(super) fn needs_ticket(&self, group: StepKey) -> bool {
-        let job = self.state.job(group.job);
+    pub(super) fn needs_ticket(&self, step_key: StepKey) -> bool {
+        let job = self.state.job(step_key.job);
         let queue = job.and_then(|job| self.routes.queue(&job.queue));
         queue.is_some_and(|queue| queue.advisor.is_some())
     }
@@ -87,31 +88,33 @@
         self.advice.pending = None;
         // Tickets that expire too soon to be used are dropped, so that new ones are requested.
         self.advice.by_step.retain(|_, known| known.until > now.at + TICKET_MARGIN);
-        let wants = |group: &StepKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
-        let Some(group) = self.ready.order().find(wants) else { return };
-        let incarnations = self.incarnations_to_query(group);
+        let wants = |step_key: &StepKey| {
+            self.needs_ticket(*step_key) && !self.has_capacity_by_ticket(*step_key)
+        };
+        let Some(step_key) = self.ready.order().find(wants) else { return };
+        let incarnations = self.incarnations_to_query(step_key);
         if incarnations.is_empty() {
             return;
         }
         let call = self.call(ExternalCall::Advise {
-            job: group.job,
-            occurrence: group.occurrence,
-            step: group.step,
+            job: step_key.job,
+            occurrence: step_key.occurrence,
+            step: step_key.step,
             runners: incarnations.keys().cloned().collect(),
         });
         log::info!(
             "advice asked job={} step={} runners={}",
-            group.job,
-            group.step,
+            step_key.job,
+            step_key.step,
             incarnations.len()
         );
-        self.advice.pending = Some(PendingQuery { call, group, incarnations, since: now.at });
+        self.advice.pending = Some(PendingQuery { call, step_key, incarnations, since: now.at });
     }
 
     /// Whether a runner with a ticket has free capacity for a task of the step.
-    fn has_room_by_ticket(&self, group: StepKey) -> bool {
-        let Some(known) = self.advice.by_step.get(&group) else { return false };
-        let Some(step) = self.ready.step(group.job, group.step) else { return false };
+    fn has_capacity_by_ticket(&self, step_key: StepKey) -> bool {
+        let Some(known) = self.advice.by_step.get(&step_key) else { return false };
+        let Some(step) = self.ready.step(step_key.job, step_key.step) else { return false };
         known.tickets.keys().any(|incarnation| {
             self.runners
                 .get(incarnation)
@@ -121,9 +124,11 @@
 
     /// The runners with the most free capacity that were not yet in a query for this step.
     /// All runners count again once the tickets of the step have expired.
-    fn incarnations_to_query(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
-        let Some(step) = self.ready.step(group.job, group.step) else { return BTreeMap::new() };
-        let known = self.advice.by_step.get(&group);
+    fn incarnations_to_query(&self, step_key: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
+        let Some(step) = self.ready.step(step_key.job, step_key.step) else {
+            return BTreeMap::new();
+        };
+        let known = self.advice.by_step.get(&step_key);
         let queried = |incarnation: IncarnationKey| {
             known.is_some_and(|known| known.queried.contains(&incarnation))
         };
--- a/crates/coordination/src/jobs/room.rs
+++ b/crates/coordination/src/jobs/capacity.rs
@@ -73,7 +73,11 @@
     /// Computes the free capacity of a runner: its capacity less the reservations of all
     /// runs that may be running there. Runs that the runner reports as ended count as
     /// free, whether or not their ends are committed.
-    pub(super) fn measure_room(&mut self, key: IncarnationKey, ended: &BTreeSet<(TaskKey, u32)>) {
+    pub(super) fn update_free_capacity(
+        &mut self,
+        key: IncarnationKey,
+        ended: &BTreeSet<(TaskKey, u32)>,
+    ) {
         let Some(runner) = self.runners.get(&key) else { return };
         let mut taken: BTreeSet<(TaskKey, u32)> =
             self.state.assigned_runs(key).filter(|run| !ended.contains(run)).collect();
@@ -91,14 +95,14 @@
         }
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
-            runner.lasting_millicores = long_running_millicores;
+            runner.long_running_millicores = long_running_millicores;
         }
     }
 
     /// Returns assigned runs that a runner has not listed and that do not fit in the
     /// capacity of its newest report, beside all listed runs and all orders that may
     /// still reach it.
-    pub(super) fn outgrown(&self, now: Now, runner: &Runner) -> BTreeSet<(TaskKey, u32)> {
+    pub(super) fn runs_over_capacity(&self, now: Now, runner: &Runner) -> BTreeSet<(TaskKey, u32)> {
         let mut unlisted: Vec<(TaskKey, u32)> = self
             .state
             .assigned_runs(runner.key)
@@ -126,7 +130,7 @@
     /// Keeps runners free for large long-running tasks that have waited, since short tasks
     /// would otherwise fill every gap before it is large enough. A runner is chosen if enough
     /// is free once its short tasks have ended, which takes about a second.
-    pub(super) fn keep_room(&mut self, now: Now) {
+    pub(super) fn reserve_runners(&mut self, now: Now) {
         let policy = self.cfg.policy.kept_free;
         if policy.mode == Switch::Off {
             return;
@@ -205,7 +209,7 @@
             let sum = sums.entry(&runner.pool).or_default();
             sum.free += runner.free.millicores;
             sum.total += runner.capacity.millicores;
-            sum.long_running += runner.lasting_millicores;
+            sum.long_running += runner.long_running_millicores;
         }
         let left = |sum: &PoolCapacity| sum.total.saturating_sub(sum.long_running);
         let not_long_running =
@@ -217,7 +221,7 @@
 
     /// Counts the long-running tasks that wait for a runner or are being stopped on a
     /// leaving one.
-    pub(super) fn count_moving_out(&mut self) {
+    pub(super) fn count_moving_long_running(&mut self) {
         let is_long_running =
             |task: TaskKey| self.ready.step_of(task).is_some_and(|s| s.long_running);
         let leaving = self.runners.values().filter(|runner| !runner.takes_tasks());
@@ -234,7 +238,7 @@
                 self.state.job(step_key.job).map(|job| waiting_tasks(job, step_key))
             })
             .sum();
-        self.moving_out = waiting + u32::try_from(stopping.count()).unwrap_or(u32::MAX);
+        self.moving_long_running = waiting + u32::try_from(stopping.count()).unwrap_or(u32::MAX);
     }
 }
 
--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -59,7 +59,7 @@
     /// Serving images, each once.
     pub(super) serving: Vec<ServingImage>,
     /// Background images, each once, with their current CPU use.
-    pub(super) filling: Vec<BackgroundShare>,
+    pub(super) background: Vec<BackgroundShare>,
     /// Background images, each once, with their CPU use at full pace.
     pub(super) background_at_full_pace: Vec<BackgroundShare>,
     /// Pool of the runner.
@@ -87,7 +87,7 @@
         runner: &Runner,
         jobs: &CellState,
         ready: &ReadyQueue,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         policy: SharingPolicy,
     ) -> Self {
         let capacity = (runner.capacity.millicores as f64).max(1.0);
@@ -96,7 +96,7 @@
             let Some(step) = ready.step_of(task) else { continue };
             let view = runner.view(task, run);
             match step.kind {
-                StepKind::Serving => found.add_serving(step, loads, StepKey::of(task), now),
+                StepKind::Serving => found.add_serving(step, forecasts, StepKey::of(task), now),
                 StepKind::Background => found.add_background(step, view),
             }
         }
@@ -106,14 +106,15 @@
     fn add_serving(
         &mut self,
         step: &StepInfo,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         step_key: StepKey,
         now: Moment,
     ) {
         self.other_use += step.need.millicores as f64 * self.policy.serving_use;
         let Some(image) = step.image else { return };
-        let own_margin = loads.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
-        let own_margin_ahead = loads.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin = forecasts.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin_ahead =
+            forecasts.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
         match self.serving.iter_mut().find(|serving| serving.image == image) {
             Some(serving) => {
                 serving.own_margin = serving.own_margin.min(own_margin);
@@ -125,7 +126,7 @@
 
     fn add_background(&mut self, step: &StepInfo, view: Option<&RunView>) {
         let need = step.need.millicores as f64;
-        let in_use = view.and_then(|view| view.gauge).map(|gauge| gauge as f64);
+        let in_use = view.and_then(|view| view.usage_or_tail).map(|usage| usage as f64);
         let rate = view.and_then(|view| view.rate).unwrap_or(100);
         if step.opportunistic {
             self.opportunistic_need += need;
@@ -138,7 +139,7 @@
             self.other_use += need;
         }
         if let Some(image) = step.image {
-            add_share(&mut self.filling, image, in_use.unwrap_or(need) / self.capacity);
+            add_share(&mut self.background, image, in_use.unwrap_or(need) / self.capacity);
             add_share(&mut self.background_at_full_pace, image, need / self.capacity);
         }
     }
@@ -170,12 +171,12 @@
         &mut self,
         now: Moment,
         step: &StepInfo,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         step_key: StepKey,
     ) {
         self.allowed.clear();
         match step.kind {
-            StepKind::Serving => self.add_serving(step, loads, step_key, now),
+            StepKind::Serving => self.add_serving(step, forecasts, step_key, now),
             StepKind::Background => self.add_background(step, None),
         }
     }
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -45,19 +45,19 @@
         let detail = command.clone();
         let open: Vec<JobId> =
             affected_jobs.iter().copied().filter(|id| self.state.is_active(*id)).collect();
-        let unknown = match &command {
-            JobCommand::Meet(_) => self.state.losses().unknown(),
+        let unconfirmed = match &command {
+            JobCommand::Meet(_) => self.state.losses().unconfirmed_incarnations(),
             _ => BTreeSet::new(),
         };
         let outcome = self.state.apply(command);
-        self.log_resolved_losses(now, &unknown);
+        self.log_resolved_losses(now, &unconfirmed);
         self.update_after(now, &detail, &outcome);
         for id in open {
             self.log_ended(id, now);
             if !self.state.is_active(id) {
                 self.accounts.close(id);
                 if let Some(job) = self.state.job(id) {
-                    self.ready.ended(id, job, now.at);
+                    self.ready.record_end(id, job, now.at);
                 }
             }
         }
@@ -97,7 +97,7 @@
             }
             JobCommand::Change(_) => {
                 self.routes = Routes::new(self.state.change_set());
-                self.ready.changed(&self.state, &self.routes);
+                self.ready.apply_change_set(&self.state, &self.routes);
             }
             JobCommand::UpkeepDone { wave, machine } => {
                 self.proposed_returns.remove(&(*wave, machine.clone()));
@@ -177,7 +177,7 @@
         JobCommand::Start(starts) => starts.iter().map(|start| start.task.job).collect(),
         JobCommand::End { ends, .. } => ends.iter().map(|end| end.task.job).collect(),
         // A new incarnation shows that the lost one crashed, which may end jobs.
-        JobCommand::Meet(_) => state.losses().open_jobs(),
+        JobCommand::Meet(_) => state.losses().jobs_with_unconfirmed_losses(),
         JobCommand::Change(_)
         | JobCommand::Forget(_)
         | JobCommand::Learn(_)
--- a/crates/coordination/src/jobs/compatibility.rs
+++ b/crates/coordination/src/jobs/compatibility.rs
@@ -112,7 +112,7 @@
         let mut places = Vec::new();
         let mut background = Vec::new();
         for (at, waiting) in order.iter().enumerate() {
-            let Some(image) = waiting.step.image.filter(|_| waiting.step.disturbs()) else {
+            let Some(image) = waiting.step.image.filter(|_| waiting.step.may_interfere()) else {
                 continue;
             };
             let advantage = *advantages
@@ -133,8 +133,8 @@
     /// capacity beside serving tasks as well.
     pub(super) fn needs_idle_runner(&self, step: &StepInfo) -> bool {
         let hard_weight = self.cfg.policy.gathering.hard_weight;
-        let disturbs_most = |image| self.interference.mean_weight(image) >= hard_weight;
-        step.long_running || step.image.is_some_and(disturbs_most)
+        let interferes_with_most = |image| self.interference.mean_weight(image) >= hard_weight;
+        step.long_running || step.image.is_some_and(interferes_with_most)
     }
 
     pub(super) fn rack_fits(
@@ -197,7 +197,7 @@
                     colocation.serving.iter().all(|serving| Some(serving.image) == own);
                 let waited = self.has_waited_for_image(now, step_key);
                 match colocation.serving.is_empty() {
-                    true => waited || !self.has_room_beside_image(now, step),
+                    true => waited || !self.has_capacity_beside_image(now, step),
                     false => same_image || waited,
                 }
             }
@@ -214,10 +214,10 @@
     /// Returns whether a runner that already serves this image has capacity for one more
     /// task. Runners without serving tasks then stay free for background tasks that
     /// interfere.
-    fn has_room_beside_image(&self, now: Now, step: &StepInfo) -> bool {
+    fn has_capacity_beside_image(&self, now: Now, step: &StepInfo) -> bool {
         step.image.is_some()
             && self.runners.values().any(|runner| {
-                runner.serves == step.image
+                runner.serving_image == step.image
                     && runner.takes_tasks()
                     && runner.reported_recently(now.at)
                     && runner.free.covers(step.reserved)
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -7,11 +7,11 @@
 //! time but repeats the work. Therefore only stragglers are copied, only into capacity
 //! that no waiting task needs, and only a limited number at once.
 
+use super::capacity::saturating_sub;
 use super::leader::{Leader, Now};
 use super::place::{Chosen, label_fits};
 use super::policy::{Millis, Switch};
 use super::ready::StepKey;
-use super::room::saturating_sub;
 use super::runner::{RunView, Runner, Trust};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -57,7 +57,7 @@
 
 impl Leader {
     /// Finds the stragglers, those with the most time left first.
-    pub(super) fn find_laggards(&mut self, now: Now) {
+    pub(super) fn find_stragglers(&mut self, now: Now) {
         let policy = self.cfg.policy.copies;
         if policy.mode == Switch::Off {
             return;
@@ -85,7 +85,7 @@
         let budget = (running / policy.one_in).max(policy.at_least);
         stragglers.sort_unstable_by(|a, b| b.cmp(a));
         stragglers.truncate(budget.saturating_sub(copies / 2));
-        self.laggards = stragglers.into_iter().map(|(_, task)| task).collect();
+        self.stragglers = stragglers.into_iter().map(|(_, task)| task).collect();
     }
 
     /// Starts copies in the capacity that is left on a runner.
@@ -93,7 +93,7 @@
         if trust != Trust::Full {
             return;
         }
-        for task in &self.laggards {
+        for task in &self.stragglers {
             if chosen.starts.len() >= chosen.starts_max {
                 return;
             }
@@ -147,7 +147,7 @@
         let estimate = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
         let is_stalled =
-            view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
+            view.percent < 100 && now.at.since(view.progressed_at) > self.unmoved.to_duration();
         let left = match is_stalled {
             true => estimate * self.lags_by + gain,
             false => view.time_left(now.at, estimate_ms),
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -26,10 +26,10 @@
             self.last_ranked = now.at;
             self.ready.rank_all(&self.state, now.at);
             self.measure_pools();
-            self.count_moving_out();
-            self.find_laggards(now);
+            self.count_moving_long_running();
+            self.find_stragglers(now);
             self.find_suspects(now);
-            self.keep_room(now);
+            self.reserve_runners(now);
             self.place_gangs(now);
             self.query_advice(now);
             self.advance_waves(now);
@@ -101,7 +101,7 @@
             } else {
                 Vec::new()
             };
-            self.ready.set_groups(id, &keys, &self.state, now.at);
+            self.ready.set_waiting_steps(id, &keys, &self.state, now.at);
         }
     }
 
@@ -124,7 +124,7 @@
 
     fn remove_ended_forecasts(&mut self) {
         let state = &self.state;
-        self.loads.keep(|group| state.is_active(group.job));
+        self.forecasts.retain(|step_key| state.is_active(step_key.job));
     }
 
     pub(super) fn empty_orders(&self) -> CellResponse {
--- a/crates/coordination/src/jobs/gangs.rs
+++ b/crates/coordination/src/jobs/gangs.rs
@@ -88,7 +88,7 @@
             !task.done
                 && task.assignments.is_empty()
                 && !self.starting.contains_key(&key(index))
-                && self.standing(now, key(index)) != CrashSuspicion::HeldBack
+                && self.crash_suspicion(now, key(index)) != CrashSuspicion::HeldBack
         });
         if !all_waiting {
             return None;
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -146,7 +146,7 @@
         self.collect_never_started(now, key, &ended, &mut all_ends);
         self.mark_runs_to_stop(now, key);
         let colocation = self.pace(now, key);
-        self.measure_room(key, &ended);
+        self.update_free_capacity(key, &ended);
         let starts = match new_starts {
             NewStarts::Allowed => self.pick(now, key, colocation),
             NewStarts::Deferred => Vec::new(),
@@ -211,8 +211,8 @@
     /// Whether the runner would accept an order to start a task. It rejects an order whose
     /// ticket has expired.
     fn may_be_ordered(&self, now: Now, incarnation: IncarnationKey, task: TaskKey) -> bool {
-        let group = StepKey::of(task);
-        !self.needs_ticket(group) || self.advice.ticket(group, incarnation, now.at).is_some()
+        let step_key = StepKey::of(task);
+        !self.needs_ticket(step_key) || self.advice.ticket(step_key, incarnation, now.at).is_some()
     }
 
     /// Whether a task still has to run.
@@ -252,7 +252,7 @@
                     view.run,
                     runner.id,
                     view.percent,
-                    now.at.since(view.moved)
+                    now.at.since(view.progressed_at)
                 );
             } else if ends_too_late {
                 log::info!(
@@ -282,7 +282,7 @@
         if policy.mode == Switch::Off || runner.state == RunnerState::Ready || !leaves_later {
             return tasks_to_keep;
         }
-        let mut moving = self.moving_out;
+        let mut moving = self.moving_long_running;
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task).filter(|step| step.long_running) else {
                 continue;
@@ -293,7 +293,7 @@
                 tasks_to_keep.insert(*task);
             }
         }
-        self.moving_out = moving;
+        self.moving_long_running = moving;
         tasks_to_keep
     }
 
@@ -305,21 +305,21 @@
         task: TaskKey,
         step: &StepInfo,
     ) -> u32 {
-        let group = StepKey::of(task);
-        let mut seats = 0;
+        let step_key = StepKey::of(task);
+        let mut slots_left = 0;
         for runner in self.runners.values() {
             let may = runner.key != leaving.key
                 && runner.takes_tasks()
                 && runner.reported_recently(now.at)
                 && runner.free.covers(step.reserved);
-            let Some((_, spec)) = self.may_host(now, runner, group).filter(|_| may) else {
+            let Some((_, spec)) = self.may_host(now, runner, step_key).filter(|_| may) else {
                 continue;
             };
-            let room = runner.free.millicores / step.reserved.millicores.max(1);
-            let room = u32::try_from(room).unwrap_or(u32::MAX);
-            seats += room.min(self.seats(runner, group, spec));
+            let capacity = runner.free.millicores / step.reserved.millicores.max(1);
+            let capacity = u32::try_from(capacity).unwrap_or(u32::MAX);
+            slots_left += capacity.min(self.slots_left(runner, step_key, spec));
         }
-        seats
+        slots_left
     }
 
     fn commit_report(
@@ -387,8 +387,8 @@
             let answer = self.empty_orders();
             return self.answer(token, answer);
         };
-        let outgrown = self.outgrown(now, runner);
-        let start = self.start_orders(now, runner, &outgrown);
+        let runs_over_capacity = self.runs_over_capacity(now, runner);
+        let start = self.start_orders(now, runner, &runs_over_capacity);
         for order in &start {
             log::info!(
                 "start task={} run={} runner={} rack={} resumes={} report={}",
@@ -402,16 +402,16 @@
         }
         let stop = self.stop_orders(runner);
         let acked_through = runner.acked_through;
-        let has_room = runner.takes_tasks() && runner.free.millicores > 0;
+        let has_capacity = runner.takes_tasks() && runner.free.millicores > 0;
         let retry =
-            if has_room { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
+            if has_capacity { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
         let retry = retry.min(self.cfg.heartbeat);
         let retry = match self.trial_on(now, runner) {
             Some(_) => retry.min(REPORT_INTERVAL_TRIAL),
             None => retry,
         };
         let Some(runner) = self.runners.get_mut(&key) else { return };
-        runner.withhold(outgrown, now.at);
+        runner.withhold(runs_over_capacity, now.at);
         runner.note_orders(start.iter().map(|order| (order.task, order.run)), now.at);
         let rates = runner.rate_orders(&self.ready);
         runner.lease_end = now.at + lease_expiry_bound(self.cfg.lease);
@@ -440,20 +440,20 @@
         &self,
         now: Now,
         runner: &Runner,
-        outgrown: &BTreeSet<(TaskKey, u32)>,
+        runs_over_capacity: &BTreeSet<(TaskKey, u32)>,
     ) -> Vec<StartOrder> {
         let mut orders = Vec::new();
         for (task, run) in self.state.assigned_runs(runner.key) {
-            if outgrown.contains(&(task, run)) {
+            if runs_over_capacity.contains(&(task, run)) {
                 continue;
             }
             let listed = runner.view(task, run).is_some();
             if listed || self.ending.contains(&(task, run)) || !self.is_wanted(task) {
                 continue;
             }
-            let group = StepKey::of(task);
-            let ticket = self.advice.ticket(group, runner.key, now.at).map(Box::from);
-            if ticket.is_none() && self.needs_ticket(group) {
+            let step_key = StepKey::of(task);
+            let ticket = self.advice.ticket(step_key, runner.key, now.at).map(Box::from);
+            if ticket.is_none() && self.needs_ticket(step_key) {
                 continue;
             }
             let (Some(job), Some(state)) = (self.state.job(task.job), self.state.task(task)) else {
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -95,7 +95,7 @@
     }
 
     /// Takes over the weights of an earlier leader, with a larger variance.
-    pub fn recall(&mut self, learnt: &[PairWeight]) {
+    pub fn restore_weights(&mut self, learnt: &[PairWeight]) {
         for pair in learnt {
             let key = (self.image(&pair.serving), self.image(&pair.filling));
             let variance = f64::from(pair.variance) * RECALLED_VARIANCE_FACTOR;
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -2,6 +2,7 @@
 
 use super::account::DelayAccounts;
 use super::advice::Advice;
+use super::capacity::KeptFree;
 use super::external::{ExternalCall, ExternalCallId, ExternalReply};
 use super::incarnations::Incarnations;
 use super::interference::Interference;
@@ -9,7 +10,6 @@
 use super::messages::{CellRequest, CellResponse, RunnerReport};
 use super::policy::Policy;
 use super::ready::{ReadyQueue, StepKey};
-use super::room::KeptFree;
 use super::routes::Routes;
 use super::runner::Runner;
 use super::suspects::Suspects;
@@ -96,7 +96,7 @@
     pub(super) routes: Routes,
     pub(super) ready: ReadyQueue,
     pub(super) interference: Interference,
-    pub(super) loads: MarginForecasts<StepKey>,
+    pub(super) forecasts: MarginForecasts<StepKey>,
     /// Tasks whose start is proposed but not committed.
     pub(super) starting: BTreeMap<TaskKey, RunStart>,
     /// Runs whose end is proposed but not committed.
@@ -114,11 +114,11 @@
     /// Runners on which no short tasks start, and until when.
     pub(super) kept_free: BTreeMap<IncarnationKey, KeptFree>,
     /// Stragglers that may have a second copy, as of the last ranking, the slowest first.
-    pub(super) laggards: Vec<TaskKey>,
+    pub(super) stragglers: Vec<TaskKey>,
     pub(super) suspects: Suspects,
     /// Number of long-running tasks that must leave their runner or wait for another one.
     /// Counted at each ranking and increased as runners report.
-    pub(super) moving_out: u32,
+    pub(super) moving_long_running: u32,
     /// Pools with at least half of their CPU unreserved, as of the last ranking.
     pub(super) idle_pools: BTreeSet<Box<str>>,
     /// Ends of upkeep, by wave and machine, that are proposed but not committed.
@@ -154,7 +154,7 @@
             routes: Routes::default(),
             ready: ReadyQueue::new(cfg.policy.order, cfg.policy.sizes),
             interference: Interference::new(cfg.policy.interference),
-            loads: MarginForecasts::new(cfg.policy.forecast),
+            forecasts: MarginForecasts::new(cfg.policy.forecast),
             starting: BTreeMap::new(),
             ending: BTreeSet::new(),
             heartbeats: BTreeMap::new(),
@@ -168,9 +168,9 @@
             advice: Advice::default(),
             waves: Waves::default(),
             kept_free: BTreeMap::new(),
-            laggards: Vec::new(),
+            stragglers: Vec::new(),
             suspects: Suspects::default(),
-            moving_out: 0,
+            moving_long_running: 0,
             idle_pools: BTreeSet::new(),
             proposed_returns: BTreeSet::new(),
             node_name: Box::default(),
@@ -182,7 +182,7 @@
         };
         leader.routes = Routes::new(leader.state.change_set());
         leader.incarnations = Incarnations::from_state(&leader.state);
-        leader.interference.recall(leader.state.learnt());
+        leader.interference.restore_weights(leader.state.learnt());
         let active: Vec<JobId> = leader.state.all().map(|(id, _)| id).collect();
         for id in active {
             leader.add_job(id, now);
@@ -275,7 +275,7 @@
             Some(job) if job.phase == JobPhase::Active => startable(id, job),
             _ => Vec::new(),
         };
-        self.ready.set_groups(id, &keys, &self.state, now);
+        self.ready.set_waiting_steps(id, &keys, &self.state, now);
     }
 }
 
--- a/crates/coordination/src/jobs/margin_forecast.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -264,10 +264,11 @@
     /// ```
     /// use yuccalink_coordination::Moment;
     /// use yuccalink_coordination::jobs::margin_forecast::{MarginForecasts, OwnMargin};
-    /// let mut loads = MarginForecasts::default();
-    /// let before = loads.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
-    /// assert!(!loads.judge("watch", OwnMargin { margin: 2.0, noise: 0.1 }, Moment::ZERO));
-    /// assert!(before > 1.0 && loads.period_s() > 0.0);
+    /// let mut forecasts = MarginForecasts::default();
+    /// let before = forecasts.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
+    /// let sample = OwnMargin { margin: 2.0, noise: 0.1 };
+    /// assert!(!forecasts.evaluate_periods("watch", sample, Moment::ZERO));
+    /// assert!(before > 1.0 && forecasts.period_s() > 0.0);
     /// ```
     pub fn entry(&mut self, job: K, now: Moment) -> &mut MarginModel {
         let period = PERIODS_S[self.period_index];
@@ -284,7 +285,7 @@
     }
 
     /// Removes the jobs that do not satisfy the predicate.
-    pub fn keep<F>(&mut self, is_kept: F)
+    pub fn retain<F>(&mut self, is_kept: F)
     where
         F: Fn(K) -> bool,
     {
@@ -294,7 +295,7 @@
 
     /// Updates the errors of all periods by one sample. Returns whether the current
     /// period changed.
-    pub fn judge(&mut self, job: K, sample: OwnMargin, now: Moment) -> bool {
+    pub fn evaluate_periods(&mut self, job: K, sample: OwnMargin, now: Moment) -> bool {
         if self.policy.mode == Switch::Off {
             return false;
         }
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -105,14 +105,14 @@
                 now,
                 &samples,
                 &mut self.interference,
-                &mut self.loads,
-                &colocation.filling,
+                &mut self.forecasts,
+                &colocation.background,
             );
             colocation = self.colocation(now, runner);
         }
         let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
-        runner.serves = colocation.only_serving();
-        colocation.over_bound = runner.is_over_bound(now.at, &samples, policy.standstill);
+        runner.serving_image = colocation.only_serving();
+        colocation.over_bound = runner.exceeds_bound(now.at, &samples, policy.standstill);
         let allowances = match (colocation.over_bound, policy.pacing.mode) {
             (true, _) => standstill_allowances(&colocation),
             (false, Switch::On) => {
@@ -127,7 +127,7 @@
     /// Returns the colocation on a runner by its last report and the orders under way.
     pub(super) fn colocation(&self, now: Now, runner: &Runner) -> Colocation {
         let sharing = self.cfg.policy.sharing;
-        Colocation::of(now.at, runner, &self.state, &self.ready, &self.loads, sharing)
+        Colocation::of(now.at, runner, &self.state, &self.ready, &self.forecasts, sharing)
     }
 
     /// Sets the pace of each image to what the margins allow, up or down. Where little
@@ -188,7 +188,7 @@
             if interferes
                 && !view.stopping
                 && step.checkpointing
-                && step.disturbs()
+                && step.may_interfere()
                 && last_run < policy.runs_max
                 && !(self.is_pool_idle(&runner.pool) && self.active_runs(now, task.job) <= 1)
             {
@@ -305,10 +305,10 @@
         if step.kind != StepKind::Serving || view.percent < 100 {
             continue;
         }
-        let (Some(image), Some(gauge)) = (step.image, view.gauge) else { continue };
+        let (Some(image), Some(usage_or_tail)) = (step.image, view.usage_or_tail) else { continue };
         let step_key = StepKey::of(*task);
         if samples.iter().all(|sample| sample.step_key != step_key) {
-            let margin = step.tail_bound_ms as f64 / (gauge as f64).max(1.0);
+            let margin = step.tail_bound_ms as f64 / (usage_or_tail as f64).max(1.0);
             samples.push(MarginSample { step_key, image, margin });
         }
     }
@@ -320,32 +320,32 @@
     now: Now,
     samples: &[MarginSample],
     learnt: &mut Interference,
-    loads: &mut MarginForecasts<StepKey>,
+    forecasts: &mut MarginForecasts<StepKey>,
     background: &[BackgroundShare],
 ) {
     for sample in samples {
-        let own = loads.entry(sample.step_key, now.at);
+        let own = forecasts.entry(sample.step_key, now.at);
         let own_margin = learnt.observe(sample.image, own, sample.margin, background, now.at);
         let Some(own_margin) = own_margin else { continue };
-        if loads.judge(sample.step_key, own_margin, now.at) {
-            log::info!("loads period={}s", loads.period_s());
+        if forecasts.evaluate_periods(sample.step_key, own_margin, now.at) {
+            log::info!("loads period={}s", forecasts.period_s());
         }
     }
 }
 
 impl Runner {
     /// Returns whether a serving task has been over its bound for too long.
-    fn is_over_bound(
+    fn exceeds_bound(
         &mut self,
         now: Moment,
         samples: &[MarginSample],
         policy: StandstillPolicy,
     ) -> bool {
         if samples.iter().all(|sample| sample.margin >= 1.0) {
-            self.over_since = None;
+            self.bound_exceeded_since = None;
             return false;
         }
-        let since = *self.over_since.get_or_insert(now);
+        let since = *self.bound_exceeded_since.get_or_insert(now);
         policy.mode.is_on() && now.since(since) >= policy.after.to_duration()
     }
 
@@ -375,7 +375,7 @@
         let mut orders = Vec::new();
         for (task, view) in &mut self.running {
             let Some(step) = ready.step_of(*task) else { continue };
-            let Some(image) = step.image.filter(|_| step.disturbs() && !view.stopping) else {
+            let Some(image) = step.image.filter(|_| step.may_interfere() && !view.stopping) else {
                 continue;
             };
             let pace = self.paces.get(&image).copied().unwrap_or(100);
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -1,10 +1,10 @@
 //! Chooses the waiting tasks that start on a runner that has just reported: the report is
 //! then up to date, and the order is sent in the response.
 
+use super::capacity::saturating_sub;
 use super::colocation::Colocation;
 use super::leader::{Leader, Now};
 use super::ready::{StepKey, WaitingStep};
-use super::room::saturating_sub;
 use super::runner::{Runner, Trust};
 use super::suspects::CrashSuspicion;
 use yuccalink_state::Resources;
@@ -23,7 +23,7 @@
     ) -> Vec<RunStart> {
         let Some(runner) = self.runners.get(&key) else { return Vec::new() };
         let trust = self.trust(now, runner);
-        if !runner.takes_tasks() || (self.ready.is_empty() && self.laggards.is_empty()) {
+        if !runner.takes_tasks() || (self.ready.is_empty() && self.stragglers.is_empty()) {
             return Vec::new();
         }
         let mut chosen = Chosen {
@@ -83,7 +83,7 @@
         let Chosen { starts, free, colocation, .. } = chosen;
         if let Some(runner) = self.runners.get_mut(&key) {
             runner.free = free;
-            runner.serves = colocation.only_serving();
+            runner.serving_image = colocation.only_serving();
         }
         starts
     }
@@ -115,9 +115,9 @@
             return;
         }
         let Some((job, step)) = self.may_host(now, runner, step_key) else { return };
-        let mut seats = self.seats(runner, step_key, step);
+        let mut slots_left = self.slots_left(runner, step_key, step);
         for index in 0..step.count {
-            if chosen.starts.len() >= chosen.starts_max || seats == 0 {
+            if chosen.starts.len() >= chosen.starts_max || slots_left == 0 {
                 return;
             }
             let index = u16::try_from(index).unwrap_or(u16::MAX);
@@ -132,9 +132,9 @@
                 return;
             }
             chosen.free = saturating_sub(chosen.free, info.reserved);
-            chosen.colocation.started(now.at, info, &self.loads, step_key);
+            chosen.colocation.started(now.at, info, &self.forecasts, step_key);
             chosen.starts.push(RunStart { task, run, incarnation: runner.key });
-            seats -= 1;
+            slots_left -= 1;
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Returns how many more tasks of a step may be assigned to a runner.
-    pub(super) fn seats(&self, runner: &Runner, step_key: StepKey, step: &StepSpec) -> u32 {
+    pub(super) fn slots_left(&self, runner: &Runner, step_key: StepKey, step: &StepSpec) -> u32 {
         match step.per_runner_max {
             0 => step.count,
             most => most.saturating_sub(self.task_count_on(runner.key, step_key)),
@@ -174,12 +174,12 @@
         incarnation: IncarnationKey,
         trust: Trust,
     ) -> Option<u32> {
-        let run = self.run_after(job, step, task, incarnation, trust)?;
-        (self.standing(now, task) == CrashSuspicion::Clear).then_some(run)
+        let run = self.next_run_number(job, step, task, incarnation, trust)?;
+        (self.crash_suspicion(now, task) == CrashSuspicion::Clear).then_some(run)
     }
 
     /// Returns the number of a task's next run if it may run on a runner at all.
-    pub(super) fn run_after(
+    pub(super) fn next_run_number(
         &self,
         job: &Job,
         step: &StepSpec,
@@ -241,7 +241,7 @@
 /// probed gets one at a time.
 fn starts_allowed(trust: Trust, runner: &Runner) -> usize {
     match trust {
-        Trust::Full | Trust::SecondTryOnly => STARTS_MAX,
+        Trust::Full | Trust::RetryableOnly => STARTS_MAX,
         Trust::Probe if runner.running.is_empty() => 1,
         Trust::Probe | Trust::None => 0,
     }
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -4,6 +4,7 @@
 //! [`Policy::default`] is the shipped policy. A settings file or a [`PolicyBuilder`] can
 //! switch a mechanism off or change a parameter without a rebuild.
 
+pub use super::capacity::KeptFreePolicy;
 pub use super::colocation::SharingPolicy;
 pub use super::compatibility::{GatheringPolicy, MatchingPolicy, PatiencePolicy, RacksPolicy};
 pub use super::copies::CopiesPolicy;
@@ -13,7 +14,6 @@
 pub use super::margin_forecast::ForecastPolicy;
 pub use super::pace::{MovingPolicy, PacingPolicy, StandstillPolicy};
 pub use super::ready::{OrderBy, OrderPolicy};
-pub use super::room::KeptFreePolicy;
 pub use super::runner::DistrustPolicy;
 pub use super::sizes::SizesPolicy;
 pub use super::suspects::SuspectsPolicy;
@@ -117,7 +117,7 @@
 
 /// Error of a policy with an invalid parameter.
 #[derive(Clone, Copy, Debug, PartialEq, displaydoc::Display)]
-pub enum BadPolicy {
+pub enum InvalidPolicy {
     /// [{section}] {name} is {value}; write a figure from {least} to {most}
     OutOfRange {
         /// Section of the parameter.
@@ -133,7 +133,7 @@
     },
 }
 
-impl std::error::Error for BadPolicy {}
+impl std::error::Error for InvalidPolicy {}
 
 /// Section, name, value, smallest and largest allowed value of a parameter.
 type BoundedSetting = (&'static str, &'static str, f64, f64, f64);
@@ -146,7 +146,7 @@
     /// let copies = CopiesPolicy { mode: Switch::Off, ..CopiesPolicy::default() };
     /// let policy = Policy::builder().copies(copies).build()?;
     /// assert_ne!(policy, Policy::default());
-    /// # Ok::<(), yuccalink_coordination::jobs::policy::BadPolicy>(())
+    /// # Ok::<(), yuccalink_coordination::jobs::policy::InvalidPolicy>(())
     /// ```
     pub fn builder() -> PolicyBuilder {
         PolicyBuilder(Self::default())
@@ -155,7 +155,7 @@
     /// Checks that every parameter is within its range.
     ///
     /// # Errors
-    /// Returns [`BadPolicy`] with the section, name and range of the first parameter that
+    /// Returns [`InvalidPolicy`] with the section, name and range of the first parameter that
     /// is out of range.
     ///
     /// ```
@@ -164,11 +164,11 @@
     /// policy.pacing.margin_aim = f64::NAN;
     /// assert!(policy.check().is_err());
     /// ```
-    pub fn check(&self) -> Result<(), BadPolicy> {
+    pub fn check(&self) -> Result<(), InvalidPolicy> {
         for (section, name, value, least, most) in self.bounded_settings() {
             // NaN is in no range, so it is rejected too.
             if !(least..=most).contains(&value) {
-                return Err(BadPolicy::OutOfRange { section, name, value, least, most });
+                return Err(InvalidPolicy::OutOfRange { section, name, value, least, most });
             }
         }
         Ok(())
@@ -193,7 +193,7 @@
             ("moving", "runs-max", runs_max, 0.0, 1e3),
             ("copies", "lags-by", f64::from(self.copies.lags_by), 1.0, 100.0),
             ("copies", "one-in", self.copies.one_in as f64, 1.0, 1e6),
-            ("distrust", "bad-ends-max", f64::from(self.distrust.bad_ends_max), 1.0, 1e3),
+            ("distrust", "bad-ends-max", f64::from(self.distrust.failures_max), 1.0, 1e3),
             ("suspects", "one-in", self.suspects.one_in as f64, 1.0, 1e6),
         ]
     }
@@ -262,7 +262,7 @@
     ///
     /// # Errors
     /// Fails as [`Policy::check`] does.
-    pub fn build(self) -> Result<Policy, BadPolicy> {
+    pub fn build(self) -> Result<Policy, InvalidPolicy> {
         self.0.check().map(|()| self.0)
     }
 }
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns whether the step's tasks may slow serving tasks.
-    pub(super) fn disturbs(&self) -> bool {
+    pub(super) fn may_interfere(&self) -> bool {
         self.kind == StepKind::Background && self.image.is_some()
     }
 }
@@ -262,7 +262,7 @@
     }
 
     /// Applies the objectives and priorities of a new change set.
-    pub(super) fn changed(&mut self, jobs: &CellState, routes: &Routes) {
+    pub(super) fn apply_change_set(&mut self, jobs: &CellState, routes: &Routes) {
         for (id, info) in &mut self.job_infos {
             let Some(job) = jobs.job(*id) else { continue };
             // A job whose queue was removed keeps its objective and priority.
@@ -285,7 +285,7 @@
 
     /// Records the end of a job in the statistics of its size; cancelled jobs do not
     /// count.
-    pub(super) fn ended(&mut self, id: JobId, job: &Job, now: Moment) {
+    pub(super) fn record_end(&mut self, id: JobId, job: &Job, now: Moment) {
         if job.phase == JobPhase::Cancelled {
             return self.sizes.remove_job(id);
         }
@@ -355,7 +355,7 @@
     }
 
     /// Replaces the known waiting steps of a job by the steps with these keys.
-    pub(super) fn set_groups(
+    pub(super) fn set_waiting_steps(
         &mut self,
         id: JobId,
         keys: &[StepKey],
@@ -417,7 +417,7 @@
 
     /// Returns whether a job has long-running tasks or a schedule, and therefore no
     /// deadline.
-    pub(super) fn lasts_or_comes_later(&self, id: JobId) -> bool {
+    pub(super) fn has_no_deadline(&self, id: JobId) -> bool {
         self.job_infos.get(&id).is_none_or(|info| info.long_running || info.scheduled)
     }
 
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -33,7 +33,8 @@
     pub mode: Switch,
     /// Consecutive failed or stalled runs after which a runner is quarantined. A single one is
     /// common: two to five tasks in a hundred fail by their own fault.
-    pub bad_ends_max: u32,
+    #[serde(rename = "bad-ends-max")]
+    pub failures_max: u32,
     /// How long a quarantined runner gets no new tasks.
     #[serde(rename = "quarantine-ms")]
     pub quarantine: Millis,
@@ -52,7 +53,7 @@
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            bad_ends_max: 2,
+            failures_max: 2,
             quarantine: Millis(2_500),
             forgiven: Millis(8_000),
             stalled_after: Millis(1_800),
@@ -79,7 +80,7 @@
     /// All tasks.
     Full,
     /// Only tasks that may fail once more and be retried.
-    SecondTryOnly,
+    RetryableOnly,
     /// One task that may fail once more, to probe the runner.
     Probe,
     /// No tasks.
@@ -103,8 +104,8 @@
         if self.consecutive_failures == 0 || forgiven || policy.mode == Switch::Off {
             return Trust::Full;
         }
-        if self.consecutive_failures < policy.bad_ends_max {
-            return Trust::SecondTryOnly;
+        if self.consecutive_failures < policy.failures_max {
+            return Trust::RetryableOnly;
         }
         match now.since(self.last_failure) < policy.quarantine.to_duration() {
             true => Trust::None,
@@ -119,11 +120,11 @@
     pub(super) run: u32,
     pub(super) checkpoint: Box<str>,
     pub(super) percent: u8,
-    pub(super) gauge: Option<u64>,
+    pub(super) usage_or_tail: Option<u64>,
     pub(super) first_seen: Moment,
     /// How long the runner has listed the run.
     pub(super) age: Duration,
-    pub(super) moved: Moment,
+    pub(super) progressed_at: Moment,
     /// The run must stop; the order is repeated with each heartbeat until the run is gone.
     pub(super) stopping: bool,
     /// Pace of the run in percent of full speed; `None` if this leader does not know it.
@@ -142,7 +143,9 @@
     }
 
     pub(super) fn is_stalled(&self, now: Moment, after: Millis) -> bool {
-        self.rate == Some(100) && self.percent < 100 && now.since(self.moved) > after.to_duration()
+        self.rate == Some(100)
+            && self.percent < 100
+            && now.since(self.progressed_at) > after.to_duration()
     }
 }
 
@@ -176,15 +179,15 @@
     pub(super) health: Health,
     pub(super) free: Resources,
     /// CPU reserved for long-running tasks, in millicores.
-    pub(super) lasting_millicores: u64,
+    pub(super) long_running_millicores: u64,
     /// Image of the serving tasks on the runner, if there is only one such image.
-    pub(super) serves: Option<ImageKey>,
+    pub(super) serving_image: Option<ImageKey>,
     /// Pace of the background tasks of an image, in percent of full speed; 100 for images
     /// that are not listed.
     pub(super) paces: BTreeMap<ImageKey, u8>,
     pub(super) paced_at: Moment,
     /// Since when a serving task on the runner has exceeded its bound.
-    pub(super) over_since: Option<Moment>,
+    pub(super) bound_exceeded_since: Option<Moment>,
 }
 
 impl Runner {
@@ -209,11 +212,11 @@
             withheld: BTreeMap::new(),
             health: Health::default(),
             free: Resources::ZERO,
-            lasting_millicores: 0,
-            serves: None,
+            long_running_millicores: 0,
+            serving_image: None,
             paces: BTreeMap::new(),
             paced_at: Moment::ZERO,
-            over_since: None,
+            bound_exceeded_since: None,
         }
     }
 
@@ -307,8 +310,8 @@
     reported_before: bool,
 ) -> RunView {
     let same = former.filter(|view| view.run == run.run);
-    let moved = match &same {
-        Some(view) if view.percent == run.percent => view.moved,
+    let progressed_at = match &same {
+        Some(view) if view.percent == run.percent => view.progressed_at,
         _ => now,
     };
     let first_seen = same.as_ref().map_or(now, |view| view.first_seen);
@@ -317,9 +320,9 @@
         age: now.since(first_seen),
         checkpoint: run.checkpoint.clone(),
         percent: run.percent,
-        gauge: run.usage_or_tail,
+        usage_or_tail: run.usage_or_tail,
         first_seen,
-        moved,
+        progressed_at,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
         // A new leader does not know which pace the former one ordered.
         rate: same.as_ref().map_or(reported_before.then_some(100), |view| view.rate),
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -7,12 +7,12 @@
 //! a runner where little would be lost, no other task starts there until the runner has listed
 //! it, and the number of concurrent trials is limited.
 
+use super::capacity::saturating_sub;
 use super::leader::{Leader, Now, OnCommit};
 use super::lost::PROVEN_AFTER;
 use super::place::Chosen;
 use super::policy::{Millis, Switch};
 use super::ready::StepKey;
-use super::room::saturating_sub;
 use super::runner::{Runner, Trust, lease_expiry_bound};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
@@ -106,7 +106,7 @@
 
 impl Leader {
     /// How a task may start.
-    pub(super) fn standing(&self, now: Now, task: TaskKey) -> CrashSuspicion {
+    pub(super) fn crash_suspicion(&self, now: Now, task: TaskKey) -> CrashSuspicion {
         let losses = self.state.losses();
         if losses.is_empty() {
             return CrashSuspicion::Clear;
@@ -137,8 +137,8 @@
     /// Whether at least two runners crashed at the start of tasks of a step, and none of its
     /// tasks is running or done.
     fn has_suspect_step(&self, task: TaskKey) -> bool {
-        let group = StepKey::of(task);
-        if self.incarnations_crashed_at_start(group.job, Some(group)).len() < 2 {
+        let step_key = StepKey::of(task);
+        if self.incarnations_crashed_at_start(step_key.job, Some(step_key)).len() < 2 {
             return false;
         }
         let Some(job) = self.state.job(task.job) else { return false };
@@ -165,10 +165,11 @@
     fn incarnations_crashed_at_start(
         &self,
         job: JobId,
-        group: Option<StepKey>,
+        step_key: Option<StepKey>,
     ) -> BTreeSet<IncarnationKey> {
-        let of_group = |task: TaskKey| group.is_none_or(|group| StepKey::of(task) == group);
-        let losses = self.state.losses().of_job(job).filter(|(task, _)| of_group(*task));
+        let is_of_step =
+            |task: TaskKey| step_key.is_none_or(|step_key| StepKey::of(task) == step_key);
+        let losses = self.state.losses().of_job(job).filter(|(task, _)| is_of_step(*task));
         let at_start = losses.flat_map(|(_, losses)| losses).filter(|loss| {
             loss.evidence == LossEvidence::Ordered && loss.fate == RunnerFate::Crashed
         });
@@ -182,7 +183,7 @@
         self.suspects.waiting.clear();
         self.suspects
             .reporting
-            .retain(|incarnation, _| self.state.losses().has_unknown(*incarnation));
+            .retain(|incarnation, _| self.state.losses().is_unconfirmed(*incarnation));
         if self.state.losses().is_empty() || self.cfg.policy.suspects.mode == Switch::Off {
             self.suspects.since.clear();
             return;
@@ -230,25 +231,25 @@
         let mut jobs: Vec<JobId> = self.state.losses().tasks().map(|(task, _)| task.job).collect();
         jobs.dedup();
         let mut found = Vec::new();
-        for group in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
-            let Some(job) = self.state.job(group.job) else { continue };
-            let crashed_of_job = self.incarnations_crashed_at_start(group.job, None).len();
-            let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
+        for step_key in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
+            let Some(job) = self.state.job(step_key.job) else { continue };
+            let crashed_of_job = self.incarnations_crashed_at_start(step_key.job, None).len();
+            let Some(step) = job.spec.steps.get(usize::from(step_key.step)) else { continue };
             if step.gang {
                 continue;
             }
             for index in 0..step.count {
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
                 let task = TaskKey {
-                    job: group.job,
-                    occurrence: group.occurrence,
-                    step: group.step,
+                    job: step_key.job,
+                    occurrence: step_key.occurrence,
+                    step: step_key.step,
                     index,
                 };
                 let waits =
                     self.state.task(task).is_some_and(|t| !t.done && t.assignments.is_empty())
                         && !self.starting.contains_key(&task);
-                if waits && self.standing(now, task) == CrashSuspicion::Suspect {
+                if waits && self.crash_suspicion(now, task) == CrashSuspicion::Suspect {
                     let losses = Reverse(self.state.losses().of(task).len());
                     found.push(WaitingSuspect { crashed_of_job, job: task.job, losses, task });
                 }
@@ -270,13 +271,13 @@
     /// Whether the task is given up after one more crash. Such a crash must not be the fault of
     /// a colocated task.
     fn is_last_try(&self, task: TaskKey) -> bool {
-        self.state.losses().crashes(task).reach_bound_with(1)
+        self.state.losses().crashes(task).would_reach_limit(1)
     }
 
     /// Whether a step's job has tasks that lost runners and may not start like any other task.
-    pub(super) fn has_suspect(&self, now: Now, group: StepKey) -> bool {
-        let mut lost = self.state.losses().of_job(group.job);
-        lost.any(|(task, _)| self.standing(now, task) != CrashSuspicion::Clear)
+    pub(super) fn has_suspect(&self, now: Now, step_key: StepKey) -> bool {
+        let mut lost = self.state.losses().of_job(step_key.job);
+        lost.any(|(task, _)| self.crash_suspicion(now, task) != CrashSuspicion::Clear)
     }
 
     /// The suspect in a trial on a runner: it was ordered and the runner has not listed it yet,
@@ -292,7 +293,7 @@
             .chain(starting.map(|start| (start.task, start.run)));
         let is_tried = |task: TaskKey, run: u32| match runner.view(task, run) {
             Some(view) => view.age < PROVEN_AFTER && self.is_last_try(task),
-            None => self.standing(now, task) != CrashSuspicion::Clear,
+            None => self.crash_suspicion(now, task) != CrashSuspicion::Clear,
         };
         held.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
     }
@@ -325,7 +326,7 @@
         );
         if let Some(step) = self.ready.step_of(start.task) {
             chosen.free = saturating_sub(chosen.free, step.reserved);
-            chosen.colocation.started(now.at, step, &self.loads, StepKey::of(start.task));
+            chosen.colocation.started(now.at, step, &self.forecasts, StepKey::of(start.task));
         }
         chosen.starts.push(start);
         self.counts.tried += 1;
@@ -349,18 +350,18 @@
         let waited = now.at.since(since);
         let must_be_empty = self.is_last_try(task) && waited < policy.last_try.to_duration();
         let may_be_shared = waited > policy.not_lasting.to_duration()
-            || (waited > policy.empty.to_duration() && runner.lasting_millicores == 0);
+            || (waited > policy.empty.to_duration() && runner.long_running_millicores == 0);
         let little_to_lose = runner.running.is_empty() || (may_be_shared && !must_be_empty);
-        let group = StepKey::of(task);
-        let info = self.ready.step(group.job, group.step)?;
+        let step_key = StepKey::of(task);
+        let info = self.ready.step(step_key.job, step_key.step)?;
         if !little_to_lose || !chosen.free.covers(info.reserved) {
             return None;
         }
-        let (job, step) = self.may_host(now, runner, group)?;
-        if self.seats(runner, group, step) == 0 {
+        let (job, step) = self.may_host(now, runner, step_key)?;
+        if self.slots_left(runner, step_key, step) == 0 {
             return None;
         }
-        let run = self.run_after(job, step, task, runner.key, trust)?;
+        let run = self.next_run_number(job, step, task, runner.key, trust)?;
         Some(RunStart { task, run, incarnation: runner.key })
     }
 
@@ -368,7 +369,7 @@
     /// the duration of a lease, the losses are no crash. A single report may have been sent
     /// before a crash.
     pub(super) fn note_return(&mut self, now: Now, key: IncarnationKey) {
-        if !self.state.losses().has_unknown(key) {
+        if !self.state.losses().is_unconfirmed(key) {
             return;
         }
         let since = *self.suspects.reporting.entry(key).or_insert(now.at);
@@ -392,7 +393,7 @@
             return;
         }
         let losses = self.state.losses();
-        let still = losses.unknown();
+        let still = losses.unconfirmed_incarnations();
         let resolved = |loss: &Loss| {
             were_unknown.contains(&loss.incarnation) && !still.contains(&loss.incarnation)
         };
@@ -410,7 +411,7 @@
         }
         let crashed = own.iter().filter(|loss| loss.fate == RunnerFate::Crashed).count();
         let at_start = own.iter().filter(|loss| loss.evidence == LossEvidence::Ordered).count();
-        let verdict = match (self.state.exceeds_loss_limit(task), self.standing(now, task)) {
+        let verdict = match (self.state.exceeds_loss_limit(task), self.crash_suspicion(now, task)) {
             (true, _) => "given-up",
             (false, CrashSuspicion::Clear) => "clear",
             (false, CrashSuspicion::Suspect) => "suspected",
--- a/crates/coordination/src/jobs/telemetry.rs
+++ b/crates/coordination/src/jobs/telemetry.rs
@@ -41,7 +41,7 @@
     mixed: usize,
     paced: usize,
     runs: usize,
-    filling: f64,
+    background_share: f64,
     free: u64,
     /// Runners with a serving task that exceeds its bound.
     over: usize,
@@ -56,10 +56,11 @@
             load.mixed += usize::from(colocation.serving.len() > 1);
             load.serving += usize::from(!colocation.serving.is_empty());
             load.paced += usize::from(runner.paces.values().any(|pace| *pace < 100));
-            load.filling += colocation.filling.iter().map(|fill| fill.share).sum::<f64>();
+            load.background_share +=
+                colocation.background.iter().map(|fill| fill.share).sum::<f64>();
             load.runs += runner.running.len();
             load.free += runner.free.millicores;
-            load.over += usize::from(runner.over_since.is_some());
+            load.over += usize::from(runner.bound_exceeded_since.is_some());
         }
         log::info!(
             "load runners={} serving={} mixed={} paced={} runs={} filling-runners={:.1} \
@@ -69,10 +70,10 @@
             load.mixed,
             load.paced,
             load.runs,
-            load.filling,
+            load.background_share,
             load.free / 1000,
             load.over,
-            self.moving_out,
+            self.moving_long_running,
             self.ready.len(),
             self.ready.waiting_tasks(&self.state)
         );
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -85,7 +85,7 @@
     fn propose_returns(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
         for wave in self.state.waves() {
-            for machine in wave.away() {
+            for machine in wave.in_maintenance() {
                 let found = self.waves.machines.get(machine);
                 let back = found.is_some_and(|m| m.state == MachineState::Up)
                     && self.waves.runner_of(machine) != wave.runner_before(machine);
@@ -105,9 +105,9 @@
 
     fn choose_machines(&mut self, now: Now, id: u64) {
         let Some(wave) = self.state.wave(id) else { return };
-        let away = wave.away().count();
+        let in_maintenance = wave.in_maintenance().count();
         let draining = self.waves.draining.values().filter(|e| e.wave == id).count();
-        let mut slots = (wave.wave.at_once as usize).saturating_sub(away + draining);
+        let mut slots = (wave.wave.at_once as usize).saturating_sub(in_maintenance + draining);
         let waiting: Vec<Box<str>> = wave
             .waiting()
             .filter(|machine| !self.waves.draining.contains_key(*machine))
--- a/crates/coordination/src/peer_table.rs
+++ b/crates/coordination/src/peer_table.rs
@@ -12,7 +12,7 @@
 use yuccalink_state::id::Name;
 
 /// Time without an answer after which the leader is dropped: three missed answers.
-pub const LEAD_FRESH: Duration = Duration::from_millis(1_300);
+pub const LEADER_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// Time without a report by or about a process after which it is removed from the table.
 const PEER_RETENTION: Duration = Duration::from_secs(30);
 
@@ -173,11 +173,11 @@
         }
     }
 
-    /// Drops a leader that has been silent for longer than [`LEAD_FRESH`], and processes that were
-    /// not reported for `PEER_RETENTION`.
+    /// Drops a leader that has been silent for longer than [`LEADER_TIMEOUT`], and processes that
+    /// were not reported for `PEER_RETENTION`.
     pub fn tick(&mut self, now: Moment) {
         if let Some((leader, at)) = self.leader
-            && now.since(at) > LEAD_FRESH
+            && now.since(at) > LEADER_TIMEOUT
         {
             self.clear_leader(leader.peer, "silent");
         }
--- a/crates/coordination/src/router.rs
+++ b/crates/coordination/src/router.rs
@@ -111,7 +111,7 @@
 
 /// Whether a runner may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RunnerStatus {
     /// The runner may get requests.
     Open,
     /// The runner gets no requests until this moment.
@@ -126,7 +126,7 @@
     /// The specification that it announced.
     pub spec: RunnerSpec,
     /// Whether it may get requests.
-    pub standing: Standing,
+    pub status: RunnerStatus,
     /// Requests of this entry in flight at the runner.
     pub busy: u32,
     /// Requests of a previous owner that may still be in flight at the runner.
@@ -140,10 +140,10 @@
 
 impl Runner {
     fn is_available(&self, now: Moment) -> bool {
-        match self.standing {
-            Standing::Open => true,
-            Standing::Ejected(until) => now >= until && self.busy == 0,
-            Standing::Closed => false,
+        match self.status {
+            RunnerStatus::Open => true,
+            RunnerStatus::Ejected(until) => now >= until && self.busy == 0,
+            RunnerStatus::Closed => false,
         }
     }
 
@@ -258,8 +258,8 @@
         {
             let same_pool = runner.spec.service == spec.service;
             if same_pool && runner.spec.incarnation == spec.incarnation {
-                if runner.standing == Standing::Closed {
-                    runner.standing = Standing::Open;
+                if runner.status == RunnerStatus::Closed {
+                    runner.status = RunnerStatus::Open;
                 }
                 runner.spec = spec;
                 self.serve_queue_of(now, key, dequeued);
@@ -271,7 +271,7 @@
         let name = spec.name.clone();
         let key = self.runners.insert(Runner {
             spec,
-            standing: Standing::Open,
+            status: RunnerStatus::Open,
             busy: 0,
             reserved,
             peak: 0,
@@ -295,7 +295,7 @@
     /// Sends no new requests to a runner; requests in flight continue.
     pub fn stop_routing_to(&mut self, name: &Name) {
         if let Some(runner) = self.by_name.get(name).and_then(|key| self.runners.get_mut(*key)) {
-            runner.standing = Standing::Closed;
+            runner.status = RunnerStatus::Closed;
         }
     }
 
@@ -389,8 +389,8 @@
             RunnerOutcome::Answered => {
                 runner.failures = 0;
                 runner.ejections = 0;
-                if matches!(runner.standing, Standing::Ejected(_)) {
-                    runner.standing = Standing::Open;
+                if matches!(runner.status, RunnerStatus::Ejected(_)) {
+                    runner.status = RunnerStatus::Open;
                 }
                 let pool = &mut self.pools[pool];
                 let took = now.since(grant.at);
@@ -518,8 +518,9 @@
     fn record_failure(&mut self, now: Moment, key: RunnerKey) {
         let runner = &mut self.runners[key];
         runner.failures += 1;
-        let probe_failed = matches!(runner.standing, Standing::Ejected(_));
-        if runner.standing == Standing::Closed || (runner.failures < EJECT_AFTER && !probe_failed) {
+        let probe_failed = matches!(runner.status, RunnerStatus::Ejected(_));
+        if runner.status == RunnerStatus::Closed || (runner.failures < EJECT_AFTER && !probe_failed)
+        {
             return;
         }
         let pool = &self.pools[runner.pool];
@@ -527,7 +528,7 @@
         let ejected = pool
             .runners
             .iter()
-            .filter(|key| matches!(self.runners[**key].standing, Standing::Ejected(_)))
+            .filter(|key| matches!(self.runners[**key].status, RunnerStatus::Ejected(_)))
             .count();
         let most = (all / EJECT_ONE_IN).max(1).min(all.saturating_sub(1));
         if !probe_failed && ejected >= most {
@@ -536,7 +537,7 @@
         let runner = &mut self.runners[key];
         let span = EJECT_FIRST.saturating_mul(1 << runner.ejections.min(5)).min(EJECT_MAX);
         runner.ejections += 1;
-        runner.standing = Standing::Ejected(now + span);
+        runner.status = RunnerStatus::Ejected(now + span);
         self.counts.ejected += 1;
     }
 
--- a/crates/coordination/tests/margin_forecast.rs
+++ b/crates/coordination/tests/margin_forecast.rs
@@ -42,7 +42,7 @@
             let model = forecasts.entry(job, now);
             let margin_without_background = learnt.observe(serves, model, reported, &[], now);
             if let Some(margin_without_background) = margin_without_background {
-                forecasts.judge(job, margin_without_background, now);
+                forecasts.evaluate_periods(job, margin_without_background, now);
             }
         }
     }
--- a/crates/coordination/tests/peer_table.rs
+++ b/crates/coordination/tests/peer_table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use yuccalink_coordination::Moment;
-use yuccalink_coordination::peer_table::{LEAD_FRESH, LeaderInfo, NodeInfo, PeerTable};
+use yuccalink_coordination::peer_table::{LEADER_TIMEOUT, LeaderInfo, NodeInfo, PeerTable};
 use yuccalink_coordination::raft::ReplicaId;
 
 const SEEDS: usize = 3;
@@ -126,7 +126,7 @@
     let mut now = Moment::from_millis(1_000);
     let mut peer_table = PeerTable::new(info(3, false), seeds(), false);
     peer_table.record_leader(leader_info(1, 5), address(1), now);
-    now = now + LEAD_FRESH;
+    now = now + LEADER_TIMEOUT;
     peer_table.record_leader(leader_info(1, 5), address(0), now);
     peer_table.tick(now);
     assert!(peer_table.lead().is_some(), "it may still answer");
--- a/crates/coordination/tests/policy.rs
+++ b/crates/coordination/tests/policy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use world::{FaultProfile, World, step};
 use yuccalink_coordination::jobs::policy::{
-    BadPolicy, GangsPolicy, OrderBy, OrderPolicy, Policy, Switch,
+    GangsPolicy, InvalidPolicy, OrderBy, OrderPolicy, Policy, Switch,
 };
 use yuccalink_state::jobs::{JobId, JobSpec};
 
@@ -85,7 +85,7 @@
 fn a_value_out_of_range_is_reported_with_its_bounds() {
     let order = OrderPolicy { size_weight: -1.0, ..OrderPolicy::default() };
     let bad = Policy::builder().order(order).build().expect_err("a negative weight is invalid");
-    assert!(matches!(bad, BadPolicy::OutOfRange { section: "order", name: "size-weight", .. }));
+    assert!(matches!(bad, InvalidPolicy::OutOfRange { section: "order", name: "size-weight", .. }));
     let text = bad.to_string();
     assert_eq!(text, "[order] size-weight is -1; write a figure from 0 to 2");
 }
--- a/crates/coordination/tests/router.rs
+++ b/crates/coordination/tests/router.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use yuccalink_coordination::Moment;
 use yuccalink_coordination::router::{
-    Admission, Grant, Refusal, Router, RoutingRequest, RunnerOutcome, Standing, Ticket,
+    Admission, Grant, Refusal, Router, RoutingRequest, RunnerOutcome, RunnerStatus, Ticket,
 };
 use yuccalink_state::id::{Incarnation, Name};
 use yuccalink_state::target::RunnerSpec;
@@ -58,7 +58,7 @@
         let grant = granted(&mut router, now);
         router.release(now, grant, RunnerOutcome::Failed, &mut Vec::new());
     }
-    let ejected = router.runners().filter(|r| matches!(r.standing, Standing::Ejected(_))).count();
+    let ejected = router.runners().filter(|r| matches!(r.status, RunnerStatus::Ejected(_))).count();
     assert_eq!(ejected, 3);
 }
 
@@ -89,7 +89,8 @@
         };
         router.release(now, grant, outcome, &mut Vec::new());
     }
-    let Standing::Ejected(until) = router.runner(failing_runner).expect("a runner").standing else {
+    let RunnerStatus::Ejected(until) = router.runner(failing_runner).expect("a runner").status
+    else {
         panic!("the runner is not ejected");
     };
     let grants: Vec<Grant> = (0..5).map(|_| granted(&mut router, until)).collect();
@@ -97,7 +98,7 @@
         grants.iter().filter(|grant| grant.runner == failing_runner).collect();
     assert_eq!(probes.len(), 1);
     router.release(until, *probes[0], RunnerOutcome::Answered, &mut Vec::new());
-    assert_eq!(router.runner(failing_runner).expect("a runner").standing, Standing::Open);
+    assert_eq!(router.runner(failing_runner).expect("a runner").status, RunnerStatus::Open);
 }
 
 /// A request that can't be answered before its deadline is refused on arrival, not after
@@ -211,8 +212,8 @@
                 let position = waiting.iter().position(|ticket| *ticket == new_grant.ticket);
                 prop_assert!(position.is_some(), "a grant to a request that does not wait");
                 waiting.swap_remove(position.unwrap_or(0));
-                let standing = router.runner(new_grant.grant.runner).map(|r| r.standing);
-                prop_assert_ne!(standing, Some(Standing::Closed));
+                let status = router.runner(new_grant.grant.runner).map(|r| r.status);
+                prop_assert_ne!(status, Some(RunnerStatus::Closed));
                 grants.push(new_grant.grant);
             }
             for grant in &grants[before.min(grants.len())..] {
--- a/crates/state/src/jobs/change.rs
+++ b/crates/state/src/jobs/change.rs
@@ -102,7 +102,7 @@
 
 /// Why a change set cannot be put into force.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum BadChange {
+pub enum InvalidChangeSet {
     /// queue {0} names pool {1}, which is not among the pools; add the pool or correct the name
     UnknownPool(Box<str>, Box<str>),
     /// two queues share host {0} and prefix {1}; change one of them
@@ -115,7 +115,7 @@
     NoTimeout(Box<str>),
 }
 
-impl std::error::Error for BadChange {}
+impl std::error::Error for InvalidChangeSet {}
 
 impl ChangeSet {
     /// Validates the queues and pools and the references between them.
@@ -124,32 +124,32 @@
     /// The first problem that is found.
     ///
     /// ```
-    /// use yuccalink_state::jobs::{ChangeSet, Queue, change::BadChange};
+    /// use yuccalink_state::jobs::{ChangeSet, Queue, change::InvalidChangeSet};
     /// let queue = Queue { name: "q".into(), pool: "p".into(), timeout_ms: 1, ..Queue::default() };
     /// let change = ChangeSet { queues: vec![queue], ..ChangeSet::default() };
-    /// assert_eq!(change.check(), Err(BadChange::UnknownPool("q".into(), "p".into())));
+    /// assert_eq!(change.check(), Err(InvalidChangeSet::UnknownPool("q".into(), "p".into())));
     /// ```
-    pub fn check(&self) -> Result<(), BadChange> {
+    pub fn check(&self) -> Result<(), InvalidChangeSet> {
         let mut pools = BTreeSet::new();
         for pool in &self.pools {
             if !pools.insert(&*pool.name) {
-                return Err(BadChange::SamePool(pool.name.clone()));
+                return Err(InvalidChangeSet::SamePool(pool.name.clone()));
             }
         }
         let mut places = BTreeSet::new();
         let mut names = BTreeSet::new();
         for queue in &self.queues {
             if !pools.contains(&*queue.pool) {
-                return Err(BadChange::UnknownPool(queue.name.clone(), queue.pool.clone()));
+                return Err(InvalidChangeSet::UnknownPool(queue.name.clone(), queue.pool.clone()));
             }
             if !places.insert((&*queue.host, &*queue.prefix)) {
-                return Err(BadChange::SamePlace(queue.host.clone(), queue.prefix.clone()));
+                return Err(InvalidChangeSet::SamePlace(queue.host.clone(), queue.prefix.clone()));
             }
             if !names.insert(&*queue.name) {
-                return Err(BadChange::SameQueue(queue.name.clone()));
+                return Err(InvalidChangeSet::SameQueue(queue.name.clone()));
             }
             if queue.timeout_ms == 0 {
-                return Err(BadChange::NoTimeout(queue.name.clone()));
+                return Err(InvalidChangeSet::NoTimeout(queue.name.clone()));
             }
         }
         Ok(())
--- a/crates/state/src/jobs/loss.rs
+++ b/crates/state/src/jobs/loss.rs
@@ -82,9 +82,9 @@
     /// ```
     /// use yuccalink_state::jobs::Crashes;
     /// let twice = Crashes { all: 2, at_start: 2 };
-    /// assert!(!twice.reach_bound_with(0) && twice.reach_bound_with(1));
+    /// assert!(!twice.would_reach_limit(0) && twice.would_reach_limit(1));
     /// ```
-    pub fn reach_bound_with(self, more: usize) -> bool {
+    pub fn would_reach_limit(self, more: usize) -> bool {
         self.at_start + more >= CRASHES_AT_START_MAX || self.all + more >= CRASHES_MAX
     }
 }
@@ -147,19 +147,19 @@
             .iter()
             .filter(|loss| loss.fate == RunnerFate::Crashed)
             .nth(CRASHES_BEFORE_RUN_LIMIT - 1);
-        self.crashes(task).reach_bound_with(0)
+        self.crashes(task).would_reach_limit(0)
             || losses.len() >= LOSSES_MAX
             || third_crash.is_some_and(|loss| last_run >= loss.run + RUNS_AFTER_THIRD_CRASH_MAX)
     }
 
     /// Whether a runner incarnation has losses and is not known to have crashed.
-    pub fn has_unknown(&self, incarnation: IncarnationKey) -> bool {
+    pub fn is_unconfirmed(&self, incarnation: IncarnationKey) -> bool {
         let mut losses = self.by_task.values().flatten();
         losses.any(|loss| loss.incarnation == incarnation && loss.fate == RunnerFate::Unknown)
     }
 
     /// Runner incarnations with losses that are not known to have crashed.
-    pub fn unknown(&self) -> BTreeSet<IncarnationKey> {
+    pub fn unconfirmed_incarnations(&self) -> BTreeSet<IncarnationKey> {
         let losses = self.by_task.values().flatten();
         losses
             .filter(|loss| loss.fate == RunnerFate::Unknown)
@@ -168,7 +168,7 @@
     }
 
     /// Jobs with losses on runners that are not known to have crashed.
-    pub fn open_jobs(&self) -> BTreeSet<JobId> {
+    pub fn jobs_with_unconfirmed_losses(&self) -> BTreeSet<JobId> {
         let open = |losses: &[Loss]| losses.iter().any(|loss| loss.fate == RunnerFate::Unknown);
         self.tasks().filter(|(_, losses)| open(losses)).map(|(task, _)| task.job).collect()
     }
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -77,7 +77,7 @@
 
 /// Why a job specification is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum BadJob {
+pub enum InvalidJob {
     /// a job needs at least one step; add one
     NoSteps,
     /// {0} steps are more than 64; split the job
@@ -90,7 +90,7 @@
     Payload(usize),
 }
 
-impl std::error::Error for BadJob {}
+impl std::error::Error for InvalidJob {}
 
 impl JobSpec {
     /// Validates the steps and the payload.
@@ -99,28 +99,28 @@
     /// The first problem that is found.
     ///
     /// ```
-    /// use yuccalink_state::jobs::{JobSpec, StepSpec, spec::BadJob};
+    /// use yuccalink_state::jobs::{JobSpec, StepSpec, spec::InvalidJob};
     /// let mut job = JobSpec::default();
-    /// assert_eq!(job.check(), Err(BadJob::NoSteps));
+    /// assert_eq!(job.check(), Err(InvalidJob::NoSteps));
     /// job.steps.push(StepSpec { count: 1, ..StepSpec::default() });
     /// assert_eq!(job.check(), Ok(()));
     /// ```
-    pub fn check(&self) -> Result<(), BadJob> {
+    pub fn check(&self) -> Result<(), InvalidJob> {
         if self.steps.is_empty() {
-            return Err(BadJob::NoSteps);
+            return Err(InvalidJob::NoSteps);
         }
         if self.steps.len() > STEPS_MAX {
-            return Err(BadJob::TooManySteps(self.steps.len()));
+            return Err(InvalidJob::TooManySteps(self.steps.len()));
         }
         if self.payload.len() > PAYLOAD_MAX {
-            return Err(BadJob::Payload(self.payload.len()));
+            return Err(InvalidJob::Payload(self.payload.len()));
         }
         for (at, step) in self.steps.iter().enumerate() {
             if step.count == 0 || step.count > TASKS_MAX {
-                return Err(BadJob::Tasks(at, step.count));
+                return Err(InvalidJob::Tasks(at, step.count));
             }
             if let Some(later) = step.depends_on.iter().find(|step| usize::from(**step) >= at) {
-                return Err(BadJob::Order(at, *later));
+                return Err(InvalidJob::Order(at, *later));
             }
         }
         Ok(())
--- a/crates/state/src/jobs/table.rs
+++ b/crates/state/src/jobs/table.rs
@@ -320,7 +320,7 @@
             incarnation.started_ms < newer.started_ms
                 && (incarnation.id == newer.id || incarnation.address == newer.address)
         };
-        let mut incarnations = self.losses.unknown();
+        let mut incarnations = self.losses.unconfirmed_incarnations();
         incarnations.retain(|key| self.incarnation(*key).is_some_and(has_ended));
         incarnations
     }
--- a/crates/state/src/jobs/wave.rs
+++ b/crates/state/src/jobs/wave.rs
@@ -52,7 +52,7 @@
     }
 
     /// Machines whose maintenance has begun and that are not up again.
-    pub fn away(&self) -> impl Iterator<Item = &str> {
+    pub fn in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.begun.keys().filter(|machine| !self.done.contains(*machine)).map(|m| &**m)
     }
 
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::change::BadChange;
+use yuccalink_state::jobs::change::InvalidChangeSet;
 use yuccalink_state::jobs::*;
 use yuccalink_state::snapshot::{self, Meta};
 
@@ -353,13 +353,13 @@
     assert_eq!(good.check(), Ok(()));
     let mut bad = good.clone();
     bad.queues.push(queue("b", "/a/"));
-    assert_eq!(bad.check(), Err(BadChange::SamePlace("".into(), "/a/".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::SamePlace("".into(), "/a/".into())));
     let mut bad = good.clone();
     bad.queues[0].timeout_ms = 0;
-    assert_eq!(bad.check(), Err(BadChange::NoTimeout("a".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::NoTimeout("a".into())));
     let mut bad = good;
     bad.pools.clear();
-    assert_eq!(bad.check(), Err(BadChange::UnknownPool("a".into(), "p".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::UnknownPool("a".into(), "p".into())));
 }
 
 proptest! {
