--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -26,7 +26,7 @@
 pub enum DelayCause {
     /// No runner has free capacity for the next task.
     #[display("room")]
-    Room,
+    Capacity,
     /// Runners have free capacity, but their serving tasks would exceed their bounds.
     #[display("margin")]
     Margin,
@@ -47,18 +47,18 @@
     Again,
     /// A task takes much longer than estimated.
     #[display("lag")]
-    Lag,
+    Straggler,
 }
 
 const CAUSES: [DelayCause; 8] = [
-    DelayCause::Room,
+    DelayCause::Capacity,
     DelayCause::Margin,
     DelayCause::Trust,
     DelayCause::Suspect,
     DelayCause::Order,
     DelayCause::Pace,
     DelayCause::Again,
-    DelayCause::Lag,
+    DelayCause::Straggler,
 ];
 
 /// Time that each cause has held one job up so far.
@@ -207,7 +207,7 @@
             return DelayCause::Order;
         };
         let Some(job) = self.state.job(step_key.job) else { return DelayCause::Order };
-        let mut cause = DelayCause::Room;
+        let mut cause = DelayCause::Capacity;
         for runner in free_runners.with_capacity_for(self.pool_of(job), step.reserved) {
             let Some((job, spec)) = self.may_host(now, runner, step_key) else { continue };
             let trust = self.trust(now, runner);
@@ -238,7 +238,7 @@
         (0..step.count).any(|index| {
             let index = u16::try_from(index).unwrap_or(u16::MAX);
             let task = TaskKey { job: id, occurrence, step: at, index };
-            self.next_run(now, job, step, task, runner.key, trust).is_some()
+            self.next_run_unless_suspect(now, job, step, task, runner.key, trust).is_some()
         })
     }
 
@@ -273,12 +273,13 @@
     ) -> Option<DelayCause> {
         let step = self.ready.step_of(task)?;
         let estimate = Duration::from_millis(step.estimate_ms);
-        if view.rate.is_some_and(|rate| rate < 100) {
+        if view.pace.is_some_and(|pace| pace < 100) {
             Some(DelayCause::Pace)
         } else if last_run > 1 {
             Some(DelayCause::Again)
         } else {
-            (now.at.since(view.first_seen) > estimate * STRAGGLER_FACTOR).then_some(DelayCause::Lag)
+            (now.at.since(view.first_seen) > estimate * STRAGGLER_FACTOR)
+                .then_some(DelayCause::Straggler)
         }
     }
 }
--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -65,7 +65,7 @@
     /// Pool of the runner.
     pub(super) pool: Box<str>,
     /// Whether a serving task has been over its bound for too long.
-    pub(super) over_bound: bool,
+    pub(super) bound_exceeded: bool,
     capacity: f64,
     /// CPU that opportunistic tasks could use, in millicores.
     opportunistic_need: f64,
@@ -127,10 +127,10 @@
     fn add_background(&mut self, step: &StepInfo, view: Option<&RunView>) {
         let need = step.need.millicores as f64;
         let in_use = view.and_then(|view| view.usage_or_tail).map(|usage| usage as f64);
-        let rate = view.and_then(|view| view.rate).unwrap_or(100);
+        let pace = view.and_then(|view| view.pace).unwrap_or(100);
         if step.opportunistic {
             self.opportunistic_need += need;
-            let measured = view.filter(|view| rate == 100 && view.age >= MEASURED_AFTER);
+            let measured = view.filter(|view| pace == 100 && view.age >= MEASURED_AFTER);
             if let (Some(_), Some(in_use)) = (measured, in_use) {
                 self.measured_need += need;
                 self.measured_use += in_use;
@@ -192,7 +192,7 @@
     /// task of a step and all background tasks at full pace.
     pub(super) fn has_margin_for(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
         let Some(image) = step.image.filter(|_| self.policy.mode.is_on()) else { return true };
-        if self.over_bound {
+        if self.bound_exceeded {
             return false;
         }
         let share = step.need.millicores as f64 / self.capacity;
--- a/crates/coordination/src/jobs/commits.rs
+++ b/crates/coordination/src/jobs/commits.rs
@@ -100,9 +100,9 @@
                 self.ready.apply_change_set(&self.state, &self.routes);
             }
             JobCommand::UpkeepDone { wave, machine } => {
-                self.proposed_returns.remove(&(*wave, machine.clone()));
+                self.proposed_maintenance_ends.remove(&(*wave, machine.clone()));
             }
-            JobCommand::Alive(incarnation) => self.clear_return(*incarnation),
+            JobCommand::Alive(incarnation) => self.clear_report_after_loss(*incarnation),
             JobCommand::Cancel { .. }
             | JobCommand::Meet(_)
             | JobCommand::Learn(_)
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -26,7 +26,8 @@
     /// A run that is expected to take this many times its estimate is a straggler.
     /// Estimates are usually off by half, and a sound run on a busy runner takes more
     /// than 1.5 times its estimate.
-    pub lags_by: u32,
+    #[serde(rename = "lags-by")]
+    pub straggler_factor: u32,
     /// Shortest time that a copy must be expected to save, in milliseconds; ordering it
     /// takes a third of that.
     #[serde(rename = "gain-ms")]
@@ -34,7 +35,7 @@
     /// Time without progress, in milliseconds, after which a run counts as stalled; two
     /// reports arrive in that time.
     #[serde(rename = "unmoved-ms")]
-    pub unmoved: Millis,
+    pub stalled_after: Millis,
     /// One in this many running tasks whose step allows copies may have a copy.
     pub one_in: usize,
     /// Copies allowed at any time: the last tasks of a job are few, and all of them may
@@ -46,9 +47,9 @@
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            lags_by: 2,
+            straggler_factor: 2,
             gain: Millis(400),
-            unmoved: Millis(900),
+            stalled_after: Millis(900),
             one_in: 10,
             at_least: 8,
         }
@@ -146,15 +147,15 @@
         }
         let estimate = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
-        let is_stalled =
-            view.percent < 100 && now.at.since(view.progressed_at) > self.unmoved.to_duration();
+        let is_stalled = view.percent < 100
+            && now.at.since(view.progressed_at) > self.stalled_after.to_duration();
         let left = match is_stalled {
-            true => estimate * self.lags_by + gain,
+            true => estimate * self.straggler_factor + gain,
             false => view.time_left(now.at, estimate_ms),
         };
         let elapsed = now.at.since(view.first_seen);
         let is_straggler = elapsed > estimate / 2
-            && elapsed + left > estimate * self.lags_by
+            && elapsed + left > estimate * self.straggler_factor
             && left > estimate + gain;
         is_straggler.then_some(left)
     }
--- a/crates/coordination/src/jobs/due.rs
+++ b/crates/coordination/src/jobs/due.rs
@@ -46,7 +46,7 @@
             self.remove_ended_jobs(now);
             self.remove_ended_forecasts();
             self.log_load(now);
-            self.commit_learned_weights();
+            self.commit_learnt_weights();
         }
     }
 
@@ -107,8 +107,8 @@
 
     /// Commits the learned interference weights for later leaders. To learn them again after
     /// each change of leader, serving tasks would exceed their bounds for some ten seconds.
-    fn commit_learned_weights(&mut self) {
-        let learnt = self.interference.learned_weights();
+    fn commit_learnt_weights(&mut self) {
+        let learnt = self.interference.learnt_weights();
         if !learnt.is_empty() && learnt != self.state.learnt() {
             self.propose(JobCommand::Learn(learnt), OnCommit::Nothing);
         }
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -109,7 +109,7 @@
         log::info!("runner={} {key} registered: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
         for ended in self.incarnations.ended() {
-            self.collect_lost(now, ended, LossReason::NextLife, &mut ends);
+            self.collect_lost(now, ended, LossReason::NextIncarnation, &mut ends);
             self.runners.remove(&ended);
         }
         // Interrupted tasks come before tasks that never ran, but they wait only once the ends
@@ -138,7 +138,7 @@
             log::info!("runner={} state={} was={}", report.runner, report.state, runner.state);
         }
         runner.update(report, now.at);
-        self.note_return(now, key);
+        self.note_report_after_loss(now, key);
         let ends = self.new_ends(key, &report.finished);
         let ended: BTreeSet<(TaskKey, u32)> =
             report.finished.iter().filter_map(|f| f.task.map(|task| (task, f.run))).collect();
@@ -160,8 +160,8 @@
         let mut ends = Vec::new();
         for end in finished {
             let Some(task) = end.task else { continue };
-            let held = self.state.is_assigned(key, task, end.run);
-            if held && !self.ending.contains(&(task, end.run)) {
+            let assigned = self.state.is_assigned(key, task, end.run);
+            if assigned && !self.ending.contains(&(task, end.run)) {
                 let checkpoint = end.checkpoint.clone();
                 ends.push(RunEnd {
                     task,
@@ -413,7 +413,7 @@
         let Some(runner) = self.runners.get_mut(&key) else { return };
         runner.withhold(runs_over_capacity, now.at);
         runner.note_orders(start.iter().map(|order| (order.task, order.run)), now.at);
-        let rates = runner.rate_orders(&self.ready);
+        let rates = runner.pace_orders(&self.ready);
         runner.lease_end = now.at + lease_expiry_bound(self.cfg.lease);
         let orders = RunnerOrders {
             lease_ms: millis(self.cfg.lease),
--- a/crates/coordination/src/jobs/interference.rs
+++ b/crates/coordination/src/jobs/interference.rs
@@ -49,7 +49,7 @@
 /// Lower limit of a weight's variance, however often it was observed, since pairs change.
 const WEIGHT_VARIANCE_MIN: f64 = 0.3;
 /// Factor for the variance of weights taken over from an earlier leader.
-const RECALLED_VARIANCE_FACTOR: f64 = 2.0;
+const RESTORED_VARIANCE_FACTOR: f64 = 2.0;
 /// Upper limit of a sampled margin.
 const MARGIN_MAX: f64 = 6.0;
 /// Margins below this only show that the server is saturated.
@@ -97,14 +97,14 @@
     /// Takes over the weights of an earlier leader, with a larger variance.
     pub fn restore_weights(&mut self, learnt: &[PairWeight]) {
         for pair in learnt {
-            let key = (self.image(&pair.serving), self.image(&pair.filling));
-            let variance = f64::from(pair.variance) * RECALLED_VARIANCE_FACTOR;
+            let key = (self.image(&pair.serving), self.image(&pair.background));
+            let variance = f64::from(pair.variance) * RESTORED_VARIANCE_FACTOR;
             self.weights.insert(key, WeightEstimate { mean: f64::from(pair.mean), variance });
         }
     }
 
     /// Returns the learnt weights for a later leader.
-    pub fn learned_weights(&self) -> Vec<PairWeight> {
+    pub fn learnt_weights(&self) -> Vec<PairWeight> {
         let mut names: Vec<(&ImageKey, &str)> =
             self.images.iter().map(|(name, key)| (key, &**name)).collect();
         names.sort_unstable();
@@ -113,9 +113,9 @@
         pairs.sort_unstable_by_key(|(key, _)| **key);
         pairs
             .into_iter()
-            .map(|((serving, filling), estimate)| PairWeight {
+            .map(|((serving, background), estimate)| PairWeight {
                 serving: name(*serving).into(),
-                filling: name(*filling).into(),
+                background: name(*background).into(),
                 mean: estimate.mean as f32,
                 variance: estimate.variance as f32,
             })
@@ -144,15 +144,15 @@
     /// use yuccalink_coordination::jobs::interference::{BackgroundShare, Interference};
     /// use yuccalink_coordination::jobs::margin_forecast::MarginModel;
     /// let mut learnt = Interference::default();
-    /// let (serves, fills) = (learnt.image("front"), learnt.image("index"));
-    /// let beside = [BackgroundShare { image: fills, share: 0.1 }];
-    /// let before = learnt.margin_loss(serves, &beside);
+    /// let (serving, background) = (learnt.image("front"), learnt.image("index"));
+    /// let beside = [BackgroundShare { image: background, share: 0.1 }];
+    /// let before = learnt.margin_loss(serving, &beside);
     /// let mut own = MarginModel::new(Moment::ZERO);
     /// for second in 1..20 {
-    ///     learnt.observe(serves, &mut own, 3.0, &[], Moment::from_millis(second * 2_000));
-    ///     learnt.observe(serves, &mut own, 1.0, &beside, Moment::from_millis(second * 2_000 + 1));
+    ///     learnt.observe(serving, &mut own, 3.0, &[], Moment::from_millis(second * 2_000));
+    ///     learnt.observe(serving, &mut own, 1.0, &beside, Moment::from_millis(second * 2_000 + 1));
     /// }
-    /// assert!(learnt.margin_loss(serves, &beside) > before + 1.0);
+    /// assert!(learnt.margin_loss(serving, &beside) > before + 1.0);
     /// ```
     pub fn margin_loss(&self, serving: ImageKey, background: &[BackgroundShare]) -> f64 {
         background.iter().map(|used| self.weight(serving, used.image).mean * used.share).sum()
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -122,7 +122,7 @@
     /// Pools with at least half of their CPU unreserved, as of the last ranking.
     pub(super) idle_pools: BTreeSet<Box<str>>,
     /// Ends of upkeep, by wave and machine, that are proposed but not committed.
-    pub(super) proposed_returns: BTreeSet<(u64, Box<str>)>,
+    pub(super) proposed_maintenance_ends: BTreeSet<(u64, Box<str>)>,
     /// Name under which this process calls the platform.
     pub(super) node_name: Box<str>,
     pub(super) accounts: DelayAccounts,
@@ -172,7 +172,7 @@
             suspects: Suspects::default(),
             moving_long_running: 0,
             idle_pools: BTreeSet::new(),
-            proposed_returns: BTreeSet::new(),
+            proposed_maintenance_ends: BTreeSet::new(),
             node_name: Box::default(),
             accounts: DelayAccounts::default(),
             last_ranked: now.at,
@@ -264,8 +264,8 @@
         // range from 0 to the longest objective.
         const AGE_MAX_MS: u64 = 60_000;
         let age = now.unix_ms.saturating_sub(job.at_ms).min(AGE_MAX_MS);
-        let submitted_at = now.at - Duration::from_millis(age);
-        self.ready.add_job(id, job, submitted_at, &self.routes, &mut self.interference);
+        let arrived_at = now.at - Duration::from_millis(age);
+        self.ready.add_job(id, job, arrived_at, &self.routes, &mut self.interference);
         self.accounts.open(id, Duration::from_millis(age));
     }
 
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -14,7 +14,7 @@
 pub(super) enum LossReason {
     /// A later incarnation of the runner, or another runner at its address, has reported.
     #[display("next-life")]
-    NextLife,
+    NextIncarnation,
     /// The lease of the runner has certainly expired.
     #[display("lease")]
     Lease,
@@ -39,14 +39,14 @@
             if self.ending.contains(&(task, run)) {
                 continue;
             }
-            let seen = loss_evidence(runner, task, run);
-            self.log_lost(now, incarnation, why, (task, run), seen);
+            let evidence = loss_evidence(runner, task, run);
+            self.log_lost(now, incarnation, why, (task, run), evidence);
             let view = runner.and_then(|runner| runner.view(task, run));
             let checkpoint = view.map_or_else(Box::default, |view| view.checkpoint.clone());
-            let outcome = match (why, seen.filter(|_| !leaves)) {
+            let outcome = match (why, evidence.filter(|_| !leaves)) {
                 (LossReason::Left, _) | (_, None) => RunOutcome::Gone,
-                (LossReason::NextLife, Some(seen)) => RunOutcome::Crashed(seen),
-                (LossReason::Lease, Some(seen)) => RunOutcome::Silent(seen),
+                (LossReason::NextIncarnation, Some(evidence)) => RunOutcome::Crashed(evidence),
+                (LossReason::Lease, Some(evidence)) => RunOutcome::Silent(evidence),
             };
             ends.push(RunEnd { task, run, incarnation, outcome, checkpoint });
         }
@@ -58,16 +58,16 @@
         incarnation: IncarnationKey,
         why: LossReason,
         (task, run): (TaskKey, u32),
-        seen: Option<LossEvidence>,
+        evidence: Option<LossEvidence>,
     ) {
         let runner = self.runners.get(&incarnation);
         let name =
             self.state.incarnation(incarnation).map_or("unknown", |incarnation| &*incarnation.id);
-        let seen = seen.map_or("never-ordered".into(), |seen| seen.to_string());
+        let evidence = evidence.map_or("never-ordered".into(), |evidence| evidence.to_string());
         let silent = runner.map(|runner| now.at.since(runner.last_report_at).as_millis());
         let silent = silent.map_or("unknown".into(), |ms| format!("{ms}ms"));
         log::info!(
-            "lost task={task} run={run} runner={name} why={why} seen={seen} silent={silent}"
+            "lost task={task} run={run} runner={name} why={why} seen={evidence} silent={silent}"
         );
     }
 }
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -112,8 +112,8 @@
         }
         let Some(runner) = self.runners.get_mut(&key) else { return Colocation::default() };
         runner.serving_image = colocation.only_serving();
-        colocation.over_bound = runner.exceeds_bound(now.at, &samples, policy.standstill);
-        let allowances = match (colocation.over_bound, policy.pacing.mode) {
+        colocation.bound_exceeded = runner.exceeds_bound(now.at, &samples, policy.standstill);
+        let allowances = match (colocation.bound_exceeded, policy.pacing.mode) {
             (true, _) => standstill_allowances(&colocation),
             (false, Switch::On) => {
                 allowances(&colocation, &self.interference, &policy.pacing, &policy.moving)
@@ -371,7 +371,7 @@
     }
 
     /// Returns orders for runs that do not yet have their image's pace.
-    pub(super) fn rate_orders(&mut self, ready: &ReadyQueue) -> Vec<(TaskKey, u32, u8)> {
+    pub(super) fn pace_orders(&mut self, ready: &ReadyQueue) -> Vec<(TaskKey, u32, u8)> {
         let mut orders = Vec::new();
         for (task, view) in &mut self.running {
             let Some(step) = ready.step_of(*task) else { continue };
@@ -379,8 +379,8 @@
                 continue;
             };
             let pace = self.paces.get(&image).copied().unwrap_or(100);
-            if view.rate != Some(pace) {
-                view.rate = Some(pace);
+            if view.pace != Some(pace) {
+                view.pace = Some(pace);
                 orders.push((*task, view.run, pace));
             }
         }
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -123,7 +123,8 @@
             let index = u16::try_from(index).unwrap_or(u16::MAX);
             let (occurrence, step_at) = (step_key.occurrence, step_key.step);
             let task = TaskKey { job: step_key.job, occurrence, step: step_at, index };
-            let Some(run) = self.next_run(now, job, step, task, runner.key, trust) else {
+            let Some(run) = self.next_run_unless_suspect(now, job, step, task, runner.key, trust)
+            else {
                 continue;
             };
             if !chosen.free.covers(info.reserved)
@@ -165,7 +166,7 @@
 
     /// Returns the number of a task's next run if it may start on a runner beside other
     /// tasks.
-    pub(super) fn next_run(
+    pub(super) fn next_run_unless_suspect(
         &self,
         now: Now,
         job: &Job,
@@ -198,8 +199,8 @@
         if !step.long_running {
             // A task is not retried where it failed. Its last attempt needs a fully
             // trusted runner, since one more failure would end the whole job.
-            let last_try = state.failures + 1 >= job.attempts;
-            if state.failed_on.contains(&incarnation) || (last_try && trust != Trust::Full) {
+            let last_attempt = state.failures + 1 >= job.attempts;
+            if state.failed_on.contains(&incarnation) || (last_attempt && trust != Trust::Full) {
                 return None;
             }
         }
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -191,7 +191,7 @@
             ("moving", "below", self.moving.below, 0.0, 1.0),
             ("moving", "pressure", self.moving.pressure, 0.0, 10.0),
             ("moving", "runs-max", runs_max, 0.0, 1e3),
-            ("copies", "lags-by", f64::from(self.copies.lags_by), 1.0, 100.0),
+            ("copies", "lags-by", f64::from(self.copies.straggler_factor), 1.0, 100.0),
             ("copies", "one-in", self.copies.one_in as f64, 1.0, 1e6),
             ("distrust", "bad-ends-max", f64::from(self.distrust.failures_max), 1.0, 1e3),
             ("suspects", "one-in", self.suspects.one_in as f64, 1.0, 1e6),
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -128,7 +128,7 @@
     /// The run must stop; the order is repeated with each heartbeat until the run is gone.
     pub(super) stopping: bool,
     /// Pace of the run in percent of full speed; `None` if this leader does not know it.
-    pub(super) rate: Option<u8>,
+    pub(super) pace: Option<u8>,
 }
 
 impl RunView {
@@ -143,7 +143,7 @@
     }
 
     pub(super) fn is_stalled(&self, now: Moment, after: Millis) -> bool {
-        self.rate == Some(100)
+        self.pace == Some(100)
             && self.percent < 100
             && now.since(self.progressed_at) > after.to_duration()
     }
@@ -160,7 +160,7 @@
     pub(super) capacity: Resources,
     pub(super) state: RunnerState,
     /// The machine of the runner will go down for upkeep.
-    pub(super) upkeep_pending: bool,
+    pub(super) maintenance_pending: bool,
     pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
     pub(super) last_report_at: Moment,
@@ -200,7 +200,7 @@
             labels: report.labels.clone(),
             capacity: report.capacity,
             state: report.state,
-            upkeep_pending: false,
+            maintenance_pending: false,
             terminates_at: None,
             sequence: 0,
             last_report_at: now,
@@ -284,7 +284,7 @@
 
     /// Whether the runner can be given new tasks at all.
     pub(super) fn takes_tasks(&self) -> bool {
-        self.state == RunnerState::Ready && !self.upkeep_pending
+        self.state == RunnerState::Ready && !self.maintenance_pending
     }
 
     /// Whether the runner reported recently, so that its next report is expected soon.
@@ -325,6 +325,6 @@
         progressed_at,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
         // A new leader does not know which pace the former one ordered.
-        rate: same.as_ref().map_or(reported_before.then_some(100), |view| view.rate),
+        pace: same.as_ref().map_or(reported_before.then_some(100), |view| view.pace),
     }
 }
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -38,31 +38,31 @@
     pub mode: Switch,
     /// How long a task that has lost several runners waits to learn whether they crashed.
     #[serde(rename = "news-ms")]
-    pub news: Millis,
+    pub fate_wait: Millis,
     /// One runner in this many may try a suspect at a time; two always may.
     pub one_in: usize,
     /// How long a suspect waits for an empty runner. Then a runner without long-running tasks
     /// is enough.
     #[serde(rename = "empty-ms")]
-    pub empty: Millis,
+    pub empty_runner_wait: Millis,
     /// How long a suspect waits for a runner without long-running tasks. Then any runner is
     /// enough.
     #[serde(rename = "not-lasting-ms")]
-    pub not_lasting: Millis,
+    pub no_long_running_wait: Millis,
     /// How long a task that would be given up after its next crash waits for an empty runner.
     #[serde(rename = "last-try-ms")]
-    pub last_try: Millis,
+    pub last_trial_wait: Millis,
 }
 
 impl Default for SuspectsPolicy {
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            news: Millis(10_000),
+            fate_wait: Millis(10_000),
             one_in: 8,
-            empty: Millis(300),
-            not_lasting: Millis(900),
-            last_try: Millis(5_000),
+            empty_runner_wait: Millis(300),
+            no_long_running_wait: Millis(900),
+            last_trial_wait: Millis(5_000),
         }
     }
 }
@@ -128,7 +128,7 @@
 
     /// Whether the fate of a lost runner is unknown and may still become known.
     fn may_become_known(&self, now: Now, loss: &Loss) -> bool {
-        let wait = u64::from(self.cfg.policy.suspects.news.0);
+        let wait = u64::from(self.cfg.policy.suspects.fate_wait.0);
         // The wall clock may have been set back since.
         let age = now.unix_ms.checked_sub(loss.at_ms);
         loss.fate == RunnerFate::Unknown && age.is_some_and(|age| age < wait)
@@ -270,7 +270,7 @@
 
     /// Whether the task is given up after one more crash. Such a crash must not be the fault of
     /// a colocated task.
-    fn is_last_try(&self, task: TaskKey) -> bool {
+    fn is_last_trial(&self, task: TaskKey) -> bool {
         self.state.losses().crashes(task).would_reach_limit(1)
     }
 
@@ -287,15 +287,15 @@
             return None;
         }
         let starting = self.starting.values().filter(|start| start.incarnation == runner.key);
-        let held = self
+        let assigned = self
             .state
             .assigned_runs(runner.key)
             .chain(starting.map(|start| (start.task, start.run)));
         let is_tried = |task: TaskKey, run: u32| match runner.view(task, run) {
-            Some(view) => view.age < PROVEN_AFTER && self.is_last_try(task),
+            Some(view) => view.age < PROVEN_AFTER && self.is_last_trial(task),
             None => self.crash_suspicion(now, task) != CrashSuspicion::Clear,
         };
-        held.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
+        assigned.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
     }
 
     /// Chooses a suspect to start on the reporting runner, if one may be tried there.
@@ -348,9 +348,11 @@
         let policy = &self.cfg.policy.suspects;
         let since = self.suspects.since.get(&task).copied().unwrap_or(now.at);
         let waited = now.at.since(since);
-        let must_be_empty = self.is_last_try(task) && waited < policy.last_try.to_duration();
-        let may_be_shared = waited > policy.not_lasting.to_duration()
-            || (waited > policy.empty.to_duration() && runner.long_running_millicores == 0);
+        let must_be_empty =
+            self.is_last_trial(task) && waited < policy.last_trial_wait.to_duration();
+        let may_be_shared = waited > policy.no_long_running_wait.to_duration()
+            || (waited > policy.empty_runner_wait.to_duration()
+                && runner.long_running_millicores == 0);
         let little_to_lose = runner.running.is_empty() || (may_be_shared && !must_be_empty);
         let step_key = StepKey::of(task);
         let info = self.ready.step(step_key.job, step_key.step)?;
@@ -368,7 +370,7 @@
     /// Handles a report of a runner whose runs were given up. Once such reports have come for
     /// the duration of a lease, the losses are no crash. A single report may have been sent
     /// before a crash.
-    pub(super) fn note_return(&mut self, now: Now, key: IncarnationKey) {
+    pub(super) fn note_report_after_loss(&mut self, now: Now, key: IncarnationKey) {
         if !self.state.losses().is_unconfirmed(key) {
             return;
         }
@@ -382,20 +384,25 @@
     }
 
     /// The command that clears an incarnation of its crash is committed.
-    pub(super) fn clear_return(&mut self, key: IncarnationKey) {
+    pub(super) fn clear_report_after_loss(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
-    /// Logs the verdict on tasks whose lost runners were in `were_unknown` and whose fate is
+    /// Logs the verdict on tasks whose lost runners were in `unconfirmed_before` and whose fate is
     /// known now.
-    pub(super) fn log_resolved_losses(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
-        if were_unknown.is_empty() {
+    pub(super) fn log_resolved_losses(
+        &self,
+        now: Now,
+        unconfirmed_before: &BTreeSet<IncarnationKey>,
+    ) {
+        if unconfirmed_before.is_empty() {
             return;
         }
         let losses = self.state.losses();
-        let still = losses.unconfirmed_incarnations();
+        let still_unconfirmed = losses.unconfirmed_incarnations();
         let resolved = |loss: &Loss| {
-            were_unknown.contains(&loss.incarnation) && !still.contains(&loss.incarnation)
+            unconfirmed_before.contains(&loss.incarnation)
+                && !still_unconfirmed.contains(&loss.incarnation)
         };
         for (task, _) in losses.tasks().filter(|(_, own)| own.iter().any(resolved)) {
             self.log_suspicion(now, task);
--- a/crates/coordination/src/jobs/telemetry.rs
+++ b/crates/coordination/src/jobs/telemetry.rs
@@ -44,7 +44,7 @@
     background_share: f64,
     free: u64,
     /// Runners with a serving task that exceeds its bound.
-    over: usize,
+    bound_exceeded: usize,
 }
 
 impl Leader {
@@ -57,10 +57,10 @@
             load.serving += usize::from(!colocation.serving.is_empty());
             load.paced += usize::from(runner.paces.values().any(|pace| *pace < 100));
             load.background_share +=
-                colocation.background.iter().map(|fill| fill.share).sum::<f64>();
+                colocation.background.iter().map(|used| used.share).sum::<f64>();
             load.runs += runner.running.len();
             load.free += runner.free.millicores;
-            load.over += usize::from(runner.bound_exceeded_since.is_some());
+            load.bound_exceeded += usize::from(runner.bound_exceeded_since.is_some());
         }
         log::info!(
             "load runners={} serving={} mixed={} paced={} runs={} filling-runners={:.1} \
@@ -72,7 +72,7 @@
             load.runs,
             load.background_share,
             load.free / 1000,
-            load.over,
+            load.bound_exceeded,
             self.moving_long_running,
             self.ready.len(),
             self.ready.waiting_tasks(&self.state)
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -17,7 +17,7 @@
 /// How long tasks that are not long-running may go on while their machine is drained.
 const DRAIN_TIME_MAX: Duration = Duration::from_millis(4_000);
 /// Delay before a refused upkeep order is retried.
-const UPKEEP_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+const MAINTENANCE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// A machine that is drained before its upkeep.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
             return;
         }
         self.read_machines(now);
-        self.propose_returns();
+        self.propose_maintenance_ends();
         for wave in open {
             self.choose_machines(now, wave);
         }
@@ -82,7 +82,7 @@
     }
 
     /// Proposes the end of upkeep for machines that are up again or have left the platform.
-    fn propose_returns(&mut self) {
+    fn propose_maintenance_ends(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
         for wave in self.state.waves() {
             for machine in wave.in_maintenance() {
@@ -97,7 +97,7 @@
             }
         }
         for (wave, machine) in done {
-            if self.proposed_returns.insert((wave, machine.clone())) {
+            if self.proposed_maintenance_ends.insert((wave, machine.clone())) {
                 self.propose(JobCommand::UpkeepDone { wave, machine }, OnCommit::Nothing);
             }
         }
@@ -171,7 +171,7 @@
             }
         }
         let Some(runner) = self.runners.get_mut(&incarnation) else { return tasks.is_empty() };
-        runner.upkeep_pending = true;
+        runner.maintenance_pending = true;
         for task in stopping {
             if let Some(view) = runner.running.get_mut(&task) {
                 view.stopping = true;
@@ -188,13 +188,13 @@
             return false;
         }
         let Some(most) = step.disruptions_max else { return true };
-        let away = (0..step.count)
+        let disrupted = (0..step.count)
             .map(|index| TaskKey { index: u16::try_from(index).unwrap_or(u16::MAX), ..task })
             .filter(|other| {
                 *other != task && (also_stopping.contains(other) || !self.is_working(*other))
             })
             .count();
-        away < most as usize
+        disrupted < most as usize
     }
 
     fn is_working(&self, task: TaskKey) -> bool {
@@ -229,7 +229,7 @@
             self.propose(JobCommand::UpkeepBegun { wave, machine, runner }, OnCommit::Nothing);
         } else if let Some(draining) = self.waves.draining.get_mut(&machine) {
             draining.ordered = None;
-            draining.not_before = now.at + UPKEEP_RETRY_DELAY;
+            draining.not_before = now.at + MAINTENANCE_RETRY_DELAY;
         }
     }
 
--- a/crates/coordination/tests/colocation.rs
+++ b/crates/coordination/tests/colocation.rs
@@ -40,7 +40,7 @@
 }
 
 fn weight(background: &str, mean: f32) -> PairWeight {
-    PairWeight { serving: "front".into(), filling: background.into(), mean, variance: 0.1 }
+    PairWeight { serving: "front".into(), background: background.into(), mean, variance: 0.1 }
 }
 
 /// A leader with one runner and the pair weights that an earlier leader has learnt.
--- a/crates/state/src/jobs/command.rs
+++ b/crates/state/src/jobs/command.rs
@@ -80,7 +80,8 @@
     /// Image of the serving tasks.
     pub serving: Box<str>,
     /// Image of the background tasks.
-    pub filling: Box<str>,
+    #[serde(rename = "filling")]
+    pub background: Box<str>,
     /// Margin that a serving task would lose if background tasks filled its runner.
     pub mean: f32,
     /// Variance of the estimate of `mean`.
