--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -17,7 +17,7 @@
 pub(super) const ACCOUNT_INTERVAL: Duration = Duration::from_millis(250);
 /// A run that takes this many times its estimate is a straggler.
 const STRAGGLER_FACTOR: u32 = 2;
-/// Runners with free capacity that are checked for one job. More of them would rarely
+/// Most runners with free capacity that are checked for one job. Checking more would rarely
 /// change the cause that is found.
 const RUNNERS_SCANNED_MAX: usize = 32;
 
@@ -45,7 +45,7 @@
     /// A task runs again because it failed, was moved, or lost its runner.
     #[display("again")]
     Again,
-    /// A task takes much longer than estimated.
+    /// A run of a task is a straggler.
     #[display("lag")]
     Straggler,
 }
--- a/crates/coordination/src/jobs/capacity.rs
+++ b/crates/coordination/src/jobs/capacity.rs
@@ -65,13 +65,13 @@
 struct PoolCapacity {
     total: u64,
     free: u64,
-    /// CPU held by long-running tasks.
+    /// CPU reserved for long-running tasks.
     long_running: u64,
 }
 
 impl Leader {
-    /// Computes the free capacity of a runner: its capacity less the reservations of all
-    /// runs that may be running there. Runs that the runner reports as ended count as
+    /// Computes the free capacity of a runner: its capacity minus the resources reserved for
+    /// all runs that may be running there. Runs that the runner reports as ended count as
     /// free, whether or not their ends are committed.
     pub(super) fn update_free_capacity(
         &mut self,
--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -37,9 +37,9 @@
 /// Age of a run from which its CPU sample, which covers the last half second, contains
 /// only its own use.
 const MEASURED_AFTER: Duration = Duration::from_millis(800);
-/// Added to weights before they are compared: weights below it are all harmless.
+/// Added to weights before they are compared, because all weights below it are harmless.
 const WEIGHT_FLOOR: f64 = 1.0;
-/// Margin assumed for a serving task without samples: that of a server at half load.
+/// Margin assumed for a serving task without samples: the margin of a server at half load.
 const DEFAULT_MARGIN: f64 = 3.0;
 
 /// A serving image on a runner, with the smallest own margin of its tasks.
@@ -64,7 +64,7 @@
     pub(super) background_at_full_pace: Vec<BackgroundShare>,
     /// Pool of the runner.
     pub(super) pool: Box<str>,
-    /// Whether a serving task has been over its bound for too long.
+    /// Whether a serving task has exceeded its bound for too long.
     pub(super) bound_exceeded: bool,
     capacity: f64,
     /// CPU that opportunistic tasks could use, in millicores.
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Returns how much less an image interferes with the serving tasks here than with
-    /// those elsewhere, as a factor.
+    /// Returns the factor by which an image interferes less with the serving tasks on this
+    /// runner than with serving tasks on average.
     pub(super) fn advantage(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let whole = [BackgroundShare { image, share: 1.0 }];
         let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
--- a/crates/coordination/src/jobs/compatibility.rs
+++ b/crates/coordination/src/jobs/compatibility.rs
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PatiencePolicy {
-    /// Whether such a task is started.
+    /// Whether a waiting job's first task is started in this way.
     pub mode: Switch,
-    /// How long the job waits before, in milliseconds.
+    /// How long the job waits before this start, in milliseconds.
     #[serde(rename = "after-ms")]
     pub after: Millis,
 }
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -28,12 +28,12 @@
     /// than 1.5 times its estimate.
     #[serde(rename = "lags-by")]
     pub straggler_factor: u32,
-    /// Shortest time that a copy must be expected to save, in milliseconds; ordering it
-    /// takes a third of that.
+    /// Shortest time that a copy must be expected to save, in milliseconds; ordering a
+    /// copy takes a third of this time.
     #[serde(rename = "gain-ms")]
     pub gain: Millis,
-    /// Time without progress, in milliseconds, after which a run counts as stalled; two
-    /// reports arrive in that time.
+    /// Time without progress, in milliseconds, after which a run counts as stalled for
+    /// copies; two reports arrive in that time.
     #[serde(rename = "unmoved-ms")]
     pub stalled_after: Millis,
     /// One in this many running tasks whose step allows copies may have a copy.
@@ -57,7 +57,7 @@
 }
 
 impl Leader {
-    /// Finds the stragglers, those with the most time left first.
+    /// Finds the stragglers and sorts them by the time left, longest first.
     pub(super) fn find_stragglers(&mut self, now: Now) {
         let policy = self.cfg.policy.copies;
         if policy.mode == Switch::Off {
--- a/crates/coordination/src/jobs/external.rs
+++ b/crates/coordination/src/jobs/external.rs
@@ -1,6 +1,6 @@
 //! Calls of the leader to services outside the cell, and their replies: the placement
 //! policy, which says which runners may run a step, and the platform, which lists machines
-//! and takes them down for upkeep.
+//! and takes them down for maintenance.
 
 use serde::{Deserialize, Serialize};
 use yuccalink_state::jobs::JobId;
@@ -28,13 +28,13 @@
         /// Page token from the previous reply, `None` for the first page.
         page: Option<Box<str>>,
     },
-    /// Take a machine down for upkeep. All runs on the machine end at once.
+    /// Take a machine down for maintenance. All runs on the machine end at once.
     Upkeep {
         /// Name of the machine.
         machine: Box<str>,
-        /// Number of the upkeep wave.
+        /// Number of the maintenance wave.
         wave: u64,
-        /// Name of the process that orders the upkeep.
+        /// Name of the process that orders the maintenance.
         holder: Box<str>,
         /// Fencing token, which rises with each leader.
         token: u64,
@@ -46,7 +46,7 @@
 pub enum MachineState {
     /// The machine is up.
     Up,
-    /// The machine moves to another pool, or is down for upkeep.
+    /// The machine moves to another pool, or is down for maintenance.
     Away,
     /// The machine is off.
     Down,
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -27,9 +27,9 @@
 const REPORT_INTERVAL_FULL: Duration = Duration::from_millis(500);
 /// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
 const REPORT_INTERVAL_TRIAL: Duration = Duration::from_millis(150);
-/// Margin before the announced end of a draining runner, in which no run should end. The
-/// runner leaves a little after the time it announced, and runs that end with it lose their
-/// work.
+/// Time before the announced end of a draining runner in which no run should end. The
+/// runner leaves a little after the time that it announced, and runs that end with it lose
+/// their work.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long-running tasks leave a draining runner.
@@ -96,7 +96,8 @@
         self.propose(JobCommand::Meet(incarnation), OnCommit::Met { token, report });
     }
 
-    /// A new runner incarnation is committed: ends the runs of the incarnations that it replaces.
+    /// Handles the commit of a new runner incarnation: ends the runs of the incarnations that it
+    /// replaces.
     pub(super) fn incarnation_committed(
         &mut self,
         now: Now,
@@ -364,7 +365,7 @@
         }
     }
 
-    /// One of a heartbeat's commands is committed.
+    /// Handles the commit of one of a heartbeat's commands.
     pub(super) fn heartbeat_committed(&mut self, now: Now, heartbeat: u64) {
         let Some(pending) = self.heartbeats.get_mut(&heartbeat) else { return };
         pending.commands -= 1;
@@ -475,7 +476,7 @@
         stop.map(|(task, view)| (*task, view.run)).collect()
     }
 
-    /// A runner has left: all of its runs have ended, and it sends no more reports.
+    /// Handles the leave of a runner: all of its runs have ended, and it sends no more reports.
     pub(super) fn leave(
         &mut self,
         now: Now,
--- a/crates/coordination/src/jobs/leader.rs
+++ b/crates/coordination/src/jobs/leader.rs
@@ -121,7 +121,7 @@
     pub(super) moving_long_running: u32,
     /// Pools with at least half of their CPU unreserved, as of the last ranking.
     pub(super) idle_pools: BTreeSet<Box<str>>,
-    /// Ends of upkeep, by wave and machine, that are proposed but not committed.
+    /// Ends of maintenance, by wave and machine, that are proposed but not committed.
     pub(super) proposed_maintenance_ends: BTreeSet<(u64, Box<str>)>,
     /// Name under which this process calls the platform.
     pub(super) node_name: Box<str>,
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -33,7 +33,7 @@
         ends: &mut Vec<RunEnd>,
     ) {
         let runner = self.runners.get(&incarnation);
-        // Runs that end because their runner drains or goes down for upkeep are no crash.
+        // Runs that end because their runner drains or goes down for maintenance have not crashed.
         let leaves = runner.is_some_and(|runner| !runner.takes_tasks());
         for (task, run) in self.state.assigned_runs(incarnation) {
             if self.ending.contains(&(task, run)) {
--- a/crates/coordination/src/jobs/margin_forecast.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -52,7 +52,7 @@
 const VARIANCE_MAX: f64 = 1.5;
 /// Mean age of a reported tail latency, which covers the last half second.
 const SAMPLE_AGE: Duration = Duration::from_millis(250);
-/// Expected margins are clamped to this range.
+/// Range to which expected margins are clamped.
 const MARGIN_MIN: f64 = 0.8;
 const MARGIN_MAX: f64 = 6.0;
 /// Interval at which a forecast is evaluated to find its minimum.
@@ -74,8 +74,8 @@
 const SQUARED_ERROR_MAX: f64 = 4.0;
 /// Errors counted for a period before it can be chosen.
 const ERRORS_MIN: u32 = 100;
-/// A period replaces the current one if its mean error is below this share of the current
-/// one's.
+/// A period replaces the current period if its mean error is below this share of the
+/// current period's mean error.
 const REPLACEMENT_ERROR_RATIO: f64 = 0.8;
 
 /// Model of a job's own margin as a function of time: a mean and a wave.
--- a/crates/coordination/src/jobs/messages.rs
+++ b/crates/coordination/src/jobs/messages.rs
@@ -23,7 +23,7 @@
 pub enum CellRequest {
     /// Add a job.
     Submit {
-        /// Its queue.
+        /// Queue of the job.
         at: QueueAddress,
         /// Job number.
         id: JobId,
@@ -32,21 +32,21 @@
     },
     /// Read the state of a job.
     State {
-        /// Its queue.
+        /// Queue of the job.
         at: QueueAddress,
-        /// Its number.
+        /// Job number.
         id: JobId,
     },
     /// Cancel a job.
     Cancel {
-        /// Its queue.
+        /// Queue of the job.
         at: QueueAddress,
-        /// Its number.
+        /// Job number.
         id: JobId,
     },
     /// Count the jobs of a queue that have not begun.
     Pending {
-        /// The queue.
+        /// Queue whose jobs are counted.
         at: QueueAddress,
     },
     /// A request that no interface knows. The response says whether its queue exists.
@@ -68,9 +68,9 @@
     Change(Arc<ChangeSet>),
     /// Read the text of the change set in force.
     Document,
-    /// Start an upkeep wave, which takes machines down for maintenance.
+    /// Start a maintenance wave, which takes machines down a few at a time.
     WaveStart(Wave),
-    /// Read the progress of an upkeep wave.
+    /// Read the progress of a maintenance wave.
     WaveState(u64),
 }
 
@@ -198,9 +198,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RunnerOrders {
-    /// Lease on all of its runs, in milliseconds from the sending of the report; 0 for none.
+    /// Lease on all runs of the runner, in milliseconds from the sending of the report; 0 for none.
     pub lease_ms: u64,
-    /// Fencing token. Orders with a lower one come from an earlier leader.
+    /// Fencing token. Orders with a lower token come from an earlier leader.
     pub token: u64,
     /// Run ends up to this number are committed and need not be reported again.
     #[serde(rename = "noted")]
@@ -246,7 +246,7 @@
     Unknown,
     /// Orders for a runner.
     Orders(Box<RunnerOrders>),
-    /// Progress of an upkeep wave.
+    /// Progress of a maintenance wave.
     Wave {
         /// Whether all machines of the wave are up again.
         done: bool,
--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -62,13 +62,13 @@
     }
 }
 
-/// Stops all background tasks beside a serving task that is over its bound.
+/// Stops all background tasks beside a serving task that exceeds its bound for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StandstillPolicy {
     /// Whether background tasks are stopped.
     pub mode: Switch,
-    /// Time for which a serving task is over its bound, in milliseconds, before
+    /// Time for which a serving task exceeds its bound, in milliseconds, before
     /// background tasks are stopped whatever the learnt weights say, so that a wrong
     /// weight costs users no more than a few seconds. Samples are half a second old, and
     /// an order takes as long to have an effect.
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Returns the tasks to move: those that cost much margin and have little pace left.
+    /// Returns the tasks to move, which cost much margin and have little pace left.
     /// The only run of a job stays, slowed, while the pool is idle: otherwise the job
     /// might have nothing running while it waits for a compatible runner that does not
     /// exist.
@@ -334,7 +334,7 @@
 }
 
 impl Runner {
-    /// Returns whether a serving task has been over its bound for too long.
+    /// Returns whether a serving task has exceeded its bound for too long.
     fn exceeds_bound(
         &mut self,
         now: Moment,
--- a/crates/coordination/src/jobs/place.rs
+++ b/crates/coordination/src/jobs/place.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Returns the number of a task's next run if it may start on a runner beside other
-    /// tasks.
+    /// Returns the number of a task's next run if the task may run on a runner and is not a
+    /// suspect, so that it may start beside other tasks.
     pub(super) fn next_run_unless_suspect(
         &self,
         now: Now,
@@ -179,7 +179,7 @@
         (self.crash_suspicion(now, task) == CrashSuspicion::Clear).then_some(run)
     }
 
-    /// Returns the number of a task's next run if it may run on a runner at all.
+    /// Returns the number of a task's next run if the task may run on a runner at all.
     pub(super) fn next_run_number(
         &self,
         job: &Job,
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -97,7 +97,7 @@
     pub pacing: PacingPolicy,
     /// Moves background tasks with checkpoints to other runners.
     pub moving: MovingPolicy,
-    /// Stops all background tasks beside a serving task that stays over its bound.
+    /// Stops all background tasks beside a serving task that exceeds its bound for too long.
     pub standstill: StandstillPolicy,
     /// Starts a job even if no compatible runner was found for some time.
     pub patience: PatiencePolicy,
--- a/crates/coordination/src/jobs/ready.rs
+++ b/crates/coordination/src/jobs/ready.rs
@@ -308,7 +308,7 @@
 
     /// Records jobs that can no longer end on time as late, and boosts jobs of sizes that
     /// end late too often. `available_cpu` is the CPU of each pool, in millicores, that
-    /// no long-running task holds.
+    /// is not reserved for long-running tasks.
     pub(super) fn boost_by_size(
         &mut self,
         jobs: &CellState,
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -11,9 +11,10 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
-/// How much too slow a runner's monotonic clock may be, in percent; the platform's bound.
+/// Largest rate, in percent, at which a runner's monotonic clock may lose time; guaranteed by
+/// the platform.
 const RUNNER_CLOCK_SLOW_PERCENT: u32 = 2;
-/// How much too slow this VM's clock may be against true time, in percent; see
+/// Largest rate, in percent, at which this VM's clock may lose time against true time; see
 /// [`crate::moment::DRIFT_PPM`].
 const OWN_CLOCK_SLOW_PERCENT: u32 = 1;
 /// Added to a lease before it counts as expired, because the runner may read its clock this
@@ -25,14 +26,14 @@
 /// A runner whose last report is more recent than this is expected to report again soon.
 const RECENT_REPORT_AGE_MAX: Duration = Duration::from_millis(1_500);
 
-/// Runners whose runs fail or stall get fewer tasks.
+/// Starts fewer tasks on runners whose runs fail or stall.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DistrustPolicy {
-    /// Whether such runners get fewer tasks.
+    /// Whether runners with failed or stalled runs get fewer tasks.
     pub mode: Switch,
-    /// Consecutive failed or stalled runs after which a runner is quarantined. A single one is
-    /// common: two to five tasks in a hundred fail by their own fault.
+    /// Consecutive failed or stalled runs after which a runner is quarantined. A single failed
+    /// run is common: two to five tasks in a hundred fail by their own fault.
     #[serde(rename = "bad-ends-max")]
     pub failures_max: u32,
     /// How long a quarantined runner gets no new tasks.
@@ -159,7 +160,7 @@
     pub(super) labels: Vec<Box<str>>,
     pub(super) capacity: Resources,
     pub(super) state: RunnerState,
-    /// The machine of the runner will go down for upkeep.
+    /// The machine of the runner will go down for maintenance.
     pub(super) maintenance_pending: bool,
     pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
--- a/crates/coordination/src/jobs/sizes.rs
+++ b/crates/coordination/src/jobs/sizes.rs
@@ -30,12 +30,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SizesPolicy {
-    /// Whether such jobs are boosted.
+    /// Whether jobs of a size that falls behind are boosted.
     pub mode: Switch,
     /// A size is behind if its on-time share is below this part, from 0 to 1, of the
     /// on-time share of its queue.
     pub behind: f64,
-    /// Share, from 0 to 1, of the CPU not held by long-running tasks that boosted jobs
+    /// Share, from 0 to 1, of the CPU not reserved for long-running tasks that boosted jobs
     /// may take at once. One job of each size may always be boosted.
     pub room: f64,
 }
@@ -57,7 +57,7 @@
     Largest,
 }
 
-/// Decayed counts of jobs that ended, and of those that ended on time.
+/// Decayed counts of all ended jobs and of the jobs that ended on time.
 #[derive(Clone, Copy, Debug, Default)]
 struct OnTimeRecord {
     ended: f64,
@@ -138,9 +138,9 @@
     pub(super) id: JobId,
     pub(super) queue: &'a str,
     pub(super) size: SizeClass,
-    /// CPU that the tasks of its next step take together.
+    /// CPU that the tasks of the job's next step take together.
     pub(super) millicores: u64,
-    /// CPU of its pool that no long-running task holds.
+    /// CPU of the job's pool that is not reserved for long-running tasks.
     pub(super) available_millicores: u64,
 }
 
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -39,14 +39,14 @@
     /// How long a task that has lost several runners waits to learn whether they crashed.
     #[serde(rename = "news-ms")]
     pub fate_wait: Millis,
-    /// One runner in this many may try a suspect at a time; two always may.
+    /// One runner in this many may try a suspect at a time, but always at least two runners.
     pub one_in: usize,
-    /// How long a suspect waits for an empty runner. Then a runner without long-running tasks
-    /// is enough.
+    /// How long a suspect waits for an empty runner. After that, it may start on a runner
+    /// without long-running tasks.
     #[serde(rename = "empty-ms")]
     pub empty_runner_wait: Millis,
-    /// How long a suspect waits for a runner without long-running tasks. Then any runner is
-    /// enough.
+    /// How long a suspect waits for a runner without long-running tasks. After that, it may
+    /// start on any runner.
     #[serde(rename = "not-lasting-ms")]
     pub no_long_running_wait: Millis,
     /// How long a task that would be given up after its next crash waits for an empty runner.
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Whether the task is given up after one more crash. Such a crash must not be the fault of
-    /// a colocated task.
+    /// Whether a task is given up after one more crash. In this trial, the crash must not be the
+    /// fault of a colocated task.
     fn is_last_trial(&self, task: TaskKey) -> bool {
         self.state.losses().crashes(task).would_reach_limit(1)
     }
@@ -281,7 +281,7 @@
     }
 
     /// The suspect in a trial on a runner: it was ordered and the runner has not listed it yet,
-    /// or it is on its last attempt and not listed for long enough to be cleared.
+    /// or it is in its last trial and not listed for long enough to be cleared.
     pub(super) fn trial_on(&self, now: Now, runner: &Runner) -> Option<TaskKey> {
         if self.state.losses().is_empty() {
             return None;
@@ -367,9 +367,9 @@
         Some(RunStart { task, run, incarnation: runner.key })
     }
 
-    /// Handles a report of a runner whose runs were given up. Once such reports have come for
-    /// the duration of a lease, the losses are no crash. A single report may have been sent
-    /// before a crash.
+    /// Handles a report of a runner whose runs were given up. Once the runner has reported for
+    /// the duration of a lease, its losses do not count as crashes. A single report may have
+    /// been sent before a crash.
     pub(super) fn note_report_after_loss(&mut self, now: Now, key: IncarnationKey) {
         if !self.state.losses().is_unconfirmed(key) {
             return;
@@ -383,13 +383,14 @@
         }
     }
 
-    /// The command that clears an incarnation of its crash is committed.
+    /// Handles the commit of the command which removes the losses of an incarnation that reports
+    /// again.
     pub(super) fn clear_report_after_loss(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
-    /// Logs the verdict on tasks whose lost runners were in `unconfirmed_before` and whose fate is
-    /// known now.
+    /// Logs the verdict on tasks that lost runners in `unconfirmed_before`, if the fate of these
+    /// runners is known now.
     pub(super) fn log_resolved_losses(
         &self,
         now: Now,
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -1,5 +1,5 @@
-//! Upkeep waves: machines go down for upkeep a few at a time. Each is drained first, so that
-//! no long-running step loses more tasks than its document allows.
+//! Maintenance waves: machines go down for maintenance a few at a time. Each machine is
+//! drained first, so that no long-running step loses more tasks than its document allows.
 
 use super::external::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
 use super::leader::{Leader, Now, OnCommit, RequestToken};
@@ -16,10 +16,10 @@
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long tasks that are not long-running may go on while their machine is drained.
 const DRAIN_TIME_MAX: Duration = Duration::from_millis(4_000);
-/// Delay before a refused upkeep order is retried.
+/// Delay before a refused maintenance order is retried.
 const MAINTENANCE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// A machine that is drained before its upkeep.
+/// A machine that is drained before its maintenance.
 #[derive(Debug)]
 struct DrainingMachine {
     wave: u64,
@@ -81,7 +81,7 @@
         self.waves.pending_read = Some((call, now.at));
     }
 
-    /// Proposes the end of upkeep for machines that are up again or have left the platform.
+    /// Proposes the end of maintenance for machines that are up again or have left the platform.
     fn propose_maintenance_ends(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
         for wave in self.state.waves() {
@@ -129,8 +129,9 @@
         }
     }
 
-    /// Stops long-running tasks on the machines to drain. Orders the upkeep of a machine once
-    /// it has no long-running task left, and either no other run or `DRAIN_TIME_MAX` has passed.
+    /// Stops long-running tasks on the machines to drain. Orders the maintenance of a machine
+    /// once it has no long-running task left, and either it has no other run left or
+    /// `DRAIN_TIME_MAX` has passed.
     fn drain_machines(&mut self, now: Now) {
         let machines: Vec<Box<str>> = self.waves.draining.keys().cloned().collect();
         for machine in machines {
@@ -181,7 +182,7 @@
     }
 
     /// Whether a long-running task may be stopped now, because fewer other tasks of its step
-    /// are away than its document allows.
+    /// are interrupted than its document allows.
     pub(super) fn may_disrupt(&self, task: TaskKey, also_stopping: &BTreeSet<TaskKey>) -> bool {
         let Some(step) = self.state.step_spec(task) else { return false };
         if !step.long_running {
--- a/crates/state/src/jobs/change.rs
+++ b/crates/state/src/jobs/change.rs
@@ -12,7 +12,7 @@
     pub version: u64,
     /// Queues that callers submit jobs to.
     pub queues: Vec<Queue>,
-    /// Groups of runners.
+    /// Pools of runners.
     pub pools: Vec<Pool>,
     /// Bounds on callers' requests.
     pub limits: Limits,
@@ -39,7 +39,8 @@
     pub objective_ms: u64,
     /// Multiple of its own work that a job may take and still be on time.
     pub slack: f64,
-    /// 0 is the highest priority; its jobs may take capacity from those of other queues.
+    /// Priority of the queue's jobs; 0 is the highest. Jobs of a higher priority may take capacity
+    /// from jobs of other queues.
     pub priority: u32,
     /// Number of failed runs of one task at which its job fails.
     pub attempts: u32,
--- a/crates/state/src/jobs/command.rs
+++ b/crates/state/src/jobs/command.rs
@@ -82,7 +82,7 @@
     /// Image of the background tasks.
     #[serde(rename = "filling")]
     pub background: Box<str>,
-    /// Margin that a serving task would lose if background tasks filled its runner.
+    /// Margin that a serving task would lose if background tasks used its whole runner.
     pub mean: f32,
     /// Variance of the estimate of `mean`.
     pub variance: f32,
--- a/crates/state/src/jobs/spec.rs
+++ b/crates/state/src/jobs/spec.rs
@@ -69,7 +69,7 @@
     /// Bound on the tasks' own tail latency, in milliseconds; 0 for none.
     #[serde(rename = "target-ms")]
     pub tail_bound_ms: u64,
-    /// The tasks use processor time that others leave idle; none is reserved for them.
+    /// The tasks use CPU that other tasks leave idle; no CPU is reserved for them.
     pub opportunistic: bool,
     /// Maximum number of tasks that the scheduler may interrupt at once; no limit if unset.
     pub disruptions_max: Option<u32>,
@@ -134,8 +134,7 @@
 
 impl StepSpec {
     /// Resources that are reserved for one task. For opportunistic tasks these are
-    /// only memory and accelerators, since they use processor time that others leave
-    /// idle.
+    /// only memory and accelerators, since they use CPU that other tasks leave idle.
     ///
     /// ```
     /// use yuccalink_state::{Resources, jobs::StepSpec};
