--- a/crates/coordination/src/jobs/account.rs
+++ b/crates/coordination/src/jobs/account.rs
@@ -26,7 +26,7 @@
 pub enum DelayCause {
     /// No runner has free capacity for the next task.
     #[display("room")]
-    Capacity,
+    Room,
     /// Runners have free capacity, but their serving tasks would exceed their bounds.
     #[display("margin")]
     Margin,
@@ -47,18 +47,18 @@
     Again,
     /// A run of a task is a straggler.
     #[display("lag")]
-    Straggler,
+    Lag,
 }
 
 const CAUSES: [DelayCause; 8] = [
-    DelayCause::Capacity,
+    DelayCause::Room,
     DelayCause::Margin,
     DelayCause::Trust,
     DelayCause::Suspect,
     DelayCause::Order,
     DelayCause::Pace,
     DelayCause::Again,
-    DelayCause::Straggler,
+    DelayCause::Lag,
 ];
 
 /// Time that each cause has held one job up so far.
@@ -207,7 +207,7 @@
             return DelayCause::Order;
         };
         let Some(job) = self.state.job(step_key.job) else { return DelayCause::Order };
-        let mut cause = DelayCause::Capacity;
+        let mut cause = DelayCause::Room;
         for runner in free_runners.with_capacity_for(self.pool_of(job), step.reserved) {
             let Some((job, spec)) = self.may_host(now, runner, step_key) else { continue };
             let trust = self.trust(now, runner);
@@ -278,8 +278,7 @@
         } else if last_run > 1 {
             Some(DelayCause::Again)
         } else {
-            (now.at.since(view.first_seen) > estimate * STRAGGLER_FACTOR)
-                .then_some(DelayCause::Straggler)
+            (now.at.since(view.first_seen) > estimate * STRAGGLER_FACTOR).then_some(DelayCause::Lag)
         }
     }
 }
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -110,7 +110,7 @@
         log::info!("runner={} {key} registered: born={}", report.runner, report.started_ms);
         let mut ends = Vec::new();
         for ended in self.incarnations.ended() {
-            self.collect_lost(now, ended, LossReason::NextIncarnation, &mut ends);
+            self.collect_lost(now, ended, LossReason::NextLife, &mut ends);
             self.runners.remove(&ended);
         }
         // Interrupted tasks come before tasks that never ran, but they wait only once the ends
--- a/crates/coordination/src/jobs/lost.rs
+++ b/crates/coordination/src/jobs/lost.rs
@@ -14,7 +14,7 @@
 pub(super) enum LossReason {
     /// A later incarnation of the runner, or another runner at its address, has reported.
     #[display("next-life")]
-    NextIncarnation,
+    NextLife,
     /// The lease of the runner has certainly expired.
     #[display("lease")]
     Lease,
@@ -45,7 +45,7 @@
             let checkpoint = view.map_or_else(Box::default, |view| view.checkpoint.clone());
             let outcome = match (why, evidence.filter(|_| !leaves)) {
                 (LossReason::Left, _) | (_, None) => RunOutcome::Gone,
-                (LossReason::NextIncarnation, Some(evidence)) => RunOutcome::Crashed(evidence),
+                (LossReason::NextLife, Some(evidence)) => RunOutcome::Crashed(evidence),
                 (LossReason::Lease, Some(evidence)) => RunOutcome::Silent(evidence),
             };
             ends.push(RunEnd { task, run, incarnation, outcome, checkpoint });
