--- a/crates/coordination/src/jobs/colocation.rs
+++ b/crates/coordination/src/jobs/colocation.rs
@@ -37,9 +37,9 @@
 /// Age of a run from which its CPU sample, which covers the last half second, contains
 /// only its own use.
 const MEASURED_AFTER: Duration = Duration::from_millis(800);
-/// Added to weights before they are compared: weights below it are all harmless.
+/// Added to weights before they are compared, because all weights below it are harmless.
 const WEIGHT_FLOOR: f64 = 1.0;
-/// Margin assumed for a serving task without samples: that of a server at half load.
+/// Margin assumed for a serving task without samples: the margin of a server at half load.
 const DEFAULT_MARGIN: f64 = 3.0;
 
 /// A serving image on a runner, with the smallest own margin of its tasks.
@@ -59,13 +59,13 @@
     /// Serving images, each once.
     pub(super) serving: Vec<ServingImage>,
     /// Background images, each once, with their current CPU use.
-    pub(super) filling: Vec<BackgroundShare>,
+    pub(super) background: Vec<BackgroundShare>,
     /// Background images, each once, with their CPU use at full pace.
     pub(super) background_at_full_pace: Vec<BackgroundShare>,
     /// Pool of the runner.
     pub(super) pool: Box<str>,
-    /// Whether a serving task has been over its bound for too long.
-    pub(super) over_bound: bool,
+    /// Whether a serving task has exceeded its bound for too long.
+    pub(super) bound_exceeded: bool,
     capacity: f64,
     /// CPU that opportunistic tasks could use, in millicores.
     opportunistic_need: f64,
@@ -87,7 +87,7 @@
         runner: &Runner,
         jobs: &CellState,
         ready: &ReadyQueue,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         policy: SharingPolicy,
     ) -> Self {
         let capacity = (runner.capacity.millicores as f64).max(1.0);
@@ -96,7 +96,7 @@
             let Some(step) = ready.step_of(task) else { continue };
             let view = runner.view(task, run);
             match step.kind {
-                StepKind::Serving => found.add_serving(step, loads, StepKey::of(task), now),
+                StepKind::Serving => found.add_serving(step, forecasts, StepKey::of(task), now),
                 StepKind::Background => found.add_background(step, view),
             }
         }
@@ -106,14 +106,15 @@
     fn add_serving(
         &mut self,
         step: &StepInfo,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         step_key: StepKey,
         now: Moment,
     ) {
         self.other_use += step.need.millicores as f64 * self.policy.serving_use;
         let Some(image) = step.image else { return };
-        let own_margin = loads.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
-        let own_margin_ahead = loads.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin = forecasts.min_margin_until_effect(step_key, now).unwrap_or(DEFAULT_MARGIN);
+        let own_margin_ahead =
+            forecasts.min_margin_for_start(step_key, now).unwrap_or(DEFAULT_MARGIN);
         match self.serving.iter_mut().find(|serving| serving.image == image) {
             Some(serving) => {
                 serving.own_margin = serving.own_margin.min(own_margin);
@@ -125,11 +126,11 @@
 
     fn add_background(&mut self, step: &StepInfo, view: Option<&RunView>) {
         let need = step.need.millicores as f64;
-        let in_use = view.and_then(|view| view.gauge).map(|gauge| gauge as f64);
-        let rate = view.and_then(|view| view.rate).unwrap_or(100);
+        let in_use = view.and_then(|view| view.usage_or_tail).map(|usage| usage as f64);
+        let pace = view.and_then(|view| view.pace).unwrap_or(100);
         if step.opportunistic {
             self.opportunistic_need += need;
-            let measured = view.filter(|view| rate == 100 && view.age >= MEASURED_AFTER);
+            let measured = view.filter(|view| pace == 100 && view.age >= MEASURED_AFTER);
             if let (Some(_), Some(in_use)) = (measured, in_use) {
                 self.measured_need += need;
                 self.measured_use += in_use;
@@ -138,13 +139,13 @@
             self.other_use += need;
         }
         if let Some(image) = step.image {
-            add_share(&mut self.filling, image, in_use.unwrap_or(need) / self.capacity);
+            add_share(&mut self.background, image, in_use.unwrap_or(need) / self.capacity);
             add_share(&mut self.background_at_full_pace, image, need / self.capacity);
         }
     }
 
-    /// Returns how much less an image interferes with the serving tasks here than with
-    /// those elsewhere, as a factor.
+    /// Returns the factor by which an image interferes less with the serving tasks on this
+    /// runner than with serving tasks on average.
     pub(super) fn advantage(&self, image: ImageKey, learnt: &Interference) -> f64 {
         let whole = [BackgroundShare { image, share: 1.0 }];
         let here = self.serving.iter().map(|serving| learnt.margin_loss(serving.image, &whole));
@@ -170,12 +171,12 @@
         &mut self,
         now: Moment,
         step: &StepInfo,
-        loads: &MarginForecasts<StepKey>,
+        forecasts: &MarginForecasts<StepKey>,
         step_key: StepKey,
     ) {
         self.allowed.clear();
         match step.kind {
-            StepKind::Serving => self.add_serving(step, loads, step_key, now),
+            StepKind::Serving => self.add_serving(step, forecasts, step_key, now),
             StepKind::Background => self.add_background(step, None),
         }
     }
@@ -191,7 +192,7 @@
     /// task of a step and all background tasks at full pace.
     pub(super) fn has_margin_for(&mut self, step: &StepInfo, learnt: &Interference) -> bool {
         let Some(image) = step.image.filter(|_| self.policy.mode.is_on()) else { return true };
-        if self.over_bound {
+        if self.bound_exceeded {
             return false;
         }
         let share = step.need.millicores as f64 / self.capacity;
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -7,11 +7,11 @@
 //! time but repeats the work. Therefore only stragglers are copied, only into capacity
 //! that no waiting task needs, and only a limited number at once.
 
+use super::capacity::saturating_sub;
 use super::leader::{Leader, Now};
 use super::place::{Chosen, label_fits};
 use super::policy::{Millis, Switch};
 use super::ready::StepKey;
-use super::room::saturating_sub;
 use super::runner::{RunView, Runner, Trust};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -26,15 +26,16 @@
     /// A run that is expected to take this many times its estimate is a straggler.
     /// Estimates are usually off by half, and a sound run on a busy runner takes more
     /// than 1.5 times its estimate.
-    pub lags_by: u32,
-    /// Shortest time that a copy must be expected to save, in milliseconds; ordering it
-    /// takes a third of that.
+    #[serde(rename = "lags-by")]
+    pub straggler_factor: u32,
+    /// Shortest time that a copy must be expected to save, in milliseconds; ordering a
+    /// copy takes a third of this time.
     #[serde(rename = "gain-ms")]
     pub gain: Millis,
-    /// Time without progress, in milliseconds, after which a run counts as stalled; two
-    /// reports arrive in that time.
+    /// Time without progress, in milliseconds, after which a run counts as stalled for
+    /// copies; two reports arrive in that time.
     #[serde(rename = "unmoved-ms")]
-    pub unmoved: Millis,
+    pub stalled_after: Millis,
     /// One in this many running tasks whose step allows copies may have a copy.
     pub one_in: usize,
     /// Copies allowed at any time: the last tasks of a job are few, and all of them may
@@ -46,9 +47,9 @@
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            lags_by: 2,
+            straggler_factor: 2,
             gain: Millis(400),
-            unmoved: Millis(900),
+            stalled_after: Millis(900),
             one_in: 10,
             at_least: 8,
         }
@@ -56,8 +57,8 @@
 }
 
 impl Leader {
-    /// Finds the stragglers, those with the most time left first.
-    pub(super) fn find_laggards(&mut self, now: Now) {
+    /// Finds the stragglers and sorts them by the time left, longest first.
+    pub(super) fn find_stragglers(&mut self, now: Now) {
         let policy = self.cfg.policy.copies;
         if policy.mode == Switch::Off {
             return;
@@ -85,7 +86,7 @@
         let budget = (running / policy.one_in).max(policy.at_least);
         stragglers.sort_unstable_by(|a, b| b.cmp(a));
         stragglers.truncate(budget.saturating_sub(copies / 2));
-        self.laggards = stragglers.into_iter().map(|(_, task)| task).collect();
+        self.stragglers = stragglers.into_iter().map(|(_, task)| task).collect();
     }
 
     /// Starts copies in the capacity that is left on a runner.
@@ -93,7 +94,7 @@
         if trust != Trust::Full {
             return;
         }
-        for task in &self.laggards {
+        for task in &self.stragglers {
             if chosen.starts.len() >= chosen.starts_max {
                 return;
             }
@@ -146,15 +147,15 @@
         }
         let estimate = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
-        let is_stalled =
-            view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
+        let is_stalled = view.percent < 100
+            && now.at.since(view.progressed_at) > self.stalled_after.to_duration();
         let left = match is_stalled {
-            true => estimate * self.lags_by + gain,
+            true => estimate * self.straggler_factor + gain,
             false => view.time_left(now.at, estimate_ms),
         };
         let elapsed = now.at.since(view.first_seen);
         let is_straggler = elapsed > estimate / 2
-            && elapsed + left > estimate * self.lags_by
+            && elapsed + left > estimate * self.straggler_factor
             && left > estimate + gain;
         is_straggler.then_some(left)
     }
--- a/crates/coordination/src/jobs/heartbeat.rs
+++ b/crates/coordination/src/jobs/heartbeat.rs
@@ -27,9 +27,9 @@
 const REPORT_INTERVAL_FULL: Duration = Duration::from_millis(500);
 /// Interval for a runner that tries a suspect, to learn soon whether it survived the start.
 const REPORT_INTERVAL_TRIAL: Duration = Duration::from_millis(150);
-/// Margin before the announced end of a draining runner, in which no run should end. The
-/// runner leaves a little after the time it announced, and runs that end with it lose their
-/// work.
+/// Time before the announced end of a draining runner in which no run should end. The
+/// runner leaves a little after the time that it announced, and runs that end with it lose
+/// their work.
 const LEAVE_MARGIN: Duration = Duration::from_millis(300);
 
 /// How long-running tasks leave a draining runner.
@@ -96,7 +96,8 @@
         self.propose(JobCommand::Meet(incarnation), OnCommit::Met { token, report });
     }
 
-    /// A new runner incarnation is committed: ends the runs of the incarnations that it replaces.
+    /// Handles the commit of a new runner incarnation: ends the runs of the incarnations that it
+    /// replaces.
     pub(super) fn incarnation_committed(
         &mut self,
         now: Now,
@@ -138,7 +139,7 @@
             log::info!("runner={} state={} was={}", report.runner, report.state, runner.state);
         }
         runner.update(report, now.at);
-        self.note_return(now, key);
+        self.note_report_after_loss(now, key);
         let ends = self.new_ends(key, &report.finished);
         let ended: BTreeSet<(TaskKey, u32)> =
             report.finished.iter().filter_map(|f| f.task.map(|task| (task, f.run))).collect();
@@ -146,7 +147,7 @@
         self.collect_never_started(now, key, &ended, &mut all_ends);
         self.mark_runs_to_stop(now, key);
         let colocation = self.pace(now, key);
-        self.measure_room(key, &ended);
+        self.update_free_capacity(key, &ended);
         let starts = match new_starts {
             NewStarts::Allowed => self.pick(now, key, colocation),
             NewStarts::Deferred => Vec::new(),
@@ -160,8 +161,8 @@
         let mut ends = Vec::new();
         for end in finished {
             let Some(task) = end.task else { continue };
-            let held = self.state.is_assigned(key, task, end.run);
-            if held && !self.ending.contains(&(task, end.run)) {
+            let assigned = self.state.is_assigned(key, task, end.run);
+            if assigned && !self.ending.contains(&(task, end.run)) {
                 let checkpoint = end.checkpoint.clone();
                 ends.push(RunEnd {
                     task,
@@ -211,8 +212,8 @@
     /// Whether the runner would accept an order to start a task. It rejects an order whose
     /// ticket has expired.
     fn may_be_ordered(&self, now: Now, incarnation: IncarnationKey, task: TaskKey) -> bool {
-        let group = StepKey::of(task);
-        !self.needs_ticket(group) || self.advice.ticket(group, incarnation, now.at).is_some()
+        let step_key = StepKey::of(task);
+        !self.needs_ticket(step_key) || self.advice.ticket(step_key, incarnation, now.at).is_some()
     }
 
     /// Whether a task still has to run.
@@ -252,7 +253,7 @@
                     view.run,
                     runner.id,
                     view.percent,
-                    now.at.since(view.moved)
+                    now.at.since(view.progressed_at)
                 );
             } else if ends_too_late {
                 log::info!(
@@ -282,7 +283,7 @@
         if policy.mode == Switch::Off || runner.state == RunnerState::Ready || !leaves_later {
             return tasks_to_keep;
         }
-        let mut moving = self.moving_out;
+        let mut moving = self.moving_long_running;
         for (task, view) in &runner.running {
             let Some(step) = self.ready.step_of(*task).filter(|step| step.long_running) else {
                 continue;
@@ -293,7 +294,7 @@
                 tasks_to_keep.insert(*task);
             }
         }
-        self.moving_out = moving;
+        self.moving_long_running = moving;
         tasks_to_keep
     }
 
@@ -305,21 +306,21 @@
         task: TaskKey,
         step: &StepInfo,
     ) -> u32 {
-        let group = StepKey::of(task);
-        let mut seats = 0;
+        let step_key = StepKey::of(task);
+        let mut slots_left = 0;
         for runner in self.runners.values() {
             let may = runner.key != leaving.key
                 && runner.takes_tasks()
                 && runner.reported_recently(now.at)
                 && runner.free.covers(step.reserved);
-            let Some((_, spec)) = self.may_host(now, runner, group).filter(|_| may) else {
+            let Some((_, spec)) = self.may_host(now, runner, step_key).filter(|_| may) else {
                 continue;
             };
-            let room = runner.free.millicores / step.reserved.millicores.max(1);
-            let room = u32::try_from(room).unwrap_or(u32::MAX);
-            seats += room.min(self.seats(runner, group, spec));
+            let capacity = runner.free.millicores / step.reserved.millicores.max(1);
+            let capacity = u32::try_from(capacity).unwrap_or(u32::MAX);
+            slots_left += capacity.min(self.slots_left(runner, step_key, spec));
         }
-        seats
+        slots_left
     }
 
     fn commit_report(
@@ -364,7 +365,7 @@
         }
     }
 
-    /// One of a heartbeat's commands is committed.
+    /// Handles the commit of one of a heartbeat's commands.
     pub(super) fn heartbeat_committed(&mut self, now: Now, heartbeat: u64) {
         let Some(pending) = self.heartbeats.get_mut(&heartbeat) else { return };
         pending.commands -= 1;
@@ -387,8 +388,8 @@
             let answer = self.empty_orders();
             return self.answer(token, answer);
         };
-        let outgrown = self.outgrown(now, runner);
-        let start = self.start_orders(now, runner, &outgrown);
+        let runs_over_capacity = self.runs_over_capacity(now, runner);
+        let start = self.start_orders(now, runner, &runs_over_capacity);
         for order in &start {
             log::info!(
                 "start task={} run={} runner={} rack={} resumes={} report={}",
@@ -402,18 +403,18 @@
         }
         let stop = self.stop_orders(runner);
         let acked_through = runner.acked_through;
-        let has_room = runner.takes_tasks() && runner.free.millicores > 0;
+        let has_capacity = runner.takes_tasks() && runner.free.millicores > 0;
         let retry =
-            if has_room { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
+            if has_capacity { report_interval } else { REPORT_INTERVAL_FULL.max(report_interval) };
         let retry = retry.min(self.cfg.heartbeat);
         let retry = match self.trial_on(now, runner) {
             Some(_) => retry.min(REPORT_INTERVAL_TRIAL),
             None => retry,
         };
         let Some(runner) = self.runners.get_mut(&key) else { return };
-        runner.withhold(outgrown, now.at);
+        runner.withhold(runs_over_capacity, now.at);
         runner.note_orders(start.iter().map(|order| (order.task, order.run)), now.at);
-        let rates = runner.rate_orders(&self.ready);
+        let rates = runner.pace_orders(&self.ready);
         runner.lease_end = now.at + lease_expiry_bound(self.cfg.lease);
         let orders = RunnerOrders {
             lease_ms: millis(self.cfg.lease),
@@ -440,20 +441,20 @@
         &self,
         now: Now,
         runner: &Runner,
-        outgrown: &BTreeSet<(TaskKey, u32)>,
+        runs_over_capacity: &BTreeSet<(TaskKey, u32)>,
     ) -> Vec<StartOrder> {
         let mut orders = Vec::new();
         for (task, run) in self.state.assigned_runs(runner.key) {
-            if outgrown.contains(&(task, run)) {
+            if runs_over_capacity.contains(&(task, run)) {
                 continue;
             }
             let listed = runner.view(task, run).is_some();
             if listed || self.ending.contains(&(task, run)) || !self.is_wanted(task) {
                 continue;
             }
-            let group = StepKey::of(task);
-            let ticket = self.advice.ticket(group, runner.key, now.at).map(Box::from);
-            if ticket.is_none() && self.needs_ticket(group) {
+            let step_key = StepKey::of(task);
+            let ticket = self.advice.ticket(step_key, runner.key, now.at).map(Box::from);
+            if ticket.is_none() && self.needs_ticket(step_key) {
                 continue;
             }
             let (Some(job), Some(state)) = (self.state.job(task.job), self.state.task(task)) else {
@@ -475,7 +476,7 @@
         stop.map(|(task, view)| (*task, view.run)).collect()
     }
 
-    /// A runner has left: all of its runs have ended, and it sends no more reports.
+    /// Handles the leave of a runner: all of its runs have ended, and it sends no more reports.
     pub(super) fn leave(
         &mut self,
         now: Now,
--- a/crates/coordination/src/jobs/margin_forecast.rs
+++ b/crates/coordination/src/jobs/margin_forecast.rs
@@ -52,7 +52,7 @@
 const VARIANCE_MAX: f64 = 1.5;
 /// Mean age of a reported tail latency, which covers the last half second.
 const SAMPLE_AGE: Duration = Duration::from_millis(250);
-/// Expected margins are clamped to this range.
+/// Range to which expected margins are clamped.
 const MARGIN_MIN: f64 = 0.8;
 const MARGIN_MAX: f64 = 6.0;
 /// Interval at which a forecast is evaluated to find its minimum.
@@ -74,8 +74,8 @@
 const SQUARED_ERROR_MAX: f64 = 4.0;
 /// Errors counted for a period before it can be chosen.
 const ERRORS_MIN: u32 = 100;
-/// A period replaces the current one if its mean error is below this share of the current
-/// one's.
+/// A period replaces the current period if its mean error is below this share of the
+/// current period's mean error.
 const REPLACEMENT_ERROR_RATIO: f64 = 0.8;
 
 /// Model of a job's own margin as a function of time: a mean and a wave.
@@ -264,10 +264,11 @@
     /// ```
     /// use yuccalink_coordination::Moment;
     /// use yuccalink_coordination::jobs::margin_forecast::{MarginForecasts, OwnMargin};
-    /// let mut loads = MarginForecasts::default();
-    /// let before = loads.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
-    /// assert!(!loads.judge("watch", OwnMargin { margin: 2.0, noise: 0.1 }, Moment::ZERO));
-    /// assert!(before > 1.0 && loads.period_s() > 0.0);
+    /// let mut forecasts = MarginForecasts::default();
+    /// let before = forecasts.entry("watch", Moment::ZERO).margin_at(Moment::ZERO);
+    /// let sample = OwnMargin { margin: 2.0, noise: 0.1 };
+    /// assert!(!forecasts.evaluate_periods("watch", sample, Moment::ZERO));
+    /// assert!(before > 1.0 && forecasts.period_s() > 0.0);
     /// ```
     pub fn entry(&mut self, job: K, now: Moment) -> &mut MarginModel {
         let period = PERIODS_S[self.period_index];
@@ -284,7 +285,7 @@
     }
 
     /// Removes the jobs that do not satisfy the predicate.
-    pub fn keep<F>(&mut self, is_kept: F)
+    pub fn retain<F>(&mut self, is_kept: F)
     where
         F: Fn(K) -> bool,
     {
@@ -294,7 +295,7 @@
 
     /// Updates the errors of all periods by one sample. Returns whether the current
     /// period changed.
-    pub fn judge(&mut self, job: K, sample: OwnMargin, now: Moment) -> bool {
+    pub fn evaluate_periods(&mut self, job: K, sample: OwnMargin, now: Moment) -> bool {
         if self.policy.mode == Switch::Off {
             return false;
         }
--- a/crates/coordination/src/jobs/runner.rs
+++ b/crates/coordination/src/jobs/runner.rs
@@ -11,9 +11,10 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{IncarnationKey, TaskKey};
 
-/// How much too slow a runner's monotonic clock may be, in percent; the platform's bound.
+/// Largest rate, in percent, at which a runner's monotonic clock may lose time; guaranteed by
+/// the platform.
 const RUNNER_CLOCK_SLOW_PERCENT: u32 = 2;
-/// How much too slow this VM's clock may be against true time, in percent; see
+/// Largest rate, in percent, at which this VM's clock may lose time against true time; see
 /// [`crate::moment::DRIFT_PPM`].
 const OWN_CLOCK_SLOW_PERCENT: u32 = 1;
 /// Added to a lease before it counts as expired, because the runner may read its clock this
@@ -25,15 +26,16 @@
 /// A runner whose last report is more recent than this is expected to report again soon.
 const RECENT_REPORT_AGE_MAX: Duration = Duration::from_millis(1_500);
 
-/// Runners whose runs fail or stall get fewer tasks.
+/// Starts fewer tasks on runners whose runs fail or stall.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct DistrustPolicy {
-    /// Whether such runners get fewer tasks.
+    /// Whether runners with failed or stalled runs get fewer tasks.
     pub mode: Switch,
-    /// Consecutive failed or stalled runs after which a runner is quarantined. A single one is
-    /// common: two to five tasks in a hundred fail by their own fault.
-    pub bad_ends_max: u32,
+    /// Consecutive failed or stalled runs after which a runner is quarantined. A single failed
+    /// run is common: two to five tasks in a hundred fail by their own fault.
+    #[serde(rename = "bad-ends-max")]
+    pub failures_max: u32,
     /// How long a quarantined runner gets no new tasks.
     #[serde(rename = "quarantine-ms")]
     pub quarantine: Millis,
@@ -52,7 +54,7 @@
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            bad_ends_max: 2,
+            failures_max: 2,
             quarantine: Millis(2_500),
             forgiven: Millis(8_000),
             stalled_after: Millis(1_800),
@@ -79,7 +81,7 @@
     /// All tasks.
     Full,
     /// Only tasks that may fail once more and be retried.
-    SecondTryOnly,
+    RetryableOnly,
     /// One task that may fail once more, to probe the runner.
     Probe,
     /// No tasks.
@@ -103,8 +105,8 @@
         if self.consecutive_failures == 0 || forgiven || policy.mode == Switch::Off {
             return Trust::Full;
         }
-        if self.consecutive_failures < policy.bad_ends_max {
-            return Trust::SecondTryOnly;
+        if self.consecutive_failures < policy.failures_max {
+            return Trust::RetryableOnly;
         }
         match now.since(self.last_failure) < policy.quarantine.to_duration() {
             true => Trust::None,
@@ -119,15 +121,15 @@
     pub(super) run: u32,
     pub(super) checkpoint: Box<str>,
     pub(super) percent: u8,
-    pub(super) gauge: Option<u64>,
+    pub(super) usage_or_tail: Option<u64>,
     pub(super) first_seen: Moment,
     /// How long the runner has listed the run.
     pub(super) age: Duration,
-    pub(super) moved: Moment,
+    pub(super) progressed_at: Moment,
     /// The run must stop; the order is repeated with each heartbeat until the run is gone.
     pub(super) stopping: bool,
     /// Pace of the run in percent of full speed; `None` if this leader does not know it.
-    pub(super) rate: Option<u8>,
+    pub(super) pace: Option<u8>,
 }
 
 impl RunView {
@@ -142,7 +144,9 @@
     }
 
     pub(super) fn is_stalled(&self, now: Moment, after: Millis) -> bool {
-        self.rate == Some(100) && self.percent < 100 && now.since(self.moved) > after.to_duration()
+        self.pace == Some(100)
+            && self.percent < 100
+            && now.since(self.progressed_at) > after.to_duration()
     }
 }
 
@@ -156,8 +160,8 @@
     pub(super) labels: Vec<Box<str>>,
     pub(super) capacity: Resources,
     pub(super) state: RunnerState,
-    /// The machine of the runner will go down for upkeep.
-    pub(super) upkeep_pending: bool,
+    /// The machine of the runner will go down for maintenance.
+    pub(super) maintenance_pending: bool,
     pub(super) terminates_at: Option<Moment>,
     pub(super) sequence: u64,
     pub(super) last_report_at: Moment,
@@ -176,15 +180,15 @@
     pub(super) health: Health,
     pub(super) free: Resources,
     /// CPU reserved for long-running tasks, in millicores.
-    pub(super) lasting_millicores: u64,
+    pub(super) long_running_millicores: u64,
     /// Image of the serving tasks on the runner, if there is only one such image.
-    pub(super) serves: Option<ImageKey>,
+    pub(super) serving_image: Option<ImageKey>,
     /// Pace of the background tasks of an image, in percent of full speed; 100 for images
     /// that are not listed.
     pub(super) paces: BTreeMap<ImageKey, u8>,
     pub(super) paced_at: Moment,
     /// Since when a serving task on the runner has exceeded its bound.
-    pub(super) over_since: Option<Moment>,
+    pub(super) bound_exceeded_since: Option<Moment>,
 }
 
 impl Runner {
@@ -197,7 +201,7 @@
             labels: report.labels.clone(),
             capacity: report.capacity,
             state: report.state,
-            upkeep_pending: false,
+            maintenance_pending: false,
             terminates_at: None,
             sequence: 0,
             last_report_at: now,
@@ -209,11 +213,11 @@
             withheld: BTreeMap::new(),
             health: Health::default(),
             free: Resources::ZERO,
-            lasting_millicores: 0,
-            serves: None,
+            long_running_millicores: 0,
+            serving_image: None,
             paces: BTreeMap::new(),
             paced_at: Moment::ZERO,
-            over_since: None,
+            bound_exceeded_since: None,
         }
     }
 
@@ -281,7 +285,7 @@
 
     /// Whether the runner can be given new tasks at all.
     pub(super) fn takes_tasks(&self) -> bool {
-        self.state == RunnerState::Ready && !self.upkeep_pending
+        self.state == RunnerState::Ready && !self.maintenance_pending
     }
 
     /// Whether the runner reported recently, so that its next report is expected soon.
@@ -307,8 +311,8 @@
     reported_before: bool,
 ) -> RunView {
     let same = former.filter(|view| view.run == run.run);
-    let moved = match &same {
-        Some(view) if view.percent == run.percent => view.moved,
+    let progressed_at = match &same {
+        Some(view) if view.percent == run.percent => view.progressed_at,
         _ => now,
     };
     let first_seen = same.as_ref().map_or(now, |view| view.first_seen);
@@ -317,11 +321,11 @@
         age: now.since(first_seen),
         checkpoint: run.checkpoint.clone(),
         percent: run.percent,
-        gauge: run.usage_or_tail,
+        usage_or_tail: run.usage_or_tail,
         first_seen,
-        moved,
+        progressed_at,
         stopping: same.as_ref().is_some_and(|view| view.stopping),
         // A new leader does not know which pace the former one ordered.
-        rate: same.as_ref().map_or(reported_before.then_some(100), |view| view.rate),
+        pace: same.as_ref().map_or(reported_before.then_some(100), |view| view.pace),
     }
 }
--- a/crates/coordination/src/jobs/suspects.rs
+++ b/crates/coordination/src/jobs/suspects.rs
@@ -7,12 +7,12 @@
 //! a runner where little would be lost, no other task starts there until the runner has listed
 //! it, and the number of concurrent trials is limited.
 
+use super::capacity::saturating_sub;
 use super::leader::{Leader, Now, OnCommit};
 use super::lost::PROVEN_AFTER;
 use super::place::Chosen;
 use super::policy::{Millis, Switch};
 use super::ready::StepKey;
-use super::room::saturating_sub;
 use super::runner::{Runner, Trust, lease_expiry_bound};
 use crate::moment::Moment;
 use serde::{Deserialize, Serialize};
@@ -38,31 +38,31 @@
     pub mode: Switch,
     /// How long a task that has lost several runners waits to learn whether they crashed.
     #[serde(rename = "news-ms")]
-    pub news: Millis,
-    /// One runner in this many may try a suspect at a time; two always may.
+    pub fate_wait: Millis,
+    /// One runner in this many may try a suspect at a time, but always at least two runners.
     pub one_in: usize,
-    /// How long a suspect waits for an empty runner. Then a runner without long-running tasks
-    /// is enough.
+    /// How long a suspect waits for an empty runner. After that, it may start on a runner
+    /// without long-running tasks.
     #[serde(rename = "empty-ms")]
-    pub empty: Millis,
-    /// How long a suspect waits for a runner without long-running tasks. Then any runner is
-    /// enough.
+    pub empty_runner_wait: Millis,
+    /// How long a suspect waits for a runner without long-running tasks. After that, it may
+    /// start on any runner.
     #[serde(rename = "not-lasting-ms")]
-    pub not_lasting: Millis,
+    pub no_long_running_wait: Millis,
     /// How long a task that would be given up after its next crash waits for an empty runner.
     #[serde(rename = "last-try-ms")]
-    pub last_try: Millis,
+    pub last_trial_wait: Millis,
 }
 
 impl Default for SuspectsPolicy {
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            news: Millis(10_000),
+            fate_wait: Millis(10_000),
             one_in: 8,
-            empty: Millis(300),
-            not_lasting: Millis(900),
-            last_try: Millis(5_000),
+            empty_runner_wait: Millis(300),
+            no_long_running_wait: Millis(900),
+            last_trial_wait: Millis(5_000),
         }
     }
 }
@@ -106,7 +106,7 @@
 
 impl Leader {
     /// How a task may start.
-    pub(super) fn standing(&self, now: Now, task: TaskKey) -> CrashSuspicion {
+    pub(super) fn crash_suspicion(&self, now: Now, task: TaskKey) -> CrashSuspicion {
         let losses = self.state.losses();
         if losses.is_empty() {
             return CrashSuspicion::Clear;
@@ -128,7 +128,7 @@
 
     /// Whether the fate of a lost runner is unknown and may still become known.
     fn may_become_known(&self, now: Now, loss: &Loss) -> bool {
-        let wait = u64::from(self.cfg.policy.suspects.news.0);
+        let wait = u64::from(self.cfg.policy.suspects.fate_wait.0);
         // The wall clock may have been set back since.
         let age = now.unix_ms.checked_sub(loss.at_ms);
         loss.fate == RunnerFate::Unknown && age.is_some_and(|age| age < wait)
@@ -137,8 +137,8 @@
     /// Whether at least two runners crashed at the start of tasks of a step, and none of its
     /// tasks is running or done.
     fn has_suspect_step(&self, task: TaskKey) -> bool {
-        let group = StepKey::of(task);
-        if self.incarnations_crashed_at_start(group.job, Some(group)).len() < 2 {
+        let step_key = StepKey::of(task);
+        if self.incarnations_crashed_at_start(step_key.job, Some(step_key)).len() < 2 {
             return false;
         }
         let Some(job) = self.state.job(task.job) else { return false };
@@ -165,10 +165,11 @@
     fn incarnations_crashed_at_start(
         &self,
         job: JobId,
-        group: Option<StepKey>,
+        step_key: Option<StepKey>,
     ) -> BTreeSet<IncarnationKey> {
-        let of_group = |task: TaskKey| group.is_none_or(|group| StepKey::of(task) == group);
-        let losses = self.state.losses().of_job(job).filter(|(task, _)| of_group(*task));
+        let is_of_step =
+            |task: TaskKey| step_key.is_none_or(|step_key| StepKey::of(task) == step_key);
+        let losses = self.state.losses().of_job(job).filter(|(task, _)| is_of_step(*task));
         let at_start = losses.flat_map(|(_, losses)| losses).filter(|loss| {
             loss.evidence == LossEvidence::Ordered && loss.fate == RunnerFate::Crashed
         });
@@ -182,7 +183,7 @@
         self.suspects.waiting.clear();
         self.suspects
             .reporting
-            .retain(|incarnation, _| self.state.losses().has_unknown(*incarnation));
+            .retain(|incarnation, _| self.state.losses().is_unconfirmed(*incarnation));
         if self.state.losses().is_empty() || self.cfg.policy.suspects.mode == Switch::Off {
             self.suspects.since.clear();
             return;
@@ -230,25 +231,25 @@
         let mut jobs: Vec<JobId> = self.state.losses().tasks().map(|(task, _)| task.job).collect();
         jobs.dedup();
         let mut found = Vec::new();
-        for group in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
-            let Some(job) = self.state.job(group.job) else { continue };
-            let crashed_of_job = self.incarnations_crashed_at_start(group.job, None).len();
-            let Some(step) = job.spec.steps.get(usize::from(group.step)) else { continue };
+        for step_key in jobs.into_iter().flat_map(|job| self.ready.keys_of(job)) {
+            let Some(job) = self.state.job(step_key.job) else { continue };
+            let crashed_of_job = self.incarnations_crashed_at_start(step_key.job, None).len();
+            let Some(step) = job.spec.steps.get(usize::from(step_key.step)) else { continue };
             if step.gang {
                 continue;
             }
             for index in 0..step.count {
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
                 let task = TaskKey {
-                    job: group.job,
-                    occurrence: group.occurrence,
-                    step: group.step,
+                    job: step_key.job,
+                    occurrence: step_key.occurrence,
+                    step: step_key.step,
                     index,
                 };
                 let waits =
                     self.state.task(task).is_some_and(|t| !t.done && t.assignments.is_empty())
                         && !self.starting.contains_key(&task);
-                if waits && self.standing(now, task) == CrashSuspicion::Suspect {
+                if waits && self.crash_suspicion(now, task) == CrashSuspicion::Suspect {
                     let losses = Reverse(self.state.losses().of(task).len());
                     found.push(WaitingSuspect { crashed_of_job, job: task.job, losses, task });
                 }
@@ -267,34 +268,34 @@
         }
     }
 
-    /// Whether the task is given up after one more crash. Such a crash must not be the fault of
-    /// a colocated task.
-    fn is_last_try(&self, task: TaskKey) -> bool {
-        self.state.losses().crashes(task).reach_bound_with(1)
+    /// Whether a task is given up after one more crash. In this trial, the crash must not be the
+    /// fault of a colocated task.
+    fn is_last_trial(&self, task: TaskKey) -> bool {
+        self.state.losses().crashes(task).would_reach_limit(1)
     }
 
     /// Whether a step's job has tasks that lost runners and may not start like any other task.
-    pub(super) fn has_suspect(&self, now: Now, group: StepKey) -> bool {
-        let mut lost = self.state.losses().of_job(group.job);
-        lost.any(|(task, _)| self.standing(now, task) != CrashSuspicion::Clear)
+    pub(super) fn has_suspect(&self, now: Now, step_key: StepKey) -> bool {
+        let mut lost = self.state.losses().of_job(step_key.job);
+        lost.any(|(task, _)| self.crash_suspicion(now, task) != CrashSuspicion::Clear)
     }
 
     /// The suspect in a trial on a runner: it was ordered and the runner has not listed it yet,
-    /// or it is on its last attempt and not listed for long enough to be cleared.
+    /// or it is in its last trial and not listed for long enough to be cleared.
     pub(super) fn trial_on(&self, now: Now, runner: &Runner) -> Option<TaskKey> {
         if self.state.losses().is_empty() {
             return None;
         }
         let starting = self.starting.values().filter(|start| start.incarnation == runner.key);
-        let held = self
+        let assigned = self
             .state
             .assigned_runs(runner.key)
             .chain(starting.map(|start| (start.task, start.run)));
         let is_tried = |task: TaskKey, run: u32| match runner.view(task, run) {
-            Some(view) => view.age < PROVEN_AFTER && self.is_last_try(task),
-            None => self.standing(now, task) != CrashSuspicion::Clear,
+            Some(view) => view.age < PROVEN_AFTER && self.is_last_trial(task),
+            None => self.crash_suspicion(now, task) != CrashSuspicion::Clear,
         };
-        held.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
+        assigned.into_iter().find_map(|(task, run)| is_tried(task, run).then_some(task))
     }
 
     /// Chooses a suspect to start on the reporting runner, if one may be tried there.
@@ -325,7 +326,7 @@
         );
         if let Some(step) = self.ready.step_of(start.task) {
             chosen.free = saturating_sub(chosen.free, step.reserved);
-            chosen.colocation.started(now.at, step, &self.loads, StepKey::of(start.task));
+            chosen.colocation.started(now.at, step, &self.forecasts, StepKey::of(start.task));
         }
         chosen.starts.push(start);
         self.counts.tried += 1;
@@ -347,28 +348,30 @@
         let policy = &self.cfg.policy.suspects;
         let since = self.suspects.since.get(&task).copied().unwrap_or(now.at);
         let waited = now.at.since(since);
-        let must_be_empty = self.is_last_try(task) && waited < policy.last_try.to_duration();
-        let may_be_shared = waited > policy.not_lasting.to_duration()
-            || (waited > policy.empty.to_duration() && runner.lasting_millicores == 0);
+        let must_be_empty =
+            self.is_last_trial(task) && waited < policy.last_trial_wait.to_duration();
+        let may_be_shared = waited > policy.no_long_running_wait.to_duration()
+            || (waited > policy.empty_runner_wait.to_duration()
+                && runner.long_running_millicores == 0);
         let little_to_lose = runner.running.is_empty() || (may_be_shared && !must_be_empty);
-        let group = StepKey::of(task);
-        let info = self.ready.step(group.job, group.step)?;
+        let step_key = StepKey::of(task);
+        let info = self.ready.step(step_key.job, step_key.step)?;
         if !little_to_lose || !chosen.free.covers(info.reserved) {
             return None;
         }
-        let (job, step) = self.may_host(now, runner, group)?;
-        if self.seats(runner, group, step) == 0 {
+        let (job, step) = self.may_host(now, runner, step_key)?;
+        if self.slots_left(runner, step_key, step) == 0 {
             return None;
         }
-        let run = self.run_after(job, step, task, runner.key, trust)?;
+        let run = self.next_run_number(job, step, task, runner.key, trust)?;
         Some(RunStart { task, run, incarnation: runner.key })
     }
 
-    /// Handles a report of a runner whose runs were given up. Once such reports have come for
-    /// the duration of a lease, the losses are no crash. A single report may have been sent
-    /// before a crash.
-    pub(super) fn note_return(&mut self, now: Now, key: IncarnationKey) {
-        if !self.state.losses().has_unknown(key) {
+    /// Handles a report of a runner whose runs were given up. Once the runner has reported for
+    /// the duration of a lease, its losses do not count as crashes. A single report may have
+    /// been sent before a crash.
+    pub(super) fn note_report_after_loss(&mut self, now: Now, key: IncarnationKey) {
+        if !self.state.losses().is_unconfirmed(key) {
             return;
         }
         let since = *self.suspects.reporting.entry(key).or_insert(now.at);
@@ -380,21 +383,27 @@
         }
     }
 
-    /// The command that clears an incarnation of its crash is committed.
-    pub(super) fn clear_return(&mut self, key: IncarnationKey) {
+    /// Handles the commit of the command which removes the losses of an incarnation that reports
+    /// again.
+    pub(super) fn clear_report_after_loss(&mut self, key: IncarnationKey) {
         self.suspects.reporting.remove(&key);
     }
 
-    /// Logs the verdict on tasks whose lost runners were in `were_unknown` and whose fate is
-    /// known now.
-    pub(super) fn log_resolved_losses(&self, now: Now, were_unknown: &BTreeSet<IncarnationKey>) {
-        if were_unknown.is_empty() {
+    /// Logs the verdict on tasks that lost runners in `unconfirmed_before`, if the fate of these
+    /// runners is known now.
+    pub(super) fn log_resolved_losses(
+        &self,
+        now: Now,
+        unconfirmed_before: &BTreeSet<IncarnationKey>,
+    ) {
+        if unconfirmed_before.is_empty() {
             return;
         }
         let losses = self.state.losses();
-        let still = losses.unknown();
+        let still_unconfirmed = losses.unconfirmed_incarnations();
         let resolved = |loss: &Loss| {
-            were_unknown.contains(&loss.incarnation) && !still.contains(&loss.incarnation)
+            unconfirmed_before.contains(&loss.incarnation)
+                && !still_unconfirmed.contains(&loss.incarnation)
         };
         for (task, _) in losses.tasks().filter(|(_, own)| own.iter().any(resolved)) {
             self.log_suspicion(now, task);
@@ -410,7 +419,7 @@
         }
         let crashed = own.iter().filter(|loss| loss.fate == RunnerFate::Crashed).count();
         let at_start = own.iter().filter(|loss| loss.evidence == LossEvidence::Ordered).count();
-        let verdict = match (self.state.exceeds_loss_limit(task), self.standing(now, task)) {
+        let verdict = match (self.state.exceeds_loss_limit(task), self.crash_suspicion(now, task)) {
             (true, _) => "given-up",
             (false, CrashSuspicion::Clear) => "clear",
             (false, CrashSuspicion::Suspect) => "suspected",
--- a/crates/coordination/src/jobs/waves.rs
+++ b/crates/coordination/src/jobs/waves.rs
@@ -1,5 +1,5 @@
-//! Upkeep waves: machines go down for upkeep a few at a time. Each is drained first, so that
-//! no long-running step loses more tasks than its document allows.
+//! Maintenance waves: machines go down for maintenance a few at a time. Each machine is
+//! drained first, so that no long-running step loses more tasks than its document allows.
 
 use super::external::{ExternalCall, ExternalCallId, ExternalReply, Machine, MachineState};
 use super::leader::{Leader, Now, OnCommit, RequestToken};
@@ -16,10 +16,10 @@
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long tasks that are not long-running may go on while their machine is drained.
 const DRAIN_TIME_MAX: Duration = Duration::from_millis(4_000);
-/// Delay before a refused upkeep order is retried.
-const UPKEEP_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// Delay before a refused maintenance order is retried.
+const MAINTENANCE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// A machine that is drained before its upkeep.
+/// A machine that is drained before its maintenance.
 #[derive(Debug)]
 struct DrainingMachine {
     wave: u64,
@@ -63,7 +63,7 @@
             return;
         }
         self.read_machines(now);
-        self.propose_returns();
+        self.propose_maintenance_ends();
         for wave in open {
             self.choose_machines(now, wave);
         }
@@ -81,11 +81,11 @@
         self.waves.pending_read = Some((call, now.at));
     }
 
-    /// Proposes the end of upkeep for machines that are up again or have left the platform.
-    fn propose_returns(&mut self) {
+    /// Proposes the end of maintenance for machines that are up again or have left the platform.
+    fn propose_maintenance_ends(&mut self) {
         let mut done: Vec<(u64, Box<str>)> = Vec::new();
         for wave in self.state.waves() {
-            for machine in wave.away() {
+            for machine in wave.in_maintenance() {
                 let found = self.waves.machines.get(machine);
                 let back = found.is_some_and(|m| m.state == MachineState::Up)
                     && self.waves.runner_of(machine) != wave.runner_before(machine);
@@ -97,7 +97,7 @@
             }
         }
         for (wave, machine) in done {
-            if self.proposed_returns.insert((wave, machine.clone())) {
+            if self.proposed_maintenance_ends.insert((wave, machine.clone())) {
                 self.propose(JobCommand::UpkeepDone { wave, machine }, OnCommit::Nothing);
             }
         }
@@ -105,9 +105,9 @@
 
     fn choose_machines(&mut self, now: Now, id: u64) {
         let Some(wave) = self.state.wave(id) else { return };
-        let away = wave.away().count();
+        let in_maintenance = wave.in_maintenance().count();
         let draining = self.waves.draining.values().filter(|e| e.wave == id).count();
-        let mut slots = (wave.wave.at_once as usize).saturating_sub(away + draining);
+        let mut slots = (wave.wave.at_once as usize).saturating_sub(in_maintenance + draining);
         let waiting: Vec<Box<str>> = wave
             .waiting()
             .filter(|machine| !self.waves.draining.contains_key(*machine))
@@ -129,8 +129,9 @@
         }
     }
 
-    /// Stops long-running tasks on the machines to drain. Orders the upkeep of a machine once
-    /// it has no long-running task left, and either no other run or `DRAIN_TIME_MAX` has passed.
+    /// Stops long-running tasks on the machines to drain. Orders the maintenance of a machine
+    /// once it has no long-running task left, and either it has no other run left or
+    /// `DRAIN_TIME_MAX` has passed.
     fn drain_machines(&mut self, now: Now) {
         let machines: Vec<Box<str>> = self.waves.draining.keys().cloned().collect();
         for machine in machines {
@@ -171,7 +172,7 @@
             }
         }
         let Some(runner) = self.runners.get_mut(&incarnation) else { return tasks.is_empty() };
-        runner.upkeep_pending = true;
+        runner.maintenance_pending = true;
         for task in stopping {
             if let Some(view) = runner.running.get_mut(&task) {
                 view.stopping = true;
@@ -181,20 +182,20 @@
     }
 
     /// Whether a long-running task may be stopped now, because fewer other tasks of its step
-    /// are away than its document allows.
+    /// are interrupted than its document allows.
     pub(super) fn may_disrupt(&self, task: TaskKey, also_stopping: &BTreeSet<TaskKey>) -> bool {
         let Some(step) = self.state.step_spec(task) else { return false };
         if !step.long_running {
             return false;
         }
         let Some(most) = step.disruptions_max else { return true };
-        let away = (0..step.count)
+        let disrupted = (0..step.count)
             .map(|index| TaskKey { index: u16::try_from(index).unwrap_or(u16::MAX), ..task })
             .filter(|other| {
                 *other != task && (also_stopping.contains(other) || !self.is_working(*other))
             })
             .count();
-        away < most as usize
+        disrupted < most as usize
     }
 
     fn is_working(&self, task: TaskKey) -> bool {
@@ -229,7 +230,7 @@
             self.propose(JobCommand::UpkeepBegun { wave, machine, runner }, OnCommit::Nothing);
         } else if let Some(draining) = self.waves.draining.get_mut(&machine) {
             draining.ordered = None;
-            draining.not_before = now.at + UPKEEP_RETRY_DELAY;
+            draining.not_before = now.at + MAINTENANCE_RETRY_DELAY;
         }
     }
 
--- a/crates/state/src/jobs/command.rs
+++ b/crates/state/src/jobs/command.rs
@@ -80,8 +80,9 @@
     /// Image of the serving tasks.
     pub serving: Box<str>,
     /// Image of the background tasks.
-    pub filling: Box<str>,
-    /// Margin that a serving task would lose if background tasks filled its runner.
+    #[serde(rename = "filling")]
+    pub background: Box<str>,
+    /// Margin that a serving task would lose if background tasks used its whole runner.
     pub mean: f32,
     /// Variance of the estimate of `mean`.
     pub variance: f32,
