--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -32,7 +32,7 @@
 /// Request header that names the author of a document.
 const AUTHOR: &str = "yuccalink-author";
 
-pub(crate) struct Admin {
+pub(crate) struct AdminHandler {
     shared: Arc<Shared>,
     rng: RefCell<Pcg64Mcg>,
 }
@@ -48,7 +48,7 @@
 
 type AdminResult = Result<WebResponse, Problem>;
 
-impl Handler for Admin {
+impl Handler for AdminHandler {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let (head, ext) = req.into_parts();
         let (_, body) = ext.replace_body(());
@@ -56,7 +56,7 @@
     }
 }
 
-impl Admin {
+impl AdminHandler {
     pub(crate) fn new(shared: Arc<Shared>, seed: u64) -> Self {
         Self { shared, rng: RefCell::new(Pcg64Mcg::seed_from_u64(seed)) }
     }
@@ -90,7 +90,7 @@
         if !self.shared.has_lease() {
             return not_ready("no valid configuration lease from the leader\n");
         }
-        if !self.shared.is_informed() {
+        if !self.shared.has_runner_table() {
             return not_ready("waiting for the runner table\n");
         }
         reply::text(StatusCode::OK, "ready\n")
@@ -119,7 +119,7 @@
                         detail,
                     ));
                 }
-                self.ask_leader(LeaderRequest::Heartbeat { name, beat: heartbeat }).await
+                self.ask_leader(LeaderRequest::Heartbeat { name, heartbeat }).await
             }
             ("POST", ["v1", "targets", name, "leave"]) => {
                 let name = parse_name(name)?;
@@ -151,7 +151,7 @@
         let author = request.headers.get(AUTHOR).and_then(|value| value.to_str().ok());
         let author = author.filter(|text| text.len() <= 255).unwrap_or("unnamed").into();
         let text = read_document(&name, request.body).await?;
-        match self.shared.ask(LeaderRequest::Apply { text, author }).await {
+        match self.shared.request_leader(LeaderRequest::Apply { text, author }).await {
             LeaderResponse::Applied(mut applied) => {
                 if wait {
                     self.wait_in_force(&mut applied).await;
@@ -165,7 +165,11 @@
     async fn wait_in_force(&self, applied: &mut Applied) {
         let deadline = Instant::now() + IN_FORCE_TIMEOUT;
         while Instant::now() < deadline {
-            match self.shared.ask(LeaderRequest::InForce { revision: applied.revision }).await {
+            match self
+                .shared
+                .request_leader(LeaderRequest::InForce { revision: applied.revision })
+                .await
+            {
                 LeaderResponse::InForce { everywhere, waiting_for } => {
                     applied.in_force_everywhere = everywhere;
                     applied.waiting_for = waiting_for;
@@ -219,7 +223,7 @@
 
     async fn status(&self, request: &AdminRequest<'_>) -> AdminResult {
         require_get(request)?;
-        match self.shared.ask(LeaderRequest::Status).await {
+        match self.shared.request_leader(LeaderRequest::Status).await {
             LeaderResponse::Status(mut status) => {
                 status.entry = self.shared.config.name.clone();
                 Ok(reply::json(StatusCode::OK, &status))
@@ -233,7 +237,7 @@
         require_get(request)?;
         let mut decisions = self.shared.decisions.list();
         if let LeaderResponse::Decisions(leader_decisions) =
-            self.shared.ask(LeaderRequest::Decisions).await
+            self.shared.request_leader(LeaderRequest::Decisions).await
         {
             let own = &self.shared.config.name;
             decisions
@@ -244,7 +248,7 @@
     }
 
     async fn ask_leader(&self, request: LeaderRequest) -> AdminResult {
-        to_response(self.shared.ask(request).await)
+        to_response(self.shared.request_leader(request).await)
     }
 }
 
--- a/crates/daemon/src/cell.rs
+++ b/crates/daemon/src/cell.rs
@@ -24,5 +24,8 @@
 
 pub use adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest, SeedSource};
 pub use config::{CellConfig, CellConfigBuilder};
-pub use native::{Native, common_response, json, number, parse, parse_caller_request, problem};
+pub use native::{
+    Native, common_response, error_response, json_response, parse_caller_request, parse_json,
+    parse_number,
+};
 pub use run::run;
--- a/crates/daemon/src/cell/adapter.rs
+++ b/crates/daemon/src/cell/adapter.rs
@@ -55,20 +55,20 @@
     ///
     /// # Errors
     /// Returns the response to send if the request is invalid.
-    fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
+    fn parse_caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
     /// Parses a runner's or operator's request.
     ///
     /// # Errors
     /// Returns the response to send if the request is invalid.
-    fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
+    fn parse_control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse>;
 
     /// Converts the cell's response to an HTTP response.
-    fn reply(&self, response: CellResponse) -> ApiResponse;
+    fn to_response(&self, response: CellResponse) -> ApiResponse;
 
     /// Returns the HTTP request for a call to an external service, or `None` if no such
     /// service exists.
-    fn request(&self, call: &ExternalCall) -> Option<ExternalRequest>;
+    fn external_request(&self, call: &ExternalCall) -> Option<ExternalRequest>;
 
     /// Decodes the response of an external service.
     fn decode_reply(&self, call: &ExternalCall, status: u16, body: &[u8]) -> ExternalReply;
--- a/crates/daemon/src/cell/config.rs
+++ b/crates/daemon/src/cell/config.rs
@@ -196,7 +196,7 @@
     /// Returns [`Error::Setting`], which names the setting and the remedy.
     pub fn build(self) -> Result<CellConfig> {
         let config = self.0;
-        let invalid = |flag, what: &str| Err(Error::Setting { flag, what: what.into() });
+        let invalid = |flag, detail: &str| Err(Error::Setting { flag, detail: detail.into() });
         let is_single = config.seeds.is_empty();
         if is_single && config.data.is_none() {
             return invalid(
--- a/crates/daemon/src/cell/disk.rs
+++ b/crates/daemon/src/cell/disk.rs
@@ -34,7 +34,7 @@
                 continue;
             }
         }
-        match journal.done().await {
+        match journal.next_event().await {
             Some(DiskEvent::Failed(error)) => {
                 // It is unknown which writes reached the disk, so no further write may be
                 // confirmed: the process ends and recovers from the disk at its next start.
--- a/crates/daemon/src/cell/external.rs
+++ b/crates/daemon/src/cell/external.rs
@@ -41,7 +41,7 @@
     id: ExternalCallId,
     call: ExternalCall,
 ) {
-    let reply = match adapter.request(&call) {
+    let reply = match adapter.external_request(&call) {
         None => ExternalReply::Refused,
         Some(request) => match timeout(RESPONSE_TIMEOUT, send_request(request)).await {
             Ok(Ok((status, body))) => adapter.decode_reply(&call, status, &body),
--- a/crates/daemon/src/cell/http.rs
+++ b/crates/daemon/src/cell/http.rs
@@ -166,7 +166,7 @@
         Endpoint::Ready => empty_response(if context.node.is_ready() { 200 } else { 503 }),
         Endpoint::Metrics => render_metrics(&context),
         Endpoint::Control if req.method() == Method::GET && req.uri().path() == STATUS_PATH => {
-            to_http(native::json(200, &context.node.with(|node| node.status())))
+            to_http(native::json_response(200, &context.node.with(|node| node.status())))
         }
         Endpoint::Callers | Endpoint::Control => handle_request(&context, endpoint, req).await,
     };
@@ -200,8 +200,8 @@
     let path = head.uri.path();
     let api_request = ApiRequest { method: head.method.as_str(), path, host, body: &body };
     let parsed = match endpoint {
-        Endpoint::Callers => context.adapter.caller(api_request),
-        _ => context.adapter.control(api_request),
+        Endpoint::Callers => context.adapter.parse_caller(api_request),
+        _ => context.adapter.parse_control(api_request),
     };
     let concerns_change = matches!(parsed, Ok(CellRequest::Change(_) | CellRequest::Document));
     let reply = match parsed {
@@ -224,9 +224,9 @@
                 CellResponse::AskLeader { control } => ApiResponse::redirect(control, path),
                 CellResponse::Orders(mut orders) => {
                     orders.report_to = context.node.report_address();
-                    context.adapter.reply(CellResponse::Orders(orders))
+                    context.adapter.to_response(CellResponse::Orders(orders))
                 }
-                response => context.adapter.reply(response),
+                response => context.adapter.to_response(response),
             }
         }
     };
@@ -256,7 +256,7 @@
 
 /// Responds to a request on a connection above the limit; the request is not processed.
 fn reject(context: &HttpContext) -> Response<Full<Bytes>> {
-    let mut reply = native::problem(503, &context.connections.rejection_message());
+    let mut reply = native::error_response(503, &context.connections.rejection_message());
     reply.retry_after_ms = Some(REJECTED_RETRY_AFTER_MS);
     let mut response = to_http(reply);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -44,15 +44,15 @@
 }
 
 impl ApiAdapter for Native {
-    fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
-        parse_caller_request(req, parse::<JobSpec>)
+    fn parse_caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
+        parse_caller_request(req, parse_json::<JobSpec>)
     }
 
-    fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
+    fn parse_control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
         let parts: Vec<&str> = req.path.trim_matches('/').split('/').collect();
         match (req.method, parts.as_slice()) {
             ("POST", ["v1", "runners", id, "heartbeat"]) => {
-                let mut report: RunnerReport = parse(req.body)?;
+                let mut report: RunnerReport = parse_json(req.body)?;
                 report.runner = (*id).into();
                 Ok(CellRequest::Heartbeat(Box::new(report)))
             }
@@ -60,30 +60,32 @@
                 Ok(CellRequest::Leave { runner: (*id).into(), started_ms: None })
             }
             ("PUT", ["v1", "change"]) => {
-                let mut change: ChangeSet = parse(req.body)?;
+                let mut change: ChangeSet = parse_json(req.body)?;
                 change.text = req.body.into();
                 Ok(CellRequest::Change(Arc::new(change)))
             }
             ("GET", ["v1", "change"]) => Ok(CellRequest::Document),
             ("PUT", ["v1", "waves", id]) => {
-                let mut wave: Wave = parse(req.body)?;
-                wave.id = number(id)?;
+                let mut wave: Wave = parse_json(req.body)?;
+                wave.id = parse_number(id)?;
                 Ok(CellRequest::WaveStart(wave))
             }
-            ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(number(id)?)),
-            _ => Err(problem(404, "no such path; see docs/PROTOCOLS.md for the valid paths")),
+            ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(parse_number(id)?)),
+            _ => {
+                Err(error_response(404, "no such path; see docs/PROTOCOLS.md for the valid paths"))
+            }
         }
     }
 
-    fn reply(&self, response: CellResponse) -> ApiResponse {
+    fn to_response(&self, response: CellResponse) -> ApiResponse {
         match response {
-            CellResponse::Orders(orders) => json(200, &*orders),
-            CellResponse::Invalid(what) => problem(400, &what),
+            CellResponse::Orders(orders) => json_response(200, &*orders),
+            CellResponse::Invalid(what) => error_response(400, &what),
             other => common_response(other),
         }
     }
 
-    fn request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
+    fn external_request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
         // The native interface has no external policy to ask and no machines to order.
         None
     }
@@ -97,8 +99,8 @@
 ///
 /// # Errors
 /// Returns a 400 response if `text` is not a number.
-pub fn number(text: &str) -> Result<u64, ApiResponse> {
-    text.parse().map_err(|_| problem(400, &format!("{text:?} is not a number; use digits")))
+pub fn parse_number(text: &str) -> Result<u64, ApiResponse> {
+    text.parse().map_err(|_| error_response(400, &format!("{text:?} is not a number; use digits")))
 }
 
 /// Parses a caller's request. The last segment of its path is the job ID.
@@ -137,11 +139,11 @@
     };
     match response {
         CellResponse::Accepted | CellResponse::Ok => ApiResponse::empty(200),
-        CellResponse::State(state) => json(200, &StateView { state, reason: None }),
+        CellResponse::State(state) => json_response(200, &StateView { state, reason: None }),
         CellResponse::Failed(reason) => {
-            json(200, &StateView { state: JobState::Failed, reason: Some(reason) })
+            json_response(200, &StateView { state: JobState::Failed, reason: Some(reason) })
         }
-        CellResponse::Pending(pending) => json(200, &PendingView { pending }),
+        CellResponse::Pending(pending) => json_response(200, &PendingView { pending }),
         CellResponse::Gone => ApiResponse::empty(410),
         CellResponse::NoQueue => ApiResponse::empty(404),
         CellResponse::NotTaken => ApiResponse::empty(405),
@@ -151,10 +153,10 @@
             ApiResponse::empty(504)
         }
         CellResponse::Document(text) => ApiResponse::json(200, text.to_vec()),
-        CellResponse::Invalid(what) => problem(400, &what),
-        CellResponse::Orders(orders) => json(200, &*orders),
+        CellResponse::Invalid(what) => error_response(400, &what),
+        CellResponse::Orders(orders) => json_response(200, &*orders),
         CellResponse::Wave { done } => {
-            json(200, &WaveView { state: if done { "completed" } else { "running" } })
+            json_response(200, &WaveView { state: if done { "completed" } else { "running" } })
         }
     }
 }
@@ -163,20 +165,20 @@
 ///
 /// # Errors
 /// Returns a 400 response that says what is wrong and where.
-pub fn parse<T>(body: &[u8]) -> Result<T, ApiResponse>
+pub fn parse_json<T>(body: &[u8]) -> Result<T, ApiResponse>
 where
     T: DeserializeOwned,
 {
-    serde_json::from_slice(body).map_err(|error| problem(400, &error.to_string()))
+    serde_json::from_slice(body).map_err(|error| error_response(400, &error.to_string()))
 }
 
 /// Creates an error response with a JSON body; `error` should name the remedy.
-pub fn problem(status: u16, error: &str) -> ApiResponse {
-    json(status, &Problem { error })
+pub fn error_response(status: u16, error: &str) -> ApiResponse {
+    json_response(status, &Problem { error })
 }
 
 /// Creates a response with `value` as its JSON body.
-pub fn json<T>(status: u16, value: &T) -> ApiResponse
+pub fn json_response<T>(status: u16, value: &T) -> ApiResponse
 where
     T: Serialize,
 {
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -23,7 +23,7 @@
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub fn read(path: &Path) -> Result<Policy> {
-    let invalid = |what: String| Error::Setting { flag: "policy", what: what.into() };
+    let invalid = |detail: String| Error::Setting { flag: "policy", detail: detail.into() };
     let path_text = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
         invalid(format!("cannot read {path_text}: {error}; check the path and its permissions"))
--- a/crates/daemon/src/cell/replica.rs
+++ b/crates/daemon/src/cell/replica.rs
@@ -2,7 +2,7 @@
 //! leader while this replica leads.
 
 use crate::cell::disk::DiskTask;
-use crate::journal::{DiskEvent, from_hard, to_entry};
+use crate::journal::{DiskEvent, decode_hard_state, decode_log_entry};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -58,9 +58,9 @@
         let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
+        let entries = records.iter().map(decode_log_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
-            hard: from_hard(hard),
+            hard: decode_hard_state(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
             entries,
         };
--- a/crates/daemon/src/cell/run.rs
+++ b/crates/daemon/src/cell/run.rs
@@ -205,7 +205,7 @@
     let name = config.name.clone();
     let replica =
         Replica::new(config.leader, name, recovered, random_u64(), now).map_err(|bad| {
-            Error::Setting { flag: "data", what: format!("cannot read the state: {bad}").into() }
+            Error::Setting { flag: "data", detail: format!("cannot read the state: {bad}").into() }
         })?;
     Ok((journal, replica))
 }
@@ -219,18 +219,18 @@
         (Endpoint::Ready, config.ready, "the balancer", "ready"),
         (Endpoint::Metrics, config.metrics, "readers of metrics", "metrics"),
     ];
-    for (endpoint, at, whom, flag) in endpoints {
+    for (endpoint, at, clients, flag) in endpoints {
         if let Some(at) = at {
-            let listener = bind(at, whom, flag).await?;
+            let listener = bind(at, clients, flag).await?;
             tokio::task::spawn_local(http::serve(context.clone(), endpoint, listener));
         }
     }
     Ok(())
 }
 
-async fn bind(at: SocketAddr, whom: &'static str, flag: &'static str) -> Result<TcpListener> {
+async fn bind(at: SocketAddr, clients: &'static str, flag: &'static str) -> Result<TcpListener> {
     let address = at.to_string().into();
-    TcpListener::bind(at).await.map_err(|source| Error::Listen { address, whom, flag, source })
+    TcpListener::bind(at).await.map_err(|source| Error::Listen { address, clients, flag, source })
 }
 
 fn listen_for_signal(kind: SignalKind) -> Result<Signal> {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -204,8 +204,8 @@
     }
 }
 
-fn setting_error(flag: &'static str, what: impl Into<Box<str>>) -> Error {
-    Error::Setting { flag, what: what.into() }
+fn setting_error(flag: &'static str, detail: impl Into<Box<str>>) -> Error {
+    Error::Setting { flag, detail: detail.into() }
 }
 
 fn parse_name(flag: &'static str, text: &str) -> Result<Name> {
@@ -225,8 +225,8 @@
         ));
     }
     if config.voters.len().is_multiple_of(2) && !config.voters.is_empty() {
-        let what = format!("names {} daemons; name 1, 3 or 5", config.voters.len());
-        return Err(setting_error("voters", what));
+        let detail = format!("names {} daemons; name 1, 3 or 5", config.voters.len());
+        return Err(setting_error("voters", detail));
     }
     for (index, voter) in config.voters.iter().enumerate() {
         if config.voters[..index].iter().any(|v| v.name == voter.name || v.address == voter.address)
@@ -239,12 +239,12 @@
     }
     match (config.is_voter(), config.data.is_some()) {
         (true, false) => {
-            let what = "is required for a daemon that stores the state; give a folder on a disk";
-            return Err(setting_error("data", what));
+            let detail = "is required for a daemon that stores the state; give a folder on a disk";
+            return Err(setting_error("data", detail));
         }
         (false, true) => {
-            let what = "is for voters, and this daemon is not among --voters; leave it out or add it there";
-            return Err(setting_error("data", what));
+            let detail = "is for voters, and this daemon is not among --voters; leave it out or add it there";
+            return Err(setting_error("data", detail));
         }
         _ => {}
     }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -168,7 +168,7 @@
                 result = leader_client.sync(&state) => result,
                 // The leader delays its response to the pending sync, so a local change is sent
                 // in a new one at once.
-                () = shared.tell_leader.notified() => continue,
+                () = shared.report_to_leader.notified() => continue,
             },
         };
         match result {
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,13 +1,13 @@
 //! Starts and stops the servers and threads of a daemon.
 
-use crate::admin::Admin;
+use crate::admin::AdminHandler;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::control::{self, ControlParts, Storage};
 use crate::error::{Error, Result};
 use crate::journal::Journal;
 use crate::shared::{CONTROL_QUEUE, Shared};
-use crate::traffic::Traffic;
+use crate::traffic::RequestHandler;
 use rand::TryRng as _;
 use rand::rngs::SysRng;
 use std::net::{SocketAddr, TcpListener};
@@ -66,7 +66,7 @@
     /// ```
     pub fn start(mut config: Config) -> Result<Self> {
         let keys = Keys::open(config.peer_keys.clone())
-            .map_err(|bad| Error::Setting { flag: "peer-keys", what: bad.to_string().into() })?;
+            .map_err(|bad| Error::Setting { flag: "peer-keys", detail: bad.to_string().into() })?;
         let callers = listen(config.callers, "callers", "callers")?;
         let admin = listen(config.control, "targets and operators", "control")?;
         let peers = listen(config.peer, "daemons", "peer")?;
@@ -171,10 +171,10 @@
     thread.join().unwrap_or(Err(Error::Stopped))
 }
 
-fn listen(at: SocketAddr, whom: &'static str, flag: &'static str) -> Result<TcpListener> {
+fn listen(at: SocketAddr, clients: &'static str, flag: &'static str) -> Result<TcpListener> {
     TcpListener::bind(at).map_err(|source| Error::Listen {
         address: at.to_string().into(),
-        whom,
+        clients,
         flag,
         source,
     })
@@ -208,7 +208,7 @@
         stall_timeout: config.stall_timeout,
     };
     let shared = shared.clone();
-    Server::start(listener, limits, move || Traffic::new(shared.clone(), random_u64()))
+    Server::start(listener, limits, move || RequestHandler::new(shared.clone(), random_u64()))
         .map_err(Error::Thread)
 }
 
@@ -219,7 +219,7 @@
         ..ServerLimits::default()
     };
     let shared = shared.clone();
-    Server::start(listener, limits, move || Admin::new(shared.clone(), random_u64()))
+    Server::start(listener, limits, move || AdminHandler::new(shared.clone(), random_u64()))
         .map_err(Error::Thread)
 }
 
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -148,7 +148,7 @@
         self.lease.renew(sent);
         self.shared.set_lease(self.lease.until());
         if self.runner_table_complete {
-            self.shared.set_informed();
+            self.shared.set_has_runner_table();
         }
     }
 
@@ -230,13 +230,14 @@
         for change in self.runners.values().filter(|change| change.usable) {
             let Some(owner) = &change.owner else { continue };
             let found = self.peer_entries.iter().find(|n| n.name == *owner && !n.draining);
-            let Some(callers) = found.and_then(|entry| entry.caller_address.parse().ok()) else {
+            let Some(caller_address) = found.and_then(|entry| entry.caller_address.parse().ok())
+            else {
                 continue;
             };
             let service = owners.entry(change.spec.service.as_str().into()).or_default();
             let owner = service.entry(owner.clone()).or_insert_with(|| Owner {
                 name: owner.clone(),
-                callers,
+                caller_address,
                 slots: 0,
             });
             owner.slots += change.spec.slots;
@@ -249,6 +250,6 @@
                 .map(|(service, owners)| (service, owners.into_values().collect()))
                 .collect(),
         };
-        self.shared.view.store(Arc::new(table));
+        self.shared.routing_table.store(Arc::new(table));
     }
 }
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -8,19 +8,19 @@
 /// Why the daemon cannot start or continue.
 #[derive(Debug, displaydoc::Display)]
 pub enum Error {
-    /// --{flag}: {what}
+    /// --{flag}: {detail}
     Setting {
         /// The flag, without dashes.
         flag: &'static str,
         /// The fault and its remedy.
-        what: Box<str>,
+        detail: Box<str>,
     },
-    /// cannot listen on {address} for {whom}: {source}; free the port or choose another with --{flag}
+    /// cannot listen on {address} for {clients}: {source}; free the port or choose another with --{flag}
     Listen {
         /// The requested address.
         address: Box<str>,
         /// The clients that connect to this address.
-        whom: &'static str,
+        clients: &'static str,
         /// The flag, without dashes.
         flag: &'static str,
         /// The error of the operating system.
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -67,7 +67,7 @@
     }
 
     /// Waits for the next finished operation; `None` when the thread has ended.
-    pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
+    pub(crate) async fn next_event(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
@@ -136,7 +136,7 @@
 }
 
 /// Converts a stored term and vote to the hard state of the consensus.
-pub(crate) fn from_hard(hard: TermAndVote) -> HardState {
+pub(crate) fn decode_hard_state(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
 }
@@ -150,7 +150,7 @@
 }
 
 /// Decodes a stored log record.
-pub(crate) fn to_entry(
+pub(crate) fn decode_log_entry(
     record: &Record,
 ) -> std::result::Result<LogEntry, yuccalink_protocol::peer::BadMessage> {
     let payload = yuccalink_protocol::peer::decode(&record.bytes)?;
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -7,7 +7,7 @@
 mod time;
 
 use crate::clock::{Clock, millis, unix_ms};
-use crate::shared::{Shared, no_leader};
+use crate::shared::{Shared, no_leader_problem};
 use crate::views;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/crates/daemon/src/leader/requests.rs
+++ b/crates/daemon/src/leader/requests.rs
@@ -12,7 +12,9 @@
             LeaderRequest::Submit { key, tasks } => return self.submit(key, tasks, reply),
             LeaderRequest::Cancel(tasks) => return self.cancel(tasks, reply),
             LeaderRequest::Announce { target, busy } => return self.announce(target, busy, reply),
-            LeaderRequest::Heartbeat { name, beat } => return self.heartbeat(&name, beat, reply),
+            LeaderRequest::Heartbeat { name, heartbeat } => {
+                return self.heartbeat(&name, heartbeat, reply);
+            }
             LeaderRequest::Leave { name, incarnation } => {
                 return self.leave(name, incarnation, reply);
             }
@@ -44,7 +46,9 @@
             LeaderRequest::Targets => LeaderResponse::Targets(self.targets()),
             LeaderRequest::Decisions => LeaderResponse::Decisions(self.shared.decisions.list()),
             // The replica answers these itself, as it knows the log and the members.
-            LeaderRequest::Status | LeaderRequest::Snapshot => LeaderResponse::Problem(no_leader()),
+            LeaderRequest::Status | LeaderRequest::Snapshot => {
+                LeaderResponse::Problem(no_leader_problem())
+            }
         };
         let _ = reply.send(response);
     }
@@ -206,12 +210,17 @@
         (wait > Duration::ZERO).then_some(wait)
     }
 
-    pub(super) fn heartbeat(&mut self, name: &Name, beat: Heartbeat, reply: Reply) {
+    pub(super) fn heartbeat(&mut self, name: &Name, heartbeat: Heartbeat, reply: Reply) {
         let now = self.clock.now();
-        let usage =
-            Usage { busy: beat.busy, millicores: beat.millicores, memory_mib: beat.memory_mib };
+        let usage = Usage {
+            busy: heartbeat.busy,
+            millicores: heartbeat.millicores,
+            memory_mib: heartbeat.memory_mib,
+        };
         let before = self.directory.version();
-        if self.directory.heartbeat(now, name, beat.incarnation, usage) != HeartbeatOutcome::Noted {
+        if self.directory.heartbeat(now, name, heartbeat.incarnation, usage)
+            != HeartbeatOutcome::Noted
+        {
             let message =
                 format!("this incarnation of target {name} is not known; announce it first");
             let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message);
@@ -229,12 +238,12 @@
             let _ = reply.send(LeaderResponse::Welcome(runner_heartbeat_reply()));
             return;
         }
-        self.worker_heartbeat(name, beat, reply);
+        self.worker_heartbeat(name, heartbeat, reply);
     }
 
-    pub(super) fn worker_heartbeat(&mut self, name: &Name, beat: Heartbeat, reply: Reply) {
+    pub(super) fn worker_heartbeat(&mut self, name: &Name, heartbeat: Heartbeat, reply: Reply) {
         let known = self.state.worker(name).filter(|(_, w)| {
-            w.spec.incarnation == beat.incarnation && w.phase != WorkerPhase::Gone
+            w.spec.incarnation == heartbeat.incarnation && w.phase != WorkerPhase::Gone
         });
         let Some((key, _)) = known else {
             // The worker was given up: its tasks may already run on other workers.
@@ -244,11 +253,11 @@
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         };
-        self.update_throttles(key, beat.millicores);
+        self.update_throttles(key, heartbeat.millicores);
         // The worker is asked for a list of its tasks as long as the digests differ.
         // A lasting difference then shows in two lists in a row.
-        let send_held = beat.held_digest != self.confirmed_digest(key);
-        let differences = match &beat.held {
+        let send_held = heartbeat.held_digest != self.confirmed_digest(key);
+        let differences = match &heartbeat.held {
             Some(held) => {
                 let held: Vec<_> = held.iter().map(|held| (held.task, held.epoch)).collect();
                 self.reconcile.compare(&self.state, key, &held)
@@ -266,7 +275,7 @@
         }
         let lost = differences.lost.into_iter();
         let lost = lost.map(|(task, epoch)| TaskReport { task, epoch, event: TaskEvent::Stopped });
-        let reports: Box<[TaskReport]> = beat.reports.into_iter().chain(lost).collect();
+        let reports: Box<[TaskReport]> = heartbeat.reports.into_iter().chain(lost).collect();
         if reports.is_empty() {
             let _ = reply.send(LeaderResponse::Welcome(worker_heartbeat_reply(send_held)));
             return;
--- a/crates/daemon/src/leader_client.rs
+++ b/crates/daemon/src/leader_client.rs
@@ -3,7 +3,7 @@
 //! requests are idempotent.
 
 use crate::replica::Replica;
-use crate::shared::{ASK_TIMEOUT, Shared, ToLeader, no_leader};
+use crate::shared::{LEADER_REQUEST_TIMEOUT, Shared, ToLeader, no_leader_problem};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -288,8 +288,8 @@
     pub(crate) async fn forward_requests(self: Rc<Self>, mut rx: mpsc::Receiver<ToLeader>) {
         let sender = self.clone();
         tokio::task::spawn_local(async move { sender.send_batches().await });
-        while let Some(ToLeader { ask: request, reply }) = rx.recv().await {
-            let deadline = Instant::now() + ASK_TIMEOUT;
+        while let Some(ToLeader { request, reply }) = rx.recv().await {
+            let deadline = Instant::now() + LEADER_REQUEST_TIMEOUT;
             if let Some(pending) = self.handle_locally(PendingRequest { request, reply, deadline })
             {
                 self.queue.borrow_mut().push_back(pending);
@@ -372,7 +372,7 @@
                         responses.len()
                     );
                     for pending in batch {
-                        let _ = pending.reply.send(LeaderResponse::Problem(no_leader()));
+                        let _ = pending.reply.send(LeaderResponse::Problem(no_leader_problem()));
                     }
                     return;
                 }
@@ -405,7 +405,7 @@
             let response = call.send().promise.await?;
             Ok(peer::read_parts(response.get()?.get_answers()?)?)
         };
-        let result = timeout(ASK_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
+        let result = timeout(LEADER_REQUEST_TIMEOUT, call).await.unwrap_or(Err(CallError::Timeout));
         if let Err(error) = &result
             && !matches!(error, CallError::Message(_))
         {
@@ -428,8 +428,9 @@
                 ITEM_BYTES
             }
         },
-        LeaderRequest::Heartbeat { beat, .. } => {
-            (beat.held.as_ref().map_or(0, Vec::len) + beat.reports.len()) * ITEM_BYTES + ITEM_BYTES
+        LeaderRequest::Heartbeat { heartbeat, .. } => {
+            (heartbeat.held.as_ref().map_or(0, Vec::len) + heartbeat.reports.len()) * ITEM_BYTES
+                + ITEM_BYTES
         }
         _ => ITEM_BYTES,
     }
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -5,9 +5,9 @@
 mod repair;
 
 use crate::clock::millis;
-use crate::journal::{DiskEvent, Journal, from_hard, to_entry};
+use crate::journal::{DiskEvent, Journal, decode_hard_state, decode_log_entry};
 use crate::leader::Leader;
-use crate::shared::{Shared, no_leader};
+use crate::shared::{Shared, no_leader_problem};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -91,9 +91,9 @@
         let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
+        let entries = records.iter().map(decode_log_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
-            hard: from_hard(hard),
+            hard: decode_hard_state(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
             entries,
         };
@@ -174,7 +174,9 @@
     }
 
     fn status_response(&self) -> LeaderResponse {
-        let Some(leader) = &self.leader else { return LeaderResponse::Problem(no_leader()) };
+        let Some(leader) = &self.leader else {
+            return LeaderResponse::Problem(no_leader_problem());
+        };
         let status: Status = leader.status(self.log_view(), self.member_views());
         LeaderResponse::Status(Box::new(status))
     }
@@ -194,7 +196,7 @@
     fn snapshot_response(&self) -> LeaderResponse {
         match self.encode_snapshot() {
             Some((_, bytes)) => LeaderResponse::Snapshot(bytes.into()),
-            None => LeaderResponse::Problem(no_leader()),
+            None => LeaderResponse::Problem(no_leader_problem()),
         }
     }
 
@@ -391,7 +393,7 @@
                 }
             }
         }
-        match journal.done().await {
+        match journal.next_event().await {
             Some(DiskEvent::Failed(error)) => {
                 // It is unknown which writes reached the disk, so no more may be
                 // acknowledged: the daemon stops and recovers from the disk.
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -31,13 +31,13 @@
 /// Delay before a request is sent to the next leader.
 const LEADER_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Maximum wait for the leader's response.
-pub(crate) const ASK_TIMEOUT: Duration = Duration::from_secs(3);
+pub(crate) const LEADER_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An entry that owns runners of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct Owner {
     pub(crate) name: Name,
-    pub(crate) callers: SocketAddr,
+    pub(crate) caller_address: SocketAddr,
     pub(crate) slots: u32,
 }
 
@@ -52,7 +52,7 @@
 /// A request to the leader and the channel for the response.
 #[derive(Debug)]
 pub(crate) struct ToLeader {
-    pub(crate) ask: LeaderRequest,
+    pub(crate) request: LeaderRequest,
     pub(crate) reply: oneshot::Sender<LeaderResponse>,
 }
 
@@ -76,7 +76,7 @@
 pub(crate) struct Shared {
     pub(crate) config: Config,
     pub(crate) clock: Clock,
-    pub(crate) view: ArcSwap<RoutingTable>,
+    pub(crate) routing_table: ArcSwap<RoutingTable>,
     pub(crate) decisions: Decisions,
     pub(crate) metrics: Metrics,
     pub(crate) in_flight: AtomicUsize,
@@ -85,9 +85,9 @@
     lease_until: AtomicU64,
     draining: AtomicBool,
     refusing: AtomicBool,
-    informed: AtomicBool,
+    has_runner_table: AtomicBool,
     /// Wakes the task that reports this entry's state to the leader.
-    pub(crate) tell_leader: Notify,
+    pub(crate) report_to_leader: Notify,
     leader: mpsc::Sender<ToLeader>,
 }
 
@@ -104,15 +104,15 @@
             metrics: Metrics::new(config.statsd),
             config,
             clock,
-            view: ArcSwap::default(),
+            routing_table: ArcSwap::default(),
             in_flight: AtomicUsize::new(0),
             keys,
             routing: Mutex::new(Routing { router, waiting: HashMap::new(), dequeued: Vec::new() }),
             lease_until: AtomicU64::new(0),
             draining: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            informed: AtomicBool::new(false),
-            tell_leader: Notify::new(),
+            has_runner_table: AtomicBool::new(false),
+            report_to_leader: Notify::new(),
             leader,
         }
     }
@@ -133,18 +133,18 @@
 
     /// Whether this entry has ever had a complete runner table. If it reported ready
     /// earlier, it would refuse requests that another entry could serve.
-    pub(crate) fn is_informed(&self) -> bool {
-        self.informed.load(Ordering::Acquire)
+    pub(crate) fn has_runner_table(&self) -> bool {
+        self.has_runner_table.load(Ordering::Acquire)
     }
 
-    pub(crate) fn set_informed(&self) {
-        self.informed.store(true, Ordering::Release);
+    pub(crate) fn set_has_runner_table(&self) {
+        self.has_runner_table.store(true, Ordering::Release);
     }
 
     /// Makes the readiness check for the load balancer fail. Requests are still served.
     pub(crate) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
-        self.tell_leader.notify_one();
+        self.report_to_leader.notify_one();
     }
 
     pub(crate) fn is_draining(&self) -> bool {
@@ -161,12 +161,12 @@
     }
 
     /// Sends a request to the leader and waits for the response, at most
-    /// [`ASK_TIMEOUT`].
-    pub(crate) async fn ask(&self, ask: LeaderRequest) -> LeaderResponse {
-        let deadline = Instant::now() + ASK_TIMEOUT;
+    /// [`LEADER_REQUEST_TIMEOUT`].
+    pub(crate) async fn request_leader(&self, request: LeaderRequest) -> LeaderResponse {
+        let deadline = Instant::now() + LEADER_REQUEST_TIMEOUT;
         loop {
             let (reply, response) = oneshot::channel();
-            if self.leader.try_send(ToLeader { ask: ask.clone(), reply }).is_err() {
+            if self.leader.try_send(ToLeader { request: request.clone(), reply }).is_err() {
                 return LeaderResponse::Problem(
                     Problem::new(
                         ProblemKind::Overloaded,
@@ -183,7 +183,7 @@
                 Ok(Err(_)) if Instant::now() + LEADER_RETRY_DELAY < deadline => {
                     sleep(LEADER_RETRY_DELAY).await
                 }
-                Ok(Err(_)) | Err(_) => return LeaderResponse::Problem(no_leader()),
+                Ok(Err(_)) | Err(_) => return LeaderResponse::Problem(no_leader_problem()),
             }
         }
     }
@@ -230,7 +230,7 @@
 }
 
 /// The problem for a request to which no leader responded.
-pub(crate) fn no_leader() -> Problem {
+pub(crate) fn no_leader_problem() -> Problem {
     let detail = "no leader responded in time; the request may or may not have been decided. \
                   Send it again with the same key or version";
     Problem::new(ProblemKind::NotServing, ExecutionStatus::Unknown, detail).retry_after(1000)
--- a/crates/daemon/src/traffic.rs
+++ b/crates/daemon/src/traffic.rs
@@ -24,8 +24,8 @@
     Grant, Refusal, RoutingRequest, RunnerKey, RunnerOutcome, Ticket,
 };
 use yuccalink_protocol::peer::{LeaderRequest, LeaderResponse};
-use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind, RAN};
-use yuccalink_protocol::request::{self, DEADLINE, FORWARDED_BY, IDEMPOTENCY_KEY};
+use yuccalink_protocol::problem::{ExecutionStatus, Problem, ProblemKind, RAN_HEADER};
+use yuccalink_protocol::request::{self, DEADLINE_HEADER, FORWARDED_BY, IDEMPOTENCY_KEY};
 use yuccalink_state::command::{RequestBegin, RequestEnd};
 use yuccalink_state::document::{Document, RequestKind};
 use yuccalink_state::id::Name;
@@ -54,7 +54,7 @@
 const LEDGER_GRACE_MS: u64 = 5_000;
 
 /// Handles callers' requests on one thread.
-pub(crate) struct Traffic {
+pub(crate) struct RequestHandler {
     shared: Arc<Shared>,
     pool: Pool,
     rng: RefCell<Pcg64Mcg>,
@@ -123,7 +123,7 @@
     DeadlinePassed,
 }
 
-impl Traffic {
+impl RequestHandler {
     pub(crate) fn new(shared: Arc<Shared>, seed: u64) -> Self {
         let settings = PoolSettings {
             connect_timeout: shared.config.connect_timeout,
@@ -156,8 +156,8 @@
         let (service, service_path) = request::split(&path).ok_or_else(|| {
             not_found_problem("the path names no service; send requests to /SERVICE/...".into())
         })?;
-        let view = self.shared.view.load();
-        let document = view.services.get(service).cloned().ok_or_else(|| {
+        let table = self.shared.routing_table.load();
+        let document = table.services.get(service).cloned().ok_or_else(|| {
             not_found_problem(format!(
                 "no service is called `{service}`; check the first part of the path"
             ))
@@ -170,7 +170,7 @@
                     head.method
                 ))
             })?;
-        let deadline = started_at + request_deadline(&kind, head.headers.get(DEADLINE))?;
+        let deadline = started_at + request_deadline(&kind, head.headers.get(DEADLINE_HEADER))?;
         let key = ledger_key(&document, &kind, head.headers.get(IDEMPOTENCY_KEY))?;
         let config = &self.shared.config;
         let (_, body) = body.replace_body(());
@@ -193,8 +193,8 @@
     // ---- routing ----
 
     fn owns_runners(&self, document: &Document) -> bool {
-        let view = self.shared.view.load();
-        let owners = view.owners.get(document.service.as_str());
+        let table = self.shared.routing_table.load();
+        let owners = table.owners.get(document.service.as_str());
         owners.is_some_and(|owners| owners.iter().any(|o| o.name == self.shared.config.name))
     }
 
@@ -382,7 +382,7 @@
         let end =
             RequestEnd { key, attempt: self.attempt, ended: RequestOutcome::Answered(stored) };
         if let LeaderResponse::Problem(problem) =
-            self.shared.ask(LeaderRequest::RequestEnd(end)).await
+            self.shared.request_leader(LeaderRequest::RequestEnd(end)).await
         {
             log::warn!("cannot store a response for resent requests: {}", problem.detail);
         }
@@ -450,7 +450,7 @@
     }
 }
 
-impl Handler for Traffic {
+impl Handler for RequestHandler {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let started_at = Instant::now();
         let _in_flight = InFlight::new(&self.shared);
@@ -523,8 +523,8 @@
 
 /// Whether another entry reports that the request was not executed.
 fn refused_before_start(upstream: &pool::UpstreamResponse) -> bool {
-    let ran = upstream.head.headers.get(RAN);
-    ran.is_some_and(|value| value.as_bytes() == ExecutionStatus::NotRun.token().as_bytes())
+    let ran = upstream.head.headers.get(RAN_HEADER);
+    ran.is_some_and(|value| value.as_bytes() == ExecutionStatus::NotRun.header_value().as_bytes())
         && upstream.head.status == StatusCode::SERVICE_UNAVAILABLE
 }
 
@@ -542,7 +542,7 @@
     let Some(header) = header else { return Ok(Duration::from_millis(max_ms)) };
     let requested_ms = header.to_str().ok().and_then(|text| text.parse::<u64>().ok());
     let Some(requested_ms) = requested_ms else {
-        let detail = format!("{DEADLINE} must be a whole number of milliseconds");
+        let detail = format!("{DEADLINE_HEADER} must be a whole number of milliseconds");
         return Err(Problem::new(ProblemKind::BadRequest, ExecutionStatus::NotRun, detail));
     };
     Ok(Duration::from_millis(requested_ms.min(max_ms)))
--- a/crates/daemon/src/traffic/at_most_once.rs
+++ b/crates/daemon/src/traffic/at_most_once.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Traffic {
+impl RequestHandler {
     /// Runs a request if it is the first with its key. Otherwise returns the outcome of
     /// the first request.
     pub(super) async fn run_at_most_once(
@@ -84,7 +84,7 @@
             at_ms,
             until_ms: at_ms.saturating_add(remaining).saturating_add(LEDGER_GRACE_MS),
         });
-        match self.shared.ask(request).await {
+        match self.shared.request_leader(request).await {
             LeaderResponse::Request(verdict) => Ok(verdict),
             LeaderResponse::Problem(mut problem) => {
                 // Nothing has been sent to a runner, whether or not the leader recorded the
@@ -119,11 +119,11 @@
         self.record_end(&key, attempt, outcome).await;
         // The service's runners may have moved to another entry meanwhile. The key is free
         // again, so that entry can record the request anew.
-        let view = self.shared.view.load_full();
+        let table = self.shared.routing_table.load_full();
         if not_run
             && !inbound.is_forwarded
             && Instant::now() < inbound.deadline
-            && self.pick_other_owner(&view, &inbound.document, &[]).is_some()
+            && self.pick_other_owner(&table, &inbound.document, &[]).is_some()
         {
             return self.forward(inbound, Refusal::NoneHealthy, Duration::from_secs(1)).await;
         }
@@ -132,6 +132,6 @@
 
     pub(super) async fn record_end(&self, key: &RequestKey, attempt: u64, ended: RequestOutcome) {
         let end = RequestEnd { key: key.clone(), attempt, ended };
-        let _ = self.shared.ask(LeaderRequest::RequestEnd(end)).await;
+        let _ = self.shared.request_leader(LeaderRequest::RequestEnd(end)).await;
     }
 }
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Traffic {
+impl RequestHandler {
     /// Forwards a request to another entry that owns runners of the service, and to
     /// the next one if that entry did not execute it.
     pub(super) async fn forward(
@@ -13,8 +13,8 @@
     ) -> Result<WebResponse, Problem> {
         let mut tried: Vec<Name> = Vec::new();
         loop {
-            let view = self.shared.view.load_full();
-            let Some(owner) = self.pick_other_owner(&view, &inbound.document, &tried) else {
+            let table = self.shared.routing_table.load_full();
+            let Some(owner) = self.pick_other_owner(&table, &inbound.document, &tried) else {
                 return Err(self.refusal_problem(inbound, refusal, retry_after));
             };
             self.log_decision(inbound, &format!("handed on to entry {}: {refusal}", owner.name));
@@ -50,8 +50,8 @@
             request.headers.insert(HeaderName::from_static(FORWARDED_BY), value);
         }
         let remaining = inbound.deadline.saturating_duration_since(Instant::now());
-        let req = request.build_upstream_request(owner.callers, remaining);
-        self.pool.send(owner.callers, req, inbound.deadline).await
+        let req = request.build_upstream_request(owner.caller_address, remaining);
+        self.pool.send(owner.caller_address, req, inbound.deadline).await
     }
 
     /// Streams another entry's response to the caller.
@@ -74,11 +74,11 @@
     /// Picks one of the other owners at random, weighted by their slots.
     pub(super) fn pick_other_owner(
         &self,
-        view: &RoutingTable,
+        table: &RoutingTable,
         document: &Document,
         tried: &[Name],
     ) -> Option<Owner> {
-        let owners = view.owners.get(document.service.as_str())?;
+        let owners = table.owners.get(document.service.as_str())?;
         let own = &self.shared.config.name;
         let others = || owners.iter().filter(|o| o.name != *own && !tried.contains(&o.name));
         let total_slots: u32 = others().map(|owner| owner.slots).sum();
--- a/crates/daemon/src/traffic/runner_attempt.rs
+++ b/crates/daemon/src/traffic/runner_attempt.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Traffic {
+impl RequestHandler {
     pub(super) async fn try_runner(
         &self,
         inbound: &Arc<InboundRequest>,
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yuccalink_protocol::request::{DEADLINE, HOP_BY_HOP};
+use yuccalink_protocol::request::{DEADLINE_HEADER, HOP_BY_HOP};
 use yuccalink_state::ledger::{self, Header};
 use yuccalink_transport::http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri, header};
 
@@ -43,7 +43,8 @@
         {
             headers.insert(header::HOST, host);
         }
-        headers.insert(HeaderName::from_static(DEADLINE), HeaderValue::from(millis(remaining)));
+        headers
+            .insert(HeaderName::from_static(DEADLINE_HEADER), HeaderValue::from(millis(remaining)));
         req
     }
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -62,7 +62,8 @@
         /// Name of the target.
         name: Name,
         /// Report of the target.
-        beat: Heartbeat,
+        #[serde(rename = "beat")]
+        heartbeat: Heartbeat,
     },
     /// Deregisters a target.
     Leave {
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -22,11 +22,11 @@
 
 /// Response header that repeats the `ran` field of a problem document, for clients
 /// that decide about a retry before they read the body.
-pub const RAN: &str = "yuccalink-ran";
+pub const RAN_HEADER: &str = "yuccalink-ran";
 
 impl ExecutionStatus {
-    /// Value for the header [`RAN`].
-    pub fn token(self) -> &'static str {
+    /// Value for the header [`RAN_HEADER`].
+    pub fn header_value(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
             Self::Ran => "ran",
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -8,7 +8,7 @@
 /// Header of a request that one entry forwarded to another, which must not forward it again.
 pub const FORWARDED_BY: &str = "yuccalink-handed-on";
 /// Header with the remaining time until a request's deadline, in milliseconds.
-pub const DEADLINE: &str = "yuccalink-deadline-ms";
+pub const DEADLINE_HEADER: &str = "yuccalink-deadline-ms";
 /// Header with the caller's key of a request that must be executed at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
--- a/crates/transport/src/reply.rs
+++ b/crates/transport/src/reply.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use xitca_web::body::ResponseBody;
 use xitca_web::http::WebResponse;
-use yuccalink_protocol::problem::{MEDIA_TYPE, Problem, RAN};
+use yuccalink_protocol::problem::{MEDIA_TYPE, Problem, RAN_HEADER};
 
 /// Media type of JSON bodies.
 pub const JSON: &str = "application/json";
@@ -43,7 +43,10 @@
     let mut response = json(status, problem);
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
-    headers.insert(HeaderName::from_static(RAN), HeaderValue::from_static(problem.ran.token()));
+    headers.insert(
+        HeaderName::from_static(RAN_HEADER),
+        HeaderValue::from_static(problem.ran.header_value()),
+    );
     if let Some(ms) = problem.retry_after_ms {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(ms.div_ceil(1000)));
     }
