--- a/crates/daemon/src/cell/connections.rs
+++ b/crates/daemon/src/cell/connections.rs
@@ -10,7 +10,7 @@
 /// without a response.
 const REJECTING_MAX: usize = 64;
 /// Minimum interval between log lines about rejected connections.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts the connections of a process and enforces their limit.
 #[derive(Debug)]
@@ -110,7 +110,7 @@
 
     fn log_rejections(&self) {
         let now = Instant::now();
-        if self.logged_at.get().is_some_and(|at| now - at < TELL_EVERY) {
+        if self.logged_at.get().is_some_and(|at| now - at < REJECTION_LOG_INTERVAL) {
             return;
         }
         self.logged_at.set(Some(now));
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -6,7 +6,7 @@
 /// Bytes of documents in one update, which always carries at least one document. 64 KiB
 /// take a quarter of a second on a link of 2 Mbit/s; an update that takes longer than the
 /// timeout of a call would never arrive.
-const DOCUMENTS_BYTES: usize = 64 * 1024;
+const DOCUMENTS_MAX_BYTES: usize = 64 * 1024;
 /// Runners in one update, at about 150 bytes each.
 const RUNNERS_MAX: usize = 400;
 
@@ -80,7 +80,7 @@
     }
 
     /// Returns the documents accepted after `revision`, oldest first and limited to
-    /// [`DOCUMENTS_BYTES`], and the revision up to which they are complete.
+    /// [`DOCUMENTS_MAX_BYTES`], and the revision up to which they are complete.
     fn documents_after(&self, revision: u64) -> (Vec<Accepted>, u64) {
         let accepted = self.state.services().map(|service| &service.accepted);
         let mut new: Vec<&Accepted> = accepted.filter(|a| a.revision.0 > revision).collect();
@@ -88,7 +88,7 @@
         let mut bytes = 0;
         let fits = |accepted: &&&Accepted| {
             bytes += accepted.text.len();
-            bytes <= DOCUMENTS_BYTES || bytes == accepted.text.len()
+            bytes <= DOCUMENTS_MAX_BYTES || bytes == accepted.text.len()
         };
         let sent: Vec<Accepted> = new.iter().take_while(fits).map(|a| Accepted::clone(a)).collect();
         let up_to = match sent.len() < new.len() {
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -28,16 +28,16 @@
 /// Limit of messages queued for one other voter; beyond it the oldest are dropped.
 const OUTBOX_MAX: usize = 1024;
 /// Log records after which a snapshot is taken.
-const SNAPSHOT_RECORDS: u64 = 20_000;
+const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
 /// Bytes of log after which a snapshot is taken.
-const SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
+const SNAPSHOT_AFTER_BYTES: u64 = 64 * 1024 * 1024;
 /// Time without a message from a voter's old disk after which a replica with a new disk may
 /// replace it.
 const OLD_DISK_SILENCE_MIN: Duration = Duration::from_secs(3);
 /// Time after which a request to join expires if it is not repeated.
 const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(30);
 /// Largest number of commands in one proposal.
-const BATCH_MAX: usize = 1024;
+const PROPOSAL_MAX_COMMANDS: usize = 1024;
 
 /// Next operation for the disk thread.
 pub(crate) enum DiskTask {
@@ -60,20 +60,20 @@
     /// The state machine; `None` while this replica leads, as the leader then owns it.
     state: Option<StateMachine>,
     leader: Option<Leader>,
-    applied: u64,
-    writes: Vec<LogWrite>,
+    applied_index: u64,
+    pending_writes: Vec<LogWrite>,
     pending_install: Option<(SnapshotMeta, Vec<u8>)>,
     /// Messages to be sent once the write with this sequence number is durable.
     held_messages: VecDeque<(u64, Envelope)>,
     /// Sequence number of the last durable write.
-    durable_seq: u64,
+    persisted_seq: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
     join_requests: BTreeMap<ReplicaId, JoinRequest>,
     /// Daemon name of each replica that sent a message, as it gave it.
     sender_names: BTreeMap<ReplicaId, Name>,
     log_counters: LogCounters,
     /// Log counters at the last snapshot.
-    snapshot_counters: LogCounters,
+    counters_at_snapshot: LogCounters,
     /// Wakes the task that passes work to the disk thread.
     pub(crate) disk_wake: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
@@ -103,16 +103,16 @@
             raft,
             state: Some(state),
             leader: None,
-            applied: meta.index,
-            writes: Vec::new(),
+            applied_index: meta.index,
+            pending_writes: Vec::new(),
             pending_install: None,
             held_messages: VecDeque::new(),
-            durable_seq: 0,
+            persisted_seq: 0,
             outboxes: BTreeMap::new(),
             join_requests: BTreeMap::new(),
             sender_names: BTreeMap::new(),
             log_counters: LogCounters::default(),
-            snapshot_counters: LogCounters::default(),
+            counters_at_snapshot: LogCounters::default(),
             disk_wake: Arc::default(),
             message_wake: Arc::default(),
             order_wake: Arc::default(),
@@ -138,7 +138,7 @@
         log::info!("bootstrapping a new system with the voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
-        self.process_output();
+        self.process_raft_output();
     }
 
     /// Returns the leader while this replica holds the leader lease, so that no other
@@ -236,7 +236,7 @@
             self.sender_names.insert(envelope.from, from.clone());
         }
         self.raft.step(self.shared.clock.now(), envelope);
-        self.process_output();
+        self.process_raft_output();
     }
 
     pub(crate) fn tick(&mut self) {
@@ -253,7 +253,7 @@
     /// arrive meanwhile share the next sync.
     pub(crate) fn propose(&mut self) {
         if let Some(leader) = &mut self.leader {
-            let commands = leader.next_batch(BATCH_MAX);
+            let commands = leader.next_batch(PROPOSAL_MAX_COMMANDS);
             if !commands.is_empty() {
                 let encoded: Result<Vec<Arc<[u8]>>, _> =
                     commands.iter().map(|c| store::encode(c).map(Into::into)).collect();
@@ -271,15 +271,15 @@
                 }
             }
         }
-        self.process_output();
+        self.process_raft_output();
     }
 
     /// Processes the output of the consensus: writes, messages, committed entries, role changes.
-    fn process_output(&mut self) {
+    fn process_raft_output(&mut self) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
-            self.writes.extend(output.persist);
+            self.pending_writes.extend(output.persist);
             self.held_messages.extend(output.messages);
             if output.install.is_some() {
                 self.pending_install = output.install;
@@ -296,13 +296,13 @@
             }
         }
         self.release_messages();
-        if !self.writes.is_empty() || self.pending_install.is_some() {
+        if !self.pending_writes.is_empty() || self.pending_install.is_some() {
             self.disk_wake.notify_one();
         }
     }
 
     fn apply(&mut self, index: u64, entry: &LogEntry) {
-        self.applied = index;
+        self.applied_index = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command = match store::decode(bytes) {
             Ok(command) => command,
@@ -330,7 +330,7 @@
             && self.leader.is_none()
             && let Some(state) = self.state.take()
         {
-            log::info!("leading in term {} from record {}", self.raft.term(), self.applied);
+            log::info!("leading in term {} from record {}", self.raft.term(), self.applied_index);
             let shared = self.shared.clone();
             let leader = Leader::new(shared, self.raft.term(), state, self.order_wake.clone());
             self.leader = Some(leader);
@@ -342,7 +342,7 @@
         let mut any = false;
         let mut later = VecDeque::new();
         for (seq, envelope) in std::mem::take(&mut self.held_messages) {
-            if seq > self.durable_seq {
+            if seq > self.persisted_seq {
                 later.push_back((seq, envelope));
                 continue;
             }
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -5,8 +5,8 @@
 impl Replica {
     /// Returns the next operation for the disk thread, writes first.
     pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
-        if !self.writes.is_empty() {
-            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
+        if !self.pending_writes.is_empty() {
+            return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
         }
         if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
@@ -18,7 +18,7 @@
     pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent) {
         match event {
             DiskEvent::Written { seq, counts } => {
-                self.durable_seq = *seq;
+                self.persisted_seq = *seq;
                 self.log_counters = *counts;
                 self.raft.persisted(*seq, self.shared.clock.now());
             }
@@ -35,7 +35,7 @@
             Ok(found) => {
                 log::info!("installed the leader's snapshot of record {}", meta.index);
                 self.state = Some(found.state);
-                self.applied = meta.index;
+                self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
@@ -50,7 +50,7 @@
             Some(leader) => leader.state(),
             None => self.state.as_ref()?,
         };
-        let index = self.applied;
+        let index = self.applied_index;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
@@ -65,12 +65,12 @@
     }
 
     pub(super) fn snapshot_due(&mut self) -> Option<DiskTask> {
-        let records = self.log_counters.records - self.snapshot_counters.records;
-        let bytes = self.log_counters.bytes - self.snapshot_counters.bytes;
-        if records < SNAPSHOT_RECORDS && bytes < SNAPSHOT_BYTES {
+        let records = self.log_counters.records - self.counters_at_snapshot.records;
+        let bytes = self.log_counters.bytes - self.counters_at_snapshot.bytes;
+        if records < SNAPSHOT_AFTER_RECORDS && bytes < SNAPSHOT_AFTER_BYTES {
             return None;
         }
-        self.snapshot_counters = self.log_counters;
+        self.counters_at_snapshot = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
@@ -79,14 +79,14 @@
         if let Some((meta, bytes)) = self.encode_snapshot() {
             log::info!("sending replica {to} a snapshot of record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
-            self.process_output();
+            self.process_raft_output();
         }
     }
 
     /// Asks another voter to take over the leadership before a planned stop.
     pub(crate) fn transfer_leadership(&mut self) -> bool {
         let started = self.raft.transfer_leadership();
-        self.process_output();
+        self.process_raft_output();
         started
     }
 
