--- a/crates/daemon/src/cell/membership.rs
+++ b/crates/daemon/src/cell/membership.rs
@@ -33,7 +33,7 @@
     let Some(member) = member_of(&node.peer_table.me) else { return };
     let Some(replica) = &mut node.replica else { return };
     if replica.raft.is_empty() {
-        log::info!("bootstrapping a new cell with replica {}", member.id);
+        log::info!("bootstrapping a new Raft group with voters {}", member.id);
         replica.raft.bootstrap(Members { voters: vec![member], learners: Vec::new() }, now.at);
     }
 }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -135,7 +135,7 @@
     TermAndVote { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
 }
 
-/// Converts a stored term and vote to the hard state of the consensus.
+/// Converts a stored term and vote to Raft's hard state.
 pub(crate) fn decode_hard_state(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
--- a/crates/daemon/src/leader/entries.rs
+++ b/crates/daemon/src/leader/entries.rs
@@ -3,11 +3,11 @@
 use super::*;
 use yuccalink_state::document::Accepted;
 
-/// Bytes of documents in one update, which always carries at least one document. 64 KiB
-/// take a quarter of a second on a link of 2 Mbit/s; an update that takes longer than the
+/// Largest total size of the documents in one update; a single larger document is still
+/// sent. 64 KiB take a quarter of a second on a link of 2 Mbit/s; an update that takes longer than the
 /// timeout of a call would never arrive.
 const DOCUMENTS_MAX_BYTES: usize = 64 * 1024;
-/// Runners in one update, at about 150 bytes each.
+/// Largest number of runners in one update, at about 150 bytes each.
 const RUNNERS_MAX: usize = 400;
 
 impl Leader {
--- a/crates/daemon/src/leader/requests.rs
+++ b/crates/daemon/src/leader/requests.rs
@@ -246,7 +246,7 @@
             w.spec.incarnation == heartbeat.incarnation && w.phase != WorkerPhase::Gone
         });
         let Some((key, _)) = known else {
-            // The worker was given up: its tasks may already run on other workers.
+            // The leader gave up this worker: its tasks may already run on other workers.
             let message =
                 format!("worker {name} was given up; stop its tasks and announce it again");
             let problem = Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message);
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -1,5 +1,5 @@
-//! One Raft replica: connects the consensus to the disk, the network, the state machine
-//! and, while it leads, the leader.
+//! One Raft replica: connects Raft to the disk, the network, the state machine and, while
+//! this replica leads, the leader.
 
 mod disk;
 mod repair;
@@ -29,7 +29,7 @@
 const OUTBOX_MAX: usize = 1024;
 /// Log records after which a snapshot is taken.
 const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
-/// Bytes of log after which a snapshot is taken.
+/// Log bytes after which a snapshot is taken.
 const SNAPSHOT_AFTER_BYTES: u64 = 64 * 1024 * 1024;
 /// Time without a message from a voter's old disk after which a replica with a new disk may
 /// replace it.
@@ -39,7 +39,7 @@
 /// Largest number of commands in one proposal.
 const PROPOSAL_MAX_COMMANDS: usize = 1024;
 
-/// Next operation for the disk thread.
+/// A task for the disk thread.
 pub(crate) enum DiskTask {
     Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
@@ -63,18 +63,18 @@
     applied_index: u64,
     pending_writes: Vec<LogWrite>,
     pending_install: Option<(SnapshotMeta, Vec<u8>)>,
-    /// Messages to be sent once the write with this sequence number is durable.
+    /// Messages that wait until the write with their sequence number is on disk.
     held_messages: VecDeque<(u64, Envelope)>,
-    /// Sequence number of the last durable write.
+    /// Sequence number of the last write that is on disk.
     persisted_seq: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
     join_requests: BTreeMap<ReplicaId, JoinRequest>,
-    /// Daemon name of each replica that sent a message, as it gave it.
+    /// Daemon name of each replica that sent a message, as stated in the message.
     sender_names: BTreeMap<ReplicaId, Name>,
     log_counters: LogCounters,
-    /// Log counters at the last snapshot.
+    /// Value of `log_counters` when the last snapshot was taken.
     counters_at_snapshot: LogCounters,
-    /// Wakes the task that passes work to the disk thread.
+    /// Wakes the task that passes disk tasks to the disk thread.
     pub(crate) disk_wake: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
     pub(crate) message_wake: Arc<Notify>,
@@ -135,7 +135,7 @@
     /// Bootstraps a new Raft group; see [`Raft::bootstrap`].
     pub(crate) fn bootstrap(&mut self, voters: Vec<Member>) {
         let names: Vec<String> = voters.iter().map(|voter| voter.name.to_string()).collect();
-        log::info!("bootstrapping a new system with the voters {}", names.join(", "));
+        log::info!("bootstrapping a new Raft group with voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
         self.process_raft_output();
@@ -261,11 +261,11 @@
                 match encoded.map(|bytes| self.raft.propose(now, bytes)) {
                     Ok(Ok(first)) => leader.record_batch_index(first),
                     Ok(Err(error)) => {
-                        log::debug!("the proposal was refused: {error}");
+                        log::debug!("no command was proposed: {error}");
                         leader.drop_batch();
                     }
                     Err(error) => {
-                        log::error!("a command cannot be encoded: {error}");
+                        log::error!("cannot encode commands: {error}");
                         leader.drop_batch();
                     }
                 }
@@ -274,7 +274,7 @@
         self.process_raft_output();
     }
 
-    /// Processes the output of the consensus: writes, messages, committed entries, role changes.
+    /// Processes the output of Raft: writes, messages, committed entries, role changes.
     fn process_raft_output(&mut self) {
         loop {
             let output = self.raft.take();
@@ -309,7 +309,7 @@
             Err(error) => {
                 // Skipping the record would make this replica's state diverge from the
                 // others for good.
-                log::error!("record {index} cannot be applied: {error}");
+                log::error!("cannot decode record {index}; aborting: {error}");
                 std::process::abort();
             }
         };
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Queues the messages whose preceding writes are durable for sending.
+    /// Moves messages whose writes are on disk to the outboxes.
     fn release_messages(&mut self) {
         let mut any = false;
         let mut later = VecDeque::new();
@@ -372,7 +372,7 @@
     }
 }
 
-/// Passes work to the disk thread until told to stop.
+/// Passes disk tasks to the disk thread until the disk fails or the daemon stops.
 pub(crate) async fn run_disk_tasks(
     replica: std::rc::Rc<std::cell::RefCell<Replica>>,
     mut journal: Journal,
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -1,9 +1,9 @@
-//! Disk work of a replica: writes, snapshots and their completion. Also leadership transfer.
+//! Disk tasks of a replica: writes, snapshots and their completion. Also leadership transfer.
 
 use super::*;
 
 impl Replica {
-    /// Returns the next operation for the disk thread, writes first.
+    /// Returns the next disk task; writes come first.
     pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
         if !self.pending_writes.is_empty() {
             return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
@@ -14,7 +14,7 @@
         self.snapshot_due()
     }
 
-    /// Handles the completion of a disk operation.
+    /// Handles the completion of a disk task.
     pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent) {
         match event {
             DiskEvent::Written { seq, counts } => {
@@ -33,13 +33,13 @@
         let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
-                log::info!("installed the leader's snapshot of record {}", meta.index);
+                log::info!("installed the leader's snapshot up to record {}", meta.index);
                 self.state = Some(found.state);
                 self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
-                log::error!("the leader's snapshot cannot be read: {error}");
+                log::error!("cannot decode the leader's snapshot: {error}");
                 self.raft.installed(None);
             }
         }
@@ -58,7 +58,7 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("the snapshot cannot be encoded: {error}");
+                log::error!("cannot encode a snapshot: {error}");
                 None
             }
         }
@@ -77,7 +77,7 @@
 
     pub(super) fn offer_snapshot(&mut self, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} a snapshot of record {}", meta.index);
+            log::info!("sending replica {to} a snapshot up to record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
             self.process_raft_output();
         }
