--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -67,7 +67,7 @@
     }
 
     /// Waits for the next finished operation; `None` when the thread has ended.
-    pub(crate) async fn done(&mut self) -> Option<DiskEvent> {
+    pub(crate) async fn next_event(&mut self) -> Option<DiskEvent> {
         self.done.recv().await
     }
 
@@ -135,8 +135,8 @@
     TermAndVote { term: hard.term, vote: hard.vote.map_or(0, |id| id.0) }
 }
 
-/// Converts a stored term and vote to the hard state of the consensus.
-pub(crate) fn from_hard(hard: TermAndVote) -> HardState {
+/// Converts a stored term and vote to Raft's hard state.
+pub(crate) fn decode_hard_state(hard: TermAndVote) -> HardState {
     let vote = (hard.vote != 0).then_some(ReplicaId(hard.vote));
     HardState { term: hard.term, vote }
 }
@@ -150,7 +150,7 @@
 }
 
 /// Decodes a stored log record.
-pub(crate) fn to_entry(
+pub(crate) fn decode_log_entry(
     record: &Record,
 ) -> std::result::Result<LogEntry, yuccalink_protocol::peer::BadMessage> {
     let payload = yuccalink_protocol::peer::decode(&record.bytes)?;
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -1,13 +1,13 @@
-//! One Raft replica: connects the consensus to the disk, the network, the state machine
-//! and, while it leads, the leader.
+//! One Raft replica: connects Raft to the disk, the network, the state machine and, while
+//! this replica leads, the leader.
 
 mod disk;
 mod repair;
 
 use crate::clock::millis;
-use crate::journal::{DiskEvent, Journal, from_hard, to_entry};
+use crate::journal::{DiskEvent, Journal, decode_hard_state, decode_log_entry};
 use crate::leader::Leader;
-use crate::shared::{Shared, no_leader};
+use crate::shared::{Shared, no_leader_problem};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,18 +28,18 @@
 /// Limit of messages queued for one other voter; beyond it the oldest are dropped.
 const OUTBOX_MAX: usize = 1024;
 /// Log records after which a snapshot is taken.
-const SNAPSHOT_RECORDS: u64 = 20_000;
-/// Bytes of log after which a snapshot is taken.
-const SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
+const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
+/// Log bytes after which a snapshot is taken.
+const SNAPSHOT_AFTER_BYTES: u64 = 64 * 1024 * 1024;
 /// Time without a message from a voter's old disk after which a replica with a new disk may
 /// replace it.
 const OLD_DISK_SILENCE_MIN: Duration = Duration::from_secs(3);
 /// Time after which a request to join expires if it is not repeated.
 const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(30);
 /// Largest number of commands in one proposal.
-const BATCH_MAX: usize = 1024;
+const PROPOSAL_MAX_COMMANDS: usize = 1024;
 
-/// Next operation for the disk thread.
+/// A task for the disk thread.
 pub(crate) enum DiskTask {
     Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
@@ -60,21 +60,21 @@
     /// The state machine; `None` while this replica leads, as the leader then owns it.
     state: Option<StateMachine>,
     leader: Option<Leader>,
-    applied: u64,
-    writes: Vec<LogWrite>,
+    applied_index: u64,
+    pending_writes: Vec<LogWrite>,
     pending_install: Option<(SnapshotMeta, Vec<u8>)>,
-    /// Messages to be sent once the write with this sequence number is durable.
+    /// Messages that wait until the write with their sequence number is on disk.
     held_messages: VecDeque<(u64, Envelope)>,
-    /// Sequence number of the last durable write.
-    durable_seq: u64,
+    /// Sequence number of the last write that is on disk.
+    persisted_seq: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
     join_requests: BTreeMap<ReplicaId, JoinRequest>,
-    /// Daemon name of each replica that sent a message, as it gave it.
+    /// Daemon name of each replica that sent a message, as stated in the message.
     sender_names: BTreeMap<ReplicaId, Name>,
     log_counters: LogCounters,
-    /// Log counters at the last snapshot.
-    snapshot_counters: LogCounters,
-    /// Wakes the task that passes work to the disk thread.
+    /// Value of `log_counters` when the last snapshot was taken.
+    counters_at_snapshot: LogCounters,
+    /// Wakes the task that passes disk tasks to the disk thread.
     pub(crate) disk_wake: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
     pub(crate) message_wake: Arc<Notify>,
@@ -91,9 +91,9 @@
         let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
+        let entries = records.iter().map(decode_log_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
-            hard: from_hard(hard),
+            hard: decode_hard_state(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
             entries,
         };
@@ -103,16 +103,16 @@
             raft,
             state: Some(state),
             leader: None,
-            applied: meta.index,
-            writes: Vec::new(),
+            applied_index: meta.index,
+            pending_writes: Vec::new(),
             pending_install: None,
             held_messages: VecDeque::new(),
-            durable_seq: 0,
+            persisted_seq: 0,
             outboxes: BTreeMap::new(),
             join_requests: BTreeMap::new(),
             sender_names: BTreeMap::new(),
             log_counters: LogCounters::default(),
-            snapshot_counters: LogCounters::default(),
+            counters_at_snapshot: LogCounters::default(),
             disk_wake: Arc::default(),
             message_wake: Arc::default(),
             order_wake: Arc::default(),
@@ -135,10 +135,10 @@
     /// Bootstraps a new Raft group; see [`Raft::bootstrap`].
     pub(crate) fn bootstrap(&mut self, voters: Vec<Member>) {
         let names: Vec<String> = voters.iter().map(|voter| voter.name.to_string()).collect();
-        log::info!("bootstrapping a new system with the voters {}", names.join(", "));
+        log::info!("bootstrapping a new Raft group with voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
-        self.process_output();
+        self.process_raft_output();
     }
 
     /// Returns the leader while this replica holds the leader lease, so that no other
@@ -174,7 +174,9 @@
     }
 
     fn status_response(&self) -> LeaderResponse {
-        let Some(leader) = &self.leader else { return LeaderResponse::Problem(no_leader()) };
+        let Some(leader) = &self.leader else {
+            return LeaderResponse::Problem(no_leader_problem());
+        };
         let status: Status = leader.status(self.log_view(), self.member_views());
         LeaderResponse::Status(Box::new(status))
     }
@@ -194,7 +196,7 @@
     fn snapshot_response(&self) -> LeaderResponse {
         match self.encode_snapshot() {
             Some((_, bytes)) => LeaderResponse::Snapshot(bytes.into()),
-            None => LeaderResponse::Problem(no_leader()),
+            None => LeaderResponse::Problem(no_leader_problem()),
         }
     }
 
@@ -234,7 +236,7 @@
             self.sender_names.insert(envelope.from, from.clone());
         }
         self.raft.step(self.shared.clock.now(), envelope);
-        self.process_output();
+        self.process_raft_output();
     }
 
     pub(crate) fn tick(&mut self) {
@@ -251,7 +253,7 @@
     /// arrive meanwhile share the next sync.
     pub(crate) fn propose(&mut self) {
         if let Some(leader) = &mut self.leader {
-            let commands = leader.next_batch(BATCH_MAX);
+            let commands = leader.next_batch(PROPOSAL_MAX_COMMANDS);
             if !commands.is_empty() {
                 let encoded: Result<Vec<Arc<[u8]>>, _> =
                     commands.iter().map(|c| store::encode(c).map(Into::into)).collect();
@@ -259,25 +261,25 @@
                 match encoded.map(|bytes| self.raft.propose(now, bytes)) {
                     Ok(Ok(first)) => leader.record_batch_index(first),
                     Ok(Err(error)) => {
-                        log::debug!("the proposal was refused: {error}");
+                        log::debug!("no command was proposed: {error}");
                         leader.drop_batch();
                     }
                     Err(error) => {
-                        log::error!("a command cannot be encoded: {error}");
+                        log::error!("cannot encode commands: {error}");
                         leader.drop_batch();
                     }
                 }
             }
         }
-        self.process_output();
+        self.process_raft_output();
     }
 
-    /// Processes the output of the consensus: writes, messages, committed entries, role changes.
-    fn process_output(&mut self) {
+    /// Processes the output of Raft: writes, messages, committed entries, role changes.
+    fn process_raft_output(&mut self) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
-            self.writes.extend(output.persist);
+            self.pending_writes.extend(output.persist);
             self.held_messages.extend(output.messages);
             if output.install.is_some() {
                 self.pending_install = output.install;
@@ -294,20 +296,20 @@
             }
         }
         self.release_messages();
-        if !self.writes.is_empty() || self.pending_install.is_some() {
+        if !self.pending_writes.is_empty() || self.pending_install.is_some() {
             self.disk_wake.notify_one();
         }
     }
 
     fn apply(&mut self, index: u64, entry: &LogEntry) {
-        self.applied = index;
+        self.applied_index = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command = match store::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
                 // Skipping the record would make this replica's state diverge from the
                 // others for good.
-                log::error!("record {index} cannot be applied: {error}");
+                log::error!("cannot decode record {index}; aborting: {error}");
                 std::process::abort();
             }
         };
@@ -328,19 +330,19 @@
             && self.leader.is_none()
             && let Some(state) = self.state.take()
         {
-            log::info!("leading in term {} from record {}", self.raft.term(), self.applied);
+            log::info!("leading in term {} from record {}", self.raft.term(), self.applied_index);
             let shared = self.shared.clone();
             let leader = Leader::new(shared, self.raft.term(), state, self.order_wake.clone());
             self.leader = Some(leader);
         }
     }
 
-    /// Queues the messages whose preceding writes are durable for sending.
+    /// Moves messages whose writes are on disk to the outboxes.
     fn release_messages(&mut self) {
         let mut any = false;
         let mut later = VecDeque::new();
         for (seq, envelope) in std::mem::take(&mut self.held_messages) {
-            if seq > self.durable_seq {
+            if seq > self.persisted_seq {
                 later.push_back((seq, envelope));
                 continue;
             }
@@ -370,7 +372,7 @@
     }
 }
 
-/// Passes work to the disk thread until told to stop.
+/// Passes disk tasks to the disk thread until the disk fails or the daemon stops.
 pub(crate) async fn run_disk_tasks(
     replica: std::rc::Rc<std::cell::RefCell<Replica>>,
     mut journal: Journal,
@@ -391,7 +393,7 @@
                 }
             }
         }
-        match journal.done().await {
+        match journal.next_event().await {
             Some(DiskEvent::Failed(error)) => {
                 // It is unknown which writes reached the disk, so no more may be
                 // acknowledged: the daemon stops and recovers from the disk.
