--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -9,7 +9,7 @@
 use yuccalink_transport::http::{HeaderMap, Method, Request, header};
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
-const ANSWER_MAX: usize = 256 * 1024 * 1024;
+const RESPONSE_MAX_BYTES: usize = 256 * 1024 * 1024;
 
 /// A complete response.
 #[derive(Clone, Debug)]
@@ -87,14 +87,15 @@
         }
         let req = req.body(body.to_vec().into()).map_err(|e| e.to_string())?;
         let deadline = Instant::now() + self.timeout;
-        let mut answer = pool.send(self.to, req, deadline).await.map_err(|e| e.to_string())?;
-        let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
-        let body = whole
+        let mut response = pool.send(self.to, req, deadline).await.map_err(|e| e.to_string())?;
+        let collected =
+            tokio::time::timeout_at(deadline, response.collect_body(RESPONSE_MAX_BYTES)).await;
+        let body = collected
             .map_err(|_| "the response was not complete before the deadline".to_string())?
             .map_err(|e| format!("the response ended early: {e}"))?
             .ok_or("the response body is too large")?;
-        let status = answer.head.status.as_u16();
-        Ok(CallerResponse { status, headers: answer.head.headers, body: body.to_vec() })
+        let status = response.head.status.as_u16();
+        Ok(CallerResponse { status, headers: response.head.headers, body: body.to_vec() })
     }
 
     /// Sends `GET path`.
--- a/crates/fakes/src/emulator.rs
+++ b/crates/fakes/src/emulator.rs
@@ -12,15 +12,15 @@
 use yuccalink_state::jobs::{RunOutcome, TaskKey};
 
 /// Largest number of finished runs in one report.
-const LISTED_MAX: usize = 500;
+const FINISHED_PER_REPORT_MAX: usize = 500;
 /// Time from the order to stop a run until its end.
-const STOP_TIME: Duration = Duration::from_millis(100);
+const STOP_DURATION: Duration = Duration::from_millis(100);
 /// Time after a reduction of the capacity during which the leader may still start tasks up to
 /// the former capacity: no process may be reachable for the first part of it, and the rest is
 /// the interval of one report.
-const SHRINKS_WITHIN: Duration = Duration::from_millis(4_500);
+const CAPACITY_REDUCTION_GRACE: Duration = Duration::from_millis(4_500);
 /// A response that arrives later than this after its report was sent is ignored.
-const DROP_AFTER: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Factor by which tasks on a slow runner take longer.
 const SLOW_FACTOR: u32 = 5;
@@ -35,14 +35,14 @@
 }
 
 impl Crash {
-    /// Every run crashes its runner `after` its start.
+    /// Every run crashes its runner at this time after its start.
     pub const fn each(after: Duration) -> Self {
         Self { after, per_mille: 1_000 }
     }
 
     /// Returns whether this run crashes its runner; the result is a fixed function of the task
     /// and the run.
-    fn strikes(self, task: TaskKey, run: u32) -> bool {
+    fn happens_in(self, task: TaskKey, run: u32) -> bool {
         const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
         let seed = task.job.0 ^ (u64::from(task.index) << 20) ^ (u64::from(run) << 40);
         (seed.wrapping_mul(MULTIPLIER) >> 32) % 1_000 < u64::from(self.per_mille)
@@ -98,7 +98,7 @@
     run: u32,
     behavior: TaskBehavior,
     done: Duration,
-    began: Moment,
+    started_at: Moment,
     stop_at: Option<Moment>,
     rate: u8,
 }
@@ -140,15 +140,15 @@
     sequence: u64,
     token: u64,
     lease_end: Moment,
-    leased: bool,
+    has_lease: bool,
     runs: BTreeMap<TaskKey, Run>,
     finished: Vec<FinishedRun>,
-    numbers: u64,
-    highest: BTreeMap<TaskKey, u32>,
-    at: Moment,
+    last_end_number: u64,
+    highest_runs: BTreeMap<TaskKey, u32>,
+    time: Moment,
     events: Vec<RunnerEvent>,
     /// Capacities before a reduction, each with the time until which it may still be in use.
-    former: Vec<(Moment, Resources)>,
+    former_capacities: Vec<(Moment, Resources)>,
     crashed_by: Option<TaskKey>,
 }
 
@@ -176,14 +176,14 @@
             sequence: 0,
             token: 0,
             lease_end: now,
-            leased: false,
+            has_lease: false,
             runs: BTreeMap::new(),
             finished: Vec::new(),
-            numbers: 0,
-            highest: BTreeMap::new(),
-            at: now,
+            last_end_number: 0,
+            highest_runs: BTreeMap::new(),
+            time: now,
             events: Vec::new(),
-            former: Vec::new(),
+            former_capacities: Vec::new(),
             crashed_by: None,
         }
     }
@@ -227,26 +227,27 @@
     pub fn resize(&mut self, capacity: Resources, now: Moment) {
         let former = std::mem::replace(&mut self.capacity, capacity);
         if !capacity.covers(former) {
-            self.former.push((now + SHRINKS_WITHIN, former));
+            self.former_capacities.push((now + CAPACITY_REDUCTION_GRACE, former));
         }
     }
 
     /// Returns whether the running tasks fit the current capacity, or one that was reduced
     /// so recently that the leader may not know.
     pub fn is_within_capacity(&mut self, now: Moment) -> bool {
-        self.former.retain(|(until, _)| now < *until);
-        let mut rooms = self.former.iter().map(|(_, room)| *room).chain([self.capacity]);
-        let taken = self.resources_in_use();
-        rooms.any(|room| room.covers(taken))
+        self.former_capacities.retain(|(until, _)| now < *until);
+        let mut capacities =
+            self.former_capacities.iter().map(|(_, capacity)| *capacity).chain([self.capacity]);
+        let in_use = self.resources_in_use();
+        capacities.any(|capacity| capacity.covers(in_use))
     }
 
     /// Advances the time to `now`: tasks progress and end, and the lease may expire.
     pub fn advance(&mut self, now: Moment) {
-        let passed = now.since(self.at);
-        self.at = now;
+        let passed = now.since(self.time);
+        self.time = now;
         if now >= self.lease_end {
-            if self.leased {
-                self.leased = false;
+            if self.has_lease {
+                self.has_lease = false;
                 self.events.push(RunnerEvent::LeaseExpired(now));
             }
             let all: Vec<TaskKey> = self.runs.keys().copied().collect();
@@ -256,9 +257,9 @@
         }
         let mut ends = Vec::new();
         for (task, run) in &mut self.runs {
-            let due = |crash: &Crash| now.since(run.began) >= crash.after;
-            let crash = run.behavior.crash.filter(due);
-            if crash.is_some_and(|crash| crash.strikes(*task, run.run)) {
+            let is_due = |crash: &Crash| now.since(run.started_at) >= crash.after;
+            let crash = run.behavior.crash.filter(is_due);
+            if crash.is_some_and(|crash| crash.happens_in(*task, run.run)) {
                 self.crashed_by.get_or_insert(*task);
             }
             if run.stop_at.is_some_and(|at| now >= at) {
@@ -287,11 +288,11 @@
 
     fn end(&mut self, task: TaskKey, outcome: RunOutcome) {
         let Some(run) = self.runs.remove(&task) else { return };
-        self.numbers += 1;
-        let highest = self.highest.entry(task).or_default();
-        *highest = (*highest).max(run.run);
+        self.last_end_number += 1;
+        let highest_run = self.highest_runs.entry(task).or_default();
+        *highest_run = (*highest_run).max(run.run);
         let checkpoint = checkpoint_text(task, run.run);
-        let number = self.numbers;
+        let number = self.last_end_number;
         self.finished.push(FinishedRun {
             number,
             task: Some(task),
@@ -299,7 +300,7 @@
             outcome,
             checkpoint,
         });
-        self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.at });
+        self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.time });
     }
 
     /// Advances the time to `now` and returns the next report.
@@ -326,7 +327,7 @@
             labels: vec!["a".into(), self.rack.clone()],
             rack: self.rack.clone(),
             running: running.collect(),
-            finished: self.finished.iter().take(LISTED_MAX).cloned().collect(),
+            finished: self.finished.iter().take(FINISHED_PER_REPORT_MAX).cloned().collect(),
         }
     }
 
@@ -336,7 +337,7 @@
         F: Fn(TaskKey) -> Option<TaskBehavior>,
     {
         self.advance(now);
-        if orders.token < self.token || now.since(sent) > DROP_AFTER {
+        if orders.token < self.token || now.since(sent) > RESPONSE_TIMEOUT {
             return;
         }
         self.token = orders.token;
@@ -360,7 +361,7 @@
         if self.lease_end <= now {
             return;
         }
-        self.leased = true;
+        self.has_lease = true;
         for start in &orders.start {
             if let Some(behavior) = behavior(start.task) {
                 self.start(start.task, start.run, behavior);
@@ -369,31 +370,31 @@
     }
 
     fn start(&mut self, task: TaskKey, run: u32, behavior: TaskBehavior) {
-        let ended = self.highest.get(&task).copied().unwrap_or(0);
+        let ended = self.highest_runs.get(&task).copied().unwrap_or(0);
         if self.runs.get(&task).is_some_and(|there| there.run == run) {
             return;
         }
         if run <= ended || self.runs.contains_key(&task) {
-            self.numbers += 1;
+            self.last_end_number += 1;
             let (number, task, outcome, checkpoint) =
-                (self.numbers, Some(task), RunOutcome::Refused, "".into());
+                (self.last_end_number, Some(task), RunOutcome::Refused, "".into());
             return self.finished.push(FinishedRun { number, task, run, outcome, checkpoint });
         }
         let done = Duration::ZERO;
-        let began = self.at;
-        self.runs.insert(task, Run { run, behavior, done, began, stop_at: None, rate: 100 });
-        self.events.push(RunnerEvent::Started { task, run, at: self.at });
+        let started_at = self.time;
+        self.runs.insert(task, Run { run, behavior, done, started_at, stop_at: None, rate: 100 });
+        self.events.push(RunnerEvent::Started { task, run, at: self.time });
     }
 
     fn stop(&mut self, task: TaskKey, run: u32) {
-        let at = self.at;
+        let at = self.time;
         match self.runs.get_mut(&task).filter(|found| found.run == run) {
             Some(found) => {
-                found.stop_at.get_or_insert(at + STOP_TIME);
+                found.stop_at.get_or_insert(at + STOP_DURATION);
             }
             None => {
-                let highest = self.highest.entry(task).or_default();
-                *highest = (*highest).max(run);
+                let highest_run = self.highest_runs.entry(task).or_default();
+                *highest_run = (*highest_run).max(run);
             }
         }
     }
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -6,7 +6,7 @@
 //! the request before it starts. The response repeats the request's `fake-tag` header, or else
 //! its body.
 
-use crate::target::{AnnounceOutcome, Announcer, incarnation};
+use crate::target::{AnnounceOutcome, Announcer, random_incarnation};
 use bytes::Bytes;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -26,10 +26,10 @@
 use yuccalink_transport::reply;
 use yuccalink_transport::server::{Handler, Server, ServerLimits, read_body};
 
-const BODY_MAX: usize = 64 * 1024 * 1024;
-const CHUNK: usize = 64 * 1024;
+const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 /// Pause after a message that no entry accepted.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Settings of a fake runner.
 #[derive(Clone, Debug)]
@@ -55,11 +55,11 @@
 #[derive(Default)]
 struct State {
     busy: AtomicU32,
-    most: AtomicU32,
+    peak: AtomicU32,
     served: AtomicU64,
     leaving: AtomicBool,
     stop: AtomicBool,
-    frozen: AtomicBool,
+    heartbeats_stopped: AtomicBool,
     checker: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
 }
 
@@ -80,18 +80,18 @@
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
         let state = Arc::new(State::default());
-        let answers = state.clone();
+        let handler_state = state.clone();
         let (name, slots) = (settings.name.clone(), settings.slots);
         let limits = ServerLimits { threads: settings.threads, ..ServerLimits::default() };
-        let server = Server::start(listener, limits, move || Answers {
-            state: answers.clone(),
+        let server = Server::start(listener, limits, move || RequestHandler {
+            state: handler_state.clone(),
             name: name.clone(),
             slots,
         })?;
-        let announces = state.clone();
+        let announce_state = state.clone();
         let thread = thread::Builder::new()
             .name("runner-announce".into())
-            .spawn(move || run_local(announce(settings, address, announces)))?;
+            .spawn(move || run_local(announce(settings, address, announce_state)))?;
         Ok(Self { address, state, server: Some(server), thread: Some(thread) })
     }
 
@@ -102,7 +102,7 @@
 
     /// Returns the highest number of concurrent requests so far.
     pub fn peak_requests(&self) -> u32 {
-        self.state.most.load(Ordering::SeqCst)
+        self.state.peak.load(Ordering::SeqCst)
     }
 
     /// Returns the number of requests that have started.
@@ -124,7 +124,7 @@
     /// Stops the heartbeats, as a network partition would; the runner continues to answer
     /// requests.
     pub fn stop_heartbeats(&self) {
-        self.state.frozen.store(true, Ordering::SeqCst);
+        self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
     }
 
     /// Stops the runner.
@@ -152,16 +152,16 @@
 
 async fn announce(settings: RunnerSettings, address: SocketAddr, state: Arc<State>) {
     let mut entries = Announcer::new(settings.entries.clone());
-    let run = Incarnation(incarnation());
+    let run = Incarnation(random_incarnation());
     let path = format!("/v1/targets/{}", settings.name);
-    let mut known = false;
+    let mut registered = false;
     while !state.stop.load(Ordering::SeqCst) {
-        if state.frozen.load(Ordering::SeqCst) {
-            sleep(AGAIN).await;
+        if state.heartbeats_stopped.load(Ordering::SeqCst) {
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         let busy = state.busy.load(Ordering::SeqCst);
-        let told = if !known {
+        let outcome = if !registered {
             let spec = RunnerSpec {
                 name: settings.name.clone(),
                 incarnation: run,
@@ -171,69 +171,69 @@
                 connections: settings.connections,
                 zone: settings.zone.clone(),
             };
-            entries.tell("/v1/targets", &Announce::Runner { spec, busy }).await
+            entries.send("/v1/targets", &Announce::Runner { spec, busy }).await
         } else if state.leaving.load(Ordering::SeqCst) {
-            entries.tell(&format!("{path}/leave"), &Leave { incarnation: run }).await
+            entries.send(&format!("{path}/leave"), &Leave { incarnation: run }).await
         } else {
-            let beat = Heartbeat { incarnation: run, busy, ..Heartbeat::default() };
-            entries.tell(&format!("{path}/heartbeat"), &beat).await
+            let heartbeat = Heartbeat { incarnation: run, busy, ..Heartbeat::default() };
+            entries.send(&format!("{path}/heartbeat"), &heartbeat).await
         };
-        let pause = match told {
-            AnnounceOutcome::Welcome(welcome) => {
-                known = true;
-                Duration::from_millis(welcome.heartbeat_ms)
+        let pause = match outcome {
+            AnnounceOutcome::Accepted(reply) => {
+                registered = true;
+                Duration::from_millis(reply.heartbeat_ms)
             }
-            AnnounceOutcome::Announce => {
-                known = false;
+            AnnounceOutcome::UnknownTarget => {
+                registered = false;
                 Duration::ZERO
             }
-            AnnounceOutcome::Failed(why) => {
-                log::debug!("runner {}: {why}", settings.name);
-                AGAIN
+            AnnounceOutcome::Failed(error) => {
+                log::debug!("runner {}: {error}", settings.name);
+                RETRY_PAUSE
             }
         };
-        pause_unless(&state, pause).await;
+        sleep_unless_leaving(&state, pause).await;
     }
 }
 
 /// Sleeps for `pause` in short steps, and returns early when the runner stops or leaves.
-async fn pause_unless(state: &State, pause: Duration) {
-    const STEP: Duration = Duration::from_millis(20);
+async fn sleep_unless_leaving(state: &State, pause: Duration) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let leaving = state.leaving.load(Ordering::SeqCst);
     let until = tokio::time::Instant::now() + pause;
     while tokio::time::Instant::now() < until {
         if state.stop.load(Ordering::SeqCst) || state.leaving.load(Ordering::SeqCst) != leaving {
             return;
         }
-        sleep(STEP.min(until - tokio::time::Instant::now())).await;
+        sleep(POLL_INTERVAL.min(until - tokio::time::Instant::now())).await;
     }
 }
 
-struct Answers {
+struct RequestHandler {
     state: Arc<State>,
     name: Name,
     slots: u32,
 }
 
-/// Counts a request as busy until it is dropped.
-struct Busy<'a>(&'a Answers);
+/// Counts a request as busy until the guard is dropped.
+struct BusyGuard<'a>(&'a RequestHandler);
 
-impl<'a> Busy<'a> {
-    fn new(answers: &'a Answers, headers: &HeaderMap) -> Self {
-        let state = &answers.state;
+impl<'a> BusyGuard<'a> {
+    fn new(handler: &'a RequestHandler, headers: &HeaderMap) -> Self {
+        let state = &handler.state;
         state.served.fetch_add(1, Ordering::SeqCst);
         let now = state.busy.fetch_add(1, Ordering::SeqCst) + 1;
-        state.most.fetch_max(now, Ordering::SeqCst);
+        state.peak.fetch_max(now, Ordering::SeqCst);
         if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
-            let request = text(headers, "fake-name").unwrap_or_default();
+            let request = header_text(headers, "fake-name").unwrap_or_default();
             let mut checker = checker.lock().unwrap_or_else(PoisonError::into_inner);
-            checker.ran(request, answers.name.as_str(), answers.slots);
+            checker.ran(request, handler.name.as_str(), handler.slots);
         }
-        Self(answers)
+        Self(handler)
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         let state = &self.0.state;
         if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
@@ -243,15 +243,15 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text(headers, name).and_then(|value| value.parse().ok())
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    header_text(headers, name).and_then(|value| value.parse().ok())
 }
 
-impl Handler for Answers {
+impl Handler for RequestHandler {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let (head, ext) = req.into_parts();
         let (_, body) = ext.replace_body(());
@@ -260,18 +260,23 @@
             refused.headers_mut().insert("yuccalink-not-run", "1".parse().expect("a constant"));
             return refused;
         }
-        let busy = Busy::new(self, &head.headers);
-        let body = read_body(body, BODY_MAX, Duration::from_secs(30)).await.unwrap_or_default();
-        if let Some(ms) = number(&head.headers, "fake-delay-ms") {
+        let busy = BusyGuard::new(self, &head.headers);
+        let body =
+            read_body(body, BODY_MAX_BYTES, Duration::from_secs(30)).await.unwrap_or_default();
+        if let Some(ms) = header_number(&head.headers, "fake-delay-ms") {
             sleep(Duration::from_millis(ms)).await;
         }
-        let content = match (number(&head.headers, "fake-size"), text(&head.headers, "fake-tag")) {
-            (Some(size), _) => return large(&head.headers, size),
+        let content = match (
+            header_number(&head.headers, "fake-size"),
+            header_text(&head.headers, "fake-tag"),
+        ) {
+            (Some(size), _) => return streamed_response(&head.headers, size),
             (None, Some(tag)) => Bytes::copy_from_slice(tag.as_bytes()),
             (None, None) => body,
         };
         drop(busy);
-        let status = number(&head.headers, "fake-status").and_then(|s| u16::try_from(s).ok());
+        let status =
+            header_number(&head.headers, "fake-status").and_then(|s| u16::try_from(s).ok());
         let mut response = WebResponse::new(ResponseBody::bytes(content));
         *response.status_mut() =
             status.and_then(|s| StatusCode::from_u16(s).ok()).unwrap_or(StatusCode::OK);
@@ -281,18 +286,18 @@
 
 /// Returns a response whose body of `size` bytes is sent in chunks, and which ends after half
 /// of them if the request has the header `fake-cut`.
-fn large(headers: &HeaderMap, size: u64) -> WebResponse {
+fn streamed_response(headers: &HeaderMap, size: u64) -> WebResponse {
     let cut = headers.contains_key("fake-cut");
     let announced = (!headers.contains_key("fake-chunked")).then_some(size);
-    let delay = number(headers, "fake-chunk-delay-ms");
+    let delay = header_number(headers, "fake-chunk-delay-ms");
     let (tx, body) = streamed_body(announced);
     tokio::task::spawn_local(async move {
         let until = if cut { size / 2 } else { size };
         let mut sent = 0;
-        let chunk = Bytes::from(vec![b'y'; CHUNK]);
+        let chunk = Bytes::from(vec![b'y'; CHUNK_BYTES]);
         while sent < until {
-            let count = (until - sent).min(CHUNK as u64);
-            let piece = chunk.slice(..usize::try_from(count).unwrap_or(CHUNK));
+            let count = (until - sent).min(CHUNK_BYTES as u64);
+            let piece = chunk.slice(..usize::try_from(count).unwrap_or(CHUNK_BYTES));
             if tx.send(BodyChunk::Data(piece)).await.is_err() {
                 return;
             }
--- a/crates/fakes/src/slow_link.rs
+++ b/crates/fakes/src/slow_link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Largest number of bytes forwarded at once.
-const PIECE: usize = 1_000;
+const CHUNK_BYTES: usize = 1_000;
 
 /// Forwards connections from `at` to `to` until the process exits. Each direction of each
 /// connection carries `rate` bytes per second.
@@ -21,9 +21,9 @@
 /// let any = SocketAddr::from(([127, 0, 0, 1], 0));
 /// let near = yuccalink_fakes::slow_link::forward(any, far.local_addr()?, 100_000)?;
 /// TcpStream::connect(near)?.write_all(b"slowly")?;
-/// let mut told = String::new();
-/// far.accept()?.0.read_to_string(&mut told)?;
-/// assert_eq!(told, "slowly");
+/// let mut received = String::new();
+/// far.accept()?.0.read_to_string(&mut received)?;
+/// assert_eq!(received, "slowly");
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub fn forward(at: SocketAddr, to: SocketAddr, rate: u64) -> io::Result<SocketAddr> {
@@ -32,23 +32,23 @@
     thread::spawn(move || {
         for from in listener.incoming().flatten() {
             if let Ok(into) = TcpStream::connect(to) {
-                let _ = both_ways(&from, &into, rate);
+                let _ = forward_both_ways(&from, &into, rate);
             }
         }
     });
     Ok(at)
 }
 
-fn both_ways(from: &TcpStream, into: &TcpStream, rate: u64) -> io::Result<()> {
+fn forward_both_ways(from: &TcpStream, into: &TcpStream, rate: u64) -> io::Result<()> {
     for (from, into) in [(from, into), (into, from)] {
         let (from, into) = (from.try_clone()?, into.try_clone()?);
-        thread::spawn(move || pump(from, into, rate));
+        thread::spawn(move || copy_throttled(from, into, rate));
     }
     Ok(())
 }
 
-fn pump(mut from: TcpStream, mut into: TcpStream, rate: u64) {
-    let mut buf = [0; PIECE];
+fn copy_throttled(mut from: TcpStream, mut into: TcpStream, rate: u64) {
+    let mut buf = [0; CHUNK_BYTES];
     while let Ok(count) = from.read(&mut buf) {
         thread::sleep(Duration::from_micros(count as u64 * 1_000_000 / rate));
         if count == 0 || into.write_all(&buf[..count]).is_err() {
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -10,8 +10,8 @@
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
 /// Deadline for a complete response.
-const TIMEOUT: Duration = Duration::from_secs(2);
-const ANSWER_MAX: usize = 1024 * 1024;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_MAX_BYTES: usize = 1024 * 1024;
 
 /// Sends messages to the entries in round-robin order, as a load balancer would.
 pub(crate) struct Announcer {
@@ -23,9 +23,9 @@
 /// Result of a message to an entry.
 pub(crate) enum AnnounceOutcome {
     /// The entry accepted the message.
-    Welcome(HeartbeatReply),
+    Accepted(HeartbeatReply),
     /// The entry does not know the target, which must announce itself.
-    Announce,
+    UnknownTarget,
     /// Any other result; the message must be sent again.
     Failed(String),
 }
@@ -35,7 +35,7 @@
         Self { entries, next: 0, pool: Pool::new(PoolSettings::default()) }
     }
 
-    pub(crate) async fn tell<T>(&mut self, path: &str, message: &T) -> AnnounceOutcome
+    pub(crate) async fn send<T>(&mut self, path: &str, message: &T) -> AnnounceOutcome
     where
         T: Serialize,
     {
@@ -45,14 +45,14 @@
         self.next += 1;
         match self.post(entry, path, message).await {
             Ok((200, body)) => match serde_json::from_slice(&body) {
-                Ok(welcome) => AnnounceOutcome::Welcome(welcome),
-                Err(_) => AnnounceOutcome::Welcome(HeartbeatReply {
+                Ok(reply) => AnnounceOutcome::Accepted(reply),
+                Err(_) => AnnounceOutcome::Accepted(HeartbeatReply {
                     heartbeat_ms: 1000,
                     lease_ms: None,
                     send_held: false,
                 }),
             },
-            Ok((404, _)) => AnnounceOutcome::Announce,
+            Ok((404, _)) => AnnounceOutcome::UnknownTarget,
             Ok((status, body)) => AnnounceOutcome::Failed(format!(
                 "status {status}: {}",
                 String::from_utf8_lossy(&body)
@@ -76,16 +76,17 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(body.into())
             .map_err(|e| e.to_string())?;
-        let deadline = Instant::now() + TIMEOUT;
-        let mut answer = self.pool.send(entry, req, deadline).await.map_err(|e| e.to_string())?;
-        let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
-        let body = whole.map_err(|e| e.to_string())?.map_err(|e| e.to_string())?;
-        Ok((answer.head.status.as_u16(), body.unwrap_or_default().to_vec()))
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        let mut response = self.pool.send(entry, req, deadline).await.map_err(|e| e.to_string())?;
+        let collected =
+            tokio::time::timeout_at(deadline, response.collect_body(RESPONSE_MAX_BYTES)).await;
+        let body = collected.map_err(|e| e.to_string())?.map_err(|e| e.to_string())?;
+        Ok((response.head.status.as_u16(), body.unwrap_or_default().to_vec()))
     }
 }
 
 /// Draws a random incarnation number for this run of the process.
-pub(crate) fn incarnation() -> u64 {
+pub(crate) fn random_incarnation() -> u64 {
     use rand::TryRng as _;
     rand::rngs::SysRng.try_next_u64().unwrap_or(1) >> 1
 }
--- a/crates/fakes/src/wait.rs
+++ b/crates/fakes/src/wait.rs
@@ -5,7 +5,7 @@
 use yuccalink_state::id::Name;
 
 /// Time between two checks of a condition.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Polls `found` until it returns a value. `limit` only ends a test that hangs; no test
 /// result depends on how long the wait took.
@@ -22,7 +22,7 @@
             return value;
         }
         assert!(started.elapsed() < limit, "timed out waiting for: {what}");
-        thread::park_timeout(LOOK);
+        thread::park_timeout(POLL_INTERVAL);
     }
 }
 
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -5,7 +5,7 @@
 //! duration. Tasks write a checkpoint when they are ordered to.
 
 use crate::runner::run_local;
-use crate::target::{AnnounceOutcome, Announcer, incarnation};
+use crate::target::{AnnounceOutcome, Announcer, random_incarnation};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -28,11 +28,11 @@
 use yuccalink_transport::reply;
 use yuccalink_transport::server::{Handler, Server, ServerLimits, read_body};
 
-const BODY_MAX: usize = 64 * 1024 * 1024;
+const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 /// Time between two checks of the running tasks.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after a message that no entry accepted.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Settings of a fake worker.
 #[derive(Clone, Debug)]
@@ -51,36 +51,36 @@
     pub entries: Vec<SocketAddr>,
 }
 
-struct Running {
+struct TaskRun {
     epoch: Epoch,
     need: Resources,
-    began: Instant,
-    before: Duration,
-    ends: Duration,
+    started_at: Instant,
+    done_before: Duration,
+    run_time: Duration,
     fails: bool,
     /// Millicores that the task actually uses.
-    uses: u64,
+    actual_millicores: u64,
     /// Throttled share of `uses`, in thousandths, and the end of the throttling.
     throttle: Option<(u32, Instant)>,
 }
 
-impl Running {
+impl TaskRun {
     /// Returns the millicores in use now. Throttling lowers the reported use of a fake task,
     /// but not its speed.
-    fn use_now(&self) -> u64 {
+    fn current_millicores(&self) -> u64 {
         let share = self.throttle.filter(|(_, until)| Instant::now() < *until);
-        self.uses * u64::from(share.map_or(1000, |(share, _)| share)) / 1000
+        self.actual_millicores * u64::from(share.map_or(1000, |(share, _)| share)) / 1000
     }
 
-    fn done(&self) -> Duration {
-        self.before + self.began.elapsed()
+    fn progress(&self) -> Duration {
+        self.done_before + self.started_at.elapsed()
     }
 }
 
 #[derive(Default)]
 struct Tasks {
-    running: BTreeMap<TaskId, Running>,
-    seen: HashMap<TaskId, Epoch>,
+    running: BTreeMap<TaskId, TaskRun>,
+    highest_epochs: HashMap<TaskId, Epoch>,
     reports: Vec<TaskReport>,
     checker: Option<Arc<Mutex<TaskChecker>>>,
 }
@@ -91,10 +91,10 @@
     tasks: Mutex<Tasks>,
     lease_until: Mutex<Option<Instant>>,
     stop: AtomicBool,
-    frozen: AtomicBool,
+    partitioned: AtomicBool,
     leaving: AtomicBool,
     dropped: AtomicU64,
-    over: AtomicU64,
+    overcommitted: AtomicU64,
 }
 
 /// A fake worker that has been started.
@@ -119,23 +119,23 @@
         let address = listener.local_addr()?;
         let state = Arc::new(State {
             capacity: settings.capacity,
-            incarnation: Incarnation(incarnation()),
+            incarnation: Incarnation(random_incarnation()),
             tasks: Mutex::default(),
             lease_until: Mutex::default(),
             stop: AtomicBool::new(false),
-            frozen: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             dropped: AtomicU64::new(0),
-            over: AtomicU64::new(0),
+            overcommitted: AtomicU64::new(0),
         });
-        let orders = state.clone();
+        let handler_state = state.clone();
         let limits = ServerLimits { threads: 1, ..ServerLimits::default() };
-        let server = Server::start(listener, limits, move || TakesOrders(orders.clone()))?;
-        let announces = state.clone();
+        let server = Server::start(listener, limits, move || OrderHandler(handler_state.clone()))?;
+        let announce_state = state.clone();
         let thread = thread::Builder::new().name("worker-announce".into()).spawn(move || {
             run_local(async move {
-                tokio::task::spawn_local(work(announces.clone()));
-                announce(settings, address, announces).await;
+                tokio::task::spawn_local(run_tasks(announce_state.clone()));
+                announce(settings, address, announce_state).await;
             });
         })?;
         Ok(Self { address, state, server: Some(server), thread: Some(thread) })
@@ -170,13 +170,13 @@
 
     /// Returns how often the worker was ordered to run more than its capacity.
     pub fn overcommit_count(&self) -> u64 {
-        self.state.over.load(Ordering::SeqCst)
+        self.state.overcommitted.load(Ordering::SeqCst)
     }
 
     /// Cuts the worker off from the entries, or reconnects it. While it is cut off, its tasks
     /// run until its lease expires.
     pub fn set_partitioned(&self, silent: bool) {
-        self.state.frozen.store(silent, Ordering::SeqCst);
+        self.state.partitioned.store(silent, Ordering::SeqCst);
     }
 
     /// Sends a leave notice; the worker finishes its running tasks.
@@ -200,23 +200,23 @@
     let mut entries = Announcer::new(settings.entries.clone());
     let run = state.incarnation;
     let path = format!("/v1/targets/{}", settings.name);
-    let mut known = false;
-    let mut told_leaving = false;
+    let mut registered = false;
+    let mut leave_sent = false;
     let mut send_held = true;
     while !state.stop.load(Ordering::SeqCst) {
-        if state.frozen.load(Ordering::SeqCst) {
-            sleep(AGAIN).await;
+        if state.partitioned.load(Ordering::SeqCst) {
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         let sent = Instant::now();
-        let (told, reported) = if known {
-            if state.leaving.load(Ordering::SeqCst) && !told_leaving {
+        let (outcome, reported) = if registered {
+            if state.leaving.load(Ordering::SeqCst) && !leave_sent {
                 let left =
-                    entries.tell(&format!("{path}/leave"), &Leave { incarnation: run }).await;
-                told_leaving = matches!(left, AnnounceOutcome::Welcome(_));
+                    entries.send(&format!("{path}/leave"), &Leave { incarnation: run }).await;
+                leave_sent = matches!(left, AnnounceOutcome::Accepted(_));
             }
-            let (beat, reported) = heartbeat(&state, send_held);
-            (entries.tell(&format!("{path}/heartbeat"), &beat).await, reported)
+            let (heartbeat, reported) = build_heartbeat(&state, send_held);
+            (entries.send(&format!("{path}/heartbeat"), &heartbeat).await, reported)
         } else {
             let spec = WorkerSpec {
                 name: settings.name.clone(),
@@ -226,55 +226,55 @@
                 rack: settings.rack.clone(),
                 zone: settings.zone.clone(),
             };
-            (entries.tell("/v1/targets", &Announce::Worker { spec }).await, 0)
+            (entries.send("/v1/targets", &Announce::Worker { spec }).await, 0)
         };
-        let pause = match told {
-            AnnounceOutcome::Welcome(welcome) => {
-                known = true;
-                send_held = welcome.send_held;
+        let pause = match outcome {
+            AnnounceOutcome::Accepted(reply) => {
+                registered = true;
+                send_held = reply.send_held;
                 lock(&state.tasks).reports.drain(..reported);
                 // The lease starts when the message was sent, since the response may have
                 // been delayed by an unknown time.
-                let lease = Duration::from_millis(welcome.lease_ms.unwrap_or(10_000));
+                let lease = Duration::from_millis(reply.lease_ms.unwrap_or(10_000));
                 *lock(&state.lease_until) = Some(sent + lease);
-                Duration::from_millis(welcome.heartbeat_ms)
+                Duration::from_millis(reply.heartbeat_ms)
             }
-            AnnounceOutcome::Announce => {
+            AnnounceOutcome::UnknownTarget => {
                 // A new leader does not know the workers yet. It declares an incarnation
                 // lost only after the lease has expired, and with the lease every task
                 // here ends.
-                known = false;
+                registered = false;
                 Duration::ZERO
             }
-            AnnounceOutcome::Failed(why) => {
-                log::debug!("worker {}: {why}", settings.name);
-                AGAIN
+            AnnounceOutcome::Failed(error) => {
+                log::debug!("worker {}: {error}", settings.name);
+                RETRY_PAUSE
             }
         };
-        wait(&state, pause).await;
+        wait_for_heartbeat(&state, pause).await;
     }
 }
 
 /// Waits until the next heartbeat is due, or until there is a task report to send.
-async fn wait(state: &State, pause: Duration) {
+async fn wait_for_heartbeat(state: &State, pause: Duration) {
     let until = Instant::now() + pause;
     while Instant::now() < until && !state.stop.load(Ordering::SeqCst) {
-        sleep(STEP).await;
+        sleep(POLL_INTERVAL).await;
         if !lock(&state.tasks).reports.is_empty() {
             return;
         }
     }
 }
 
-fn heartbeat(state: &State, send_held: bool) -> (Heartbeat, usize) {
+fn build_heartbeat(state: &State, send_held: bool) -> (Heartbeat, usize) {
     let tasks = lock(&state.tasks);
     let running =
         tasks.running.iter().map(|(task, run)| ReportedTask { task: *task, epoch: run.epoch });
     let reported = tasks.reports.iter().map(|r| ReportedTask { task: r.task, epoch: r.epoch });
-    let millicores = tasks.running.values().map(Running::use_now).sum();
+    let millicores = tasks.running.values().map(TaskRun::current_millicores).sum();
     let memory_mib = tasks.running.values().map(|run| run.need.memory_mib).sum();
     let held: Vec<ReportedTask> = running.chain(reported).collect();
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         incarnation: state.incarnation,
         busy: u32::try_from(tasks.running.len()).unwrap_or(u32::MAX),
         millicores,
@@ -283,32 +283,32 @@
         held: send_held.then_some(held),
         reports: tasks.reports.clone(),
     };
-    (beat, tasks.reports.len())
+    (heartbeat, tasks.reports.len())
 }
 
 /// Ends tasks whose run time is over, and drops all tasks when the lease has expired.
-async fn work(state: Arc<State>) {
+async fn run_tasks(state: Arc<State>) {
     while !state.stop.load(Ordering::SeqCst) {
-        sleep(STEP).await;
+        sleep(POLL_INTERVAL).await;
         let lease_over = lock(&state.lease_until).is_some_and(|until| Instant::now() >= until);
         if lease_over {
-            drop_all(&state);
+            drop_all_tasks(&state);
             continue;
         }
         let mut tasks = lock(&state.tasks);
         let over: Vec<TaskId> = tasks
             .running
             .iter()
-            .filter(|(_, run)| run.done() >= run.ends)
+            .filter(|(_, run)| run.progress() >= run.run_time)
             .map(|(id, _)| *id)
             .collect();
         for task in over {
             let Some(run) = tasks.running.remove(&task) else { continue };
             let event = if run.fails {
-                note(&tasks, |checker| checker.stopped(task, run.epoch));
+                notify_checker(&tasks, |checker| checker.stopped(task, run.epoch));
                 TaskEvent::Failed { reason: "the payload asked for it".into() }
             } else {
-                note(&tasks, |checker| checker.finished(task, run.epoch));
+                notify_checker(&tasks, |checker| checker.finished(task, run.epoch));
                 TaskEvent::Finished
             };
             tasks.reports.push(TaskReport { task, epoch: run.epoch, event });
@@ -316,49 +316,51 @@
     }
 }
 
-fn note<F>(tasks: &Tasks, tell: F)
+fn notify_checker<F>(tasks: &Tasks, report: F)
 where
     F: FnOnce(&mut TaskChecker),
 {
     if let Some(checker) = &tasks.checker {
-        tell(&mut lock(checker));
+        report(&mut lock(checker));
     }
 }
 
-fn drop_all(state: &State) {
+fn drop_all_tasks(state: &State) {
     let mut tasks = lock(&state.tasks);
     let running = std::mem::take(&mut tasks.running);
     state.dropped.fetch_add(running.len() as u64, Ordering::SeqCst);
     for (task, run) in running {
-        note(&tasks, |checker| checker.stopped(task, run.epoch));
+        notify_checker(&tasks, |checker| checker.stopped(task, run.epoch));
         tasks.reports.push(TaskReport { task, epoch: run.epoch, event: TaskEvent::Stopped });
     }
 }
 
-struct TakesOrders(Arc<State>);
+struct OrderHandler(Arc<State>);
 
-impl Handler for TakesOrders {
+impl Handler for OrderHandler {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let (_, ext) = req.into_parts();
         let (_, body) = ext.replace_body(());
-        if self.0.frozen.load(Ordering::SeqCst) {
+        if self.0.partitioned.load(Ordering::SeqCst) {
             // A worker that is cut off neither receives orders nor answers them.
             std::future::pending::<()>().await;
         }
-        let body = read_body(body, BODY_MAX, Duration::from_secs(5)).await.unwrap_or_default();
+        let body =
+            read_body(body, BODY_MAX_BYTES, Duration::from_secs(5)).await.unwrap_or_default();
         let Ok(orders) = serde_json::from_slice::<Orders>(&body) else {
             return reply::text(StatusCode::BAD_REQUEST, "the body is not a list of orders\n");
         };
         if orders.incarnation != self.0.incarnation {
             return reply::text(StatusCode::CONFLICT, "these orders are for another incarnation\n");
         }
-        let reports = orders.orders.into_iter().filter_map(|order| self.obey(order)).collect();
+        let reports =
+            orders.orders.into_iter().filter_map(|order| self.apply_order(order)).collect();
         reply::json(StatusCode::OK, &OrdersTaken { reports })
     }
 }
 
-impl TakesOrders {
-    fn obey(&self, order: OrderTask) -> Option<TaskReport> {
+impl OrderHandler {
+    fn apply_order(&self, order: OrderTask) -> Option<TaskReport> {
         match order {
             OrderTask::Start(start) => self.start(&start),
             OrderTask::Checkpoint(held) => self.stop(held, true),
@@ -378,8 +380,8 @@
     fn start(&self, start: &TaskStart) -> Option<TaskReport> {
         let TaskStart { task, epoch, .. } = *start;
         let report = |event| Some(TaskReport { task, epoch, event });
-        let alive = lock(&self.0.lease_until).is_some_and(|until| Instant::now() < until);
-        if !alive {
+        let has_lease = lock(&self.0.lease_until).is_some_and(|until| Instant::now() < until);
+        if !has_lease {
             // The lease has expired, so the task of this late order may already have been
             // placed on another worker.
             return report(TaskEvent::Refused { reason: "the lease has ended".into() });
@@ -391,26 +393,26 @@
             return report(TaskEvent::Started);
         }
         // An order that is sent again must not start the task a second time.
-        if tasks.seen.get(&task).is_some_and(|seen| *seen >= epoch) {
+        if tasks.highest_epochs.get(&task).is_some_and(|seen| *seen >= epoch) {
             return None;
         }
         let used = tasks.running.values().try_fold(start.need, |sum, run| sum.plus(run.need));
         if used.is_none_or(|used| !self.0.capacity.covers(used)) {
-            self.0.over.fetch_add(1, Ordering::SeqCst);
+            self.0.overcommitted.fetch_add(1, Ordering::SeqCst);
             return report(TaskEvent::Refused { reason: "there is no room".into() });
         }
-        tasks.seen.insert(task, epoch);
-        tasks.running.insert(task, running(start));
-        note(&tasks, |checker| checker.started(task, epoch));
+        tasks.highest_epochs.insert(task, epoch);
+        tasks.running.insert(task, task_run(start));
+        notify_checker(&tasks, |checker| checker.started(task, epoch));
         report(TaskEvent::Started)
     }
 
     fn stop(&self, held: ReportedTask, save: bool) -> Option<TaskReport> {
         let ReportedTask { task, epoch } = held;
         let mut tasks = lock(&self.0.tasks);
-        let seen = tasks.seen.entry(task).or_insert(epoch);
+        let seen = tasks.highest_epochs.entry(task).or_insert(epoch);
         *seen = (*seen).max(epoch);
-        let run = tasks.running.get(&task).filter(|run| run.epoch == epoch).map(Running::done);
+        let run = tasks.running.get(&task).filter(|run| run.epoch == epoch).map(TaskRun::progress);
         match run {
             None if tasks.reports.iter().any(|r| r.task == task && r.epoch == epoch) => {
                 return None;
@@ -418,7 +420,7 @@
             None => return Some(TaskReport { task, epoch, event: TaskEvent::Stopped }),
             Some(done) => {
                 tasks.running.remove(&task);
-                note(&tasks, |checker| checker.stopped(task, epoch));
+                notify_checker(&tasks, |checker| checker.stopped(task, epoch));
                 if save {
                     let done_ms = u64::try_from(done.as_millis()).unwrap_or(u64::MAX);
                     let event = TaskEvent::Checkpointed { done_ms };
@@ -431,18 +433,18 @@
     }
 }
 
-fn running(start: &TaskStart) -> Running {
+fn task_run(start: &TaskStart) -> TaskRun {
     let words: Vec<&str> = start.payload.split_whitespace().collect();
     let asked = words.iter().find_map(|word| word.strip_prefix("run="));
-    let ends = asked.and_then(|time| units::millis(time).ok()).unwrap_or(start.duration_ms);
-    Running {
+    let run_time = asked.and_then(|time| units::millis(time).ok()).unwrap_or(start.duration_ms);
+    TaskRun {
         epoch: start.epoch,
         need: start.need,
-        began: Instant::now(),
-        before: Duration::from_millis(start.done_ms),
-        ends: Duration::from_millis(ends),
+        started_at: Instant::now(),
+        done_before: Duration::from_millis(start.done_ms),
+        run_time: Duration::from_millis(run_time),
         fails: words.contains(&"fail"),
-        uses: words
+        actual_millicores: words
             .iter()
             .find_map(|word| word.strip_prefix("use=")?.parse().ok())
             .unwrap_or(start.need.millicores),
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -38,7 +38,7 @@
     }
     let program: std::path::PathBuf =
         program.ok_or("the path of the program yuccalinkd is missing")?;
-    let mut red = 0;
+    let mut failed_seeds = 0;
     for seed in from..from + seeds {
         let folder = tempfile::tempdir()?;
         let settings = SoakSettings {
@@ -58,20 +58,20 @@
             report.accepted,
             report.completed,
             report.given_up,
-            report.sound_given_up,
+            report.given_up_without_crash,
             report.crashes,
             report.starts,
             report.faults,
             report.read_back.first(),
             report.read_back.last(),
-            report.broken.len()
+            report.violations.len()
         );
-        if !report.broken.is_empty() {
-            red += 1;
+        if !report.violations.is_empty() {
+            failed_seeds += 1;
             println!("  kept in {}", folder.keep().display());
-            report.broken.iter().take(10).for_each(|what| println!("  {what}"));
+            report.violations.iter().take(10).for_each(|violation| println!("  {violation}"));
         }
     }
-    println!("{} seeds, {red} red", seeds);
-    Ok(red)
+    println!("{} seeds, {failed_seeds} red", seeds);
+    Ok(failed_seeds)
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -15,51 +15,52 @@
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
 const HOST: &str = "soak.example";
-const ANSWER_MAX: Duration = Duration::from_secs(3);
-const BODY_MAX: usize = 4 * 1024 * 1024;
-const AGAIN: Duration = Duration::from_millis(200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+const BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 const REDIRECTS_MAX: usize = 2;
 const CHANGE: &str = "/v1/change";
 /// Additional queues of a large change set, about 350 KB of JSON.
-const MANY_QUEUES: usize = 2_400;
+const LARGE_CHANGE_QUEUES: usize = 2_400;
 
 /// Sends requests to the processes in round-robin order.
-pub(crate) struct Asker {
+pub(crate) struct Client {
     pool: Pool,
     nodes: Vec<SocketAddr>,
     next: usize,
 }
 
-impl Asker {
+impl Client {
     pub(crate) fn new(nodes: Vec<SocketAddr>, first: usize) -> Self {
         Self { pool: Pool::new(PoolSettings::default()), nodes, next: first }
     }
 
     /// Sends a request once to the next process, and follows its redirects.
-    async fn ask(&mut self, method: Method, path: &str, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
+    async fn send(&mut self, method: Method, path: &str, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
         self.next += 1;
         let mut to = self.nodes[self.next % self.nodes.len()];
-        let deadline = Instant::now() + ANSWER_MAX;
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
         for _ in 0..=REDIRECTS_MAX {
             let req =
                 Request::builder().method(method.clone()).uri(path).header(header::HOST, HOST);
             let req = req.body(body.clone().into()).ok()?;
-            let mut answer = self.pool.send(to, req, deadline).await.ok()?;
-            let status = answer.head.status.as_u16();
+            let mut response = self.pool.send(to, req, deadline).await.ok()?;
+            let status = response.head.status.as_u16();
             if status == 307 {
-                let location = answer.head.headers.get(header::LOCATION)?.to_str().ok()?;
+                let location = response.head.headers.get(header::LOCATION)?.to_str().ok()?;
                 to = location.parse::<Uri>().ok()?.authority()?.as_str().parse().ok()?;
                 continue;
             }
-            let whole = tokio::time::timeout_at(deadline, answer.collect_body(BODY_MAX)).await;
-            return Some((status, whole.ok()?.ok()??.to_vec()));
+            let collected =
+                tokio::time::timeout_at(deadline, response.collect_body(BODY_MAX_BYTES)).await;
+            return Some((status, collected.ok()?.ok()??.to_vec()));
         }
         None
     }
 
     /// Reads the version of the change set in force from the next process.
     pub(crate) async fn read_version(&mut self) -> Option<u64> {
-        match self.ask(Method::GET, CHANGE, Vec::new()).await? {
+        match self.send(Method::GET, CHANGE, Vec::new()).await? {
             (200, body) => serde_json::from_slice::<Value>(&body).ok()?["version"].as_u64(),
             _ => None,
         }
@@ -68,7 +69,7 @@
 
 /// Submits jobs until the time `until`, with a pause of `gap` after each.
 pub(crate) async fn submit(
-    mut asker: Asker,
+    mut client: Client,
     watch: Rc<RefCell<Watch>>,
     seed: u64,
     gap: Duration,
@@ -85,16 +86,16 @@
         });
         let body = json!({ "payload": "work", "steps": [step] }).to_string().into_bytes();
         loop {
-            let sent = asker.ask(Method::POST, &format!("/q/{id}"), body.clone()).await;
+            let sent = client.send(Method::POST, &format!("/q/{id}"), body.clone()).await;
             match sent {
                 Some((200, _)) => {
-                    watch.borrow_mut().accepted(id, count);
+                    watch.borrow_mut().record_accepted(id, count);
                     break;
                 }
                 // The job was refused, so its state need not be checked.
                 Some((429 | 404 | 400, _)) => break,
                 _ if Instant::now() > until => break,
-                _ => tokio::time::sleep(AGAIN).await,
+                _ => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
         tokio::time::sleep(gap).await;
@@ -102,33 +103,33 @@
 }
 
 /// Polls the states of the open jobs.
-pub(crate) async fn ask_states(mut asker: Asker, watch: Rc<RefCell<Watch>>) {
+pub(crate) async fn poll_states(mut client: Client, watch: Rc<RefCell<Watch>>) {
     loop {
-        let open = watch.borrow().open();
+        let open = watch.borrow().open_jobs();
         for id in open {
             let asked = Instant::now();
-            let answer = asker.ask(Method::GET, &format!("/q/{id}"), Vec::new()).await;
-            match answer {
+            let response = client.send(Method::GET, &format!("/q/{id}"), Vec::new()).await;
+            match response {
                 Some((200, body)) => {
                     let state = serde_json::from_slice::<Value>(&body)
                         .ok()
                         .and_then(|view| serde_json::from_value(view["state"].clone()).ok());
                     if let Some(state) = state {
-                        watch.borrow_mut().told(id, asked, Some::<JobState>(state));
+                        watch.borrow_mut().check_state(id, asked, Some::<JobState>(state));
                     }
                 }
-                Some((410, _)) => watch.borrow_mut().told(id, asked, None),
+                Some((410, _)) => watch.borrow_mut().check_state(id, asked, None),
                 _ => {}
             }
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Applies one change set after the other, each retried until it is acknowledged, and reads the
 /// version in force in between. Once `closing` is set, applies one last change set and returns.
 pub(crate) async fn operate(
-    mut asker: Asker,
+    mut client: Client,
     watch: Rc<RefCell<Watch>>,
     gap: Duration,
     closing: Rc<Cell<bool>>,
@@ -138,14 +139,14 @@
         version += 1;
         let last = closing.get();
         let is_large = last || version.is_multiple_of(2);
-        let body = change(version, is_large).to_string().into_bytes();
+        let body = change_set(version, is_large).to_string().into_bytes();
         loop {
-            let sent = asker.ask(Method::PUT, CHANGE, body.clone()).await;
+            let sent = client.send(Method::PUT, CHANGE, body.clone()).await;
             if matches!(sent, Some((200, _))) {
                 watch.borrow_mut().version = Some((version, Instant::now()));
                 break;
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         if last {
             return;
@@ -153,22 +154,22 @@
         let until = Instant::now() + gap;
         while Instant::now() < until && !closing.get() {
             let asked = Instant::now();
-            if let Some(told) = asker.read_version().await {
-                watch.borrow_mut().in_force(told, asked);
+            if let Some(version_read) = client.read_version().await {
+                watch.borrow_mut().check_version(version_read, asked);
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 }
 
-fn change(version: u64, is_large: bool) -> Value {
+fn change_set(version: u64, is_large: bool) -> Value {
     let queue = |name: &str| {
         json!({
             "name": name, "host": HOST, "prefix": format!("/{name}/"), "pool": "pool",
             "timeout-ms": 3_000, "objective-ms": 1_000, "slack": 2.0, "attempts": 3,
         })
     };
-    let more = if is_large { MANY_QUEUES } else { 0 };
+    let more = if is_large { LARGE_CHANGE_QUEUES } else { 0 };
     let mut queues = vec![queue("q")];
     queues.extend((0..more).map(|at| queue(&format!("more-{at}"))));
     json!({ "version": version, "queues": queues, "pools": [{ "name": "pool" }] })
--- a/crates/soak/src/closing.rs
+++ b/crates/soak/src/final_fault.rs
@@ -1,8 +1,8 @@
 //! The end of a soak: processes and disks are lost right after a change set was acknowledged,
 //! and the change set must be read back at every process.
 
-use crate::callers::Asker;
-use crate::plan::Closing;
+use crate::callers::Client;
+use crate::plan::FinalFault;
 use crate::run::{SharedSystem, SharedWatch};
 use std::io;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use tokio::time::Instant;
 
 /// Time from the final fault until the processes are started again.
-const DOWN: Duration = Duration::from_millis(700);
+const DOWNTIME: Duration = Duration::from_millis(700);
 /// Limit on the time from the restart of all processes until each has answered a read: the
 /// strictest limit that the users' platform sets.
 const READ_BACK_MAX: Duration = Duration::from_secs(12);
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Injects the final fault, starts all processes again, and reads the change set back.
-pub(crate) async fn close(
-    closing: Closing,
+pub(crate) async fn inject_and_read_back(
+    final_fault: FinalFault,
     system: &SharedSystem,
     watch: &SharedWatch,
 ) -> io::Result<()> {
-    strike(closing, system)?;
-    tokio::time::sleep(DOWN).await;
+    inject(final_fault, system)?;
+    tokio::time::sleep(DOWNTIME).await;
     let nodes = system.borrow().nodes();
     for at in 0..nodes {
         system.borrow_mut().launch(at, false)?;
@@ -32,16 +32,17 @@
     let began = Instant::now();
     let mut reads = JoinSet::new();
     for at in 0..nodes {
-        let asker = Asker::new(vec![system.borrow().control()[at]], 0);
-        reads.spawn_local(async move { (at, read_back(asker, version, began).await) });
+        let client = Client::new(vec![system.borrow().control()[at]], 0);
+        reads.spawn_local(async move { (at, read_back(client, version, began).await) });
     }
     while let Some(read) = reads.join_next().await {
         let (at, read) = read.map_err(io::Error::other)?;
         match read {
             Ok(took) => watch.borrow_mut().report.read_back.push(took),
-            Err(what) => {
-                let what = format!("{closing:?}: version {version} at process {at}: {what}");
-                watch.borrow_mut().report.broken.push(what);
+            Err(violation) => {
+                let violation =
+                    format!("{final_fault:?}: version {version} at process {at}: {violation}");
+                watch.borrow_mut().report.violations.push(violation);
             }
         }
     }
@@ -49,13 +50,13 @@
     Ok(())
 }
 
-fn strike(closing: Closing, system: &SharedSystem) -> io::Result<()> {
+fn inject(final_fault: FinalFault, system: &SharedSystem) -> io::Result<()> {
     let mut system = system.borrow_mut();
-    let wiped = match closing {
-        Closing::KillAll => None,
-        Closing::KillAllAndWipe(at) | Closing::Wipe(at) => Some(at),
+    let wiped = match final_fault {
+        FinalFault::KillAll => None,
+        FinalFault::KillAllAndWipe(at) | FinalFault::Wipe(at) => Some(at),
     };
-    if !matches!(closing, Closing::Wipe(_)) {
+    if !matches!(final_fault, FinalFault::Wipe(_)) {
         for at in 0..system.nodes() {
             system.kill(at);
         }
@@ -65,12 +66,14 @@
 
 /// Returns the time from `began` until the process answered a read. Fails if it did not answer
 /// in time, or answered with a version older than `version`.
-async fn read_back(mut asker: Asker, version: u64, began: Instant) -> Result<Duration, String> {
+async fn read_back(mut client: Client, version: u64, began: Instant) -> Result<Duration, String> {
     while began.elapsed() < READ_BACK_MAX {
-        match asker.read_version().await {
-            Some(told) if told >= version => return Ok(began.elapsed()),
-            Some(told) => return Err(format!("the process returned version {told}")),
-            None => tokio::time::sleep(AGAIN).await,
+        match client.read_version().await {
+            Some(read_version) if read_version >= version => return Ok(began.elapsed()),
+            Some(read_version) => {
+                return Err(format!("the process returned version {read_version}"));
+            }
+            None => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
     Err(format!("no response within {READ_BACK_MAX:?}"))
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -10,7 +10,7 @@
 //! signals only processes that it started, by their ids.
 
 mod callers;
-mod closing;
+mod final_fault;
 mod plan;
 mod proxy;
 mod run;
@@ -18,6 +18,6 @@
 mod system;
 mod watch;
 
-pub use plan::{Closing, InjectedFault, Plan};
+pub use plan::{FinalFault, InjectedFault, Plan};
 pub use run::{SoakSettings, run};
 pub use watch::SoakReport;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// Shortest and longest time between two faults, in ms.
-const GAP_MS: std::ops::Range<u64> = 300..2_500;
+const FAULT_GAP_MS: std::ops::Range<u64> = 300..2_500;
 /// Shortest time between two losses of a disk: the disk lost first must have been replaced.
-const WIPE_GAP: Duration = Duration::from_secs(16);
+const WIPE_GAP_MIN: Duration = Duration::from_secs(16);
 
 /// A fault that is injected into a process or its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 /// A fault with its time and process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct PlannedFault {
     /// Time of the fault after the start of the traffic.
     pub at: Duration,
     /// Index of the process.
@@ -45,7 +45,7 @@
 
 /// The final fault, right after a change set was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalFault {
     /// All processes are killed at once.
     KillAll,
     /// All processes are killed at once, and this one loses its disk.
@@ -54,12 +54,12 @@
     Wipe(usize),
 }
 
-impl Closing {
+impl FinalFault {
     /// Draws the final fault for `seed`.
     ///
     /// ```
-    /// use yuccalink_soak::Closing;
-    /// assert_eq!(Closing::draw(7, 3), Closing::draw(7, 3));
+    /// use yuccalink_soak::FinalFault;
+    /// assert_eq!(FinalFault::draw(7, 3), FinalFault::draw(7, 3));
     /// ```
     pub fn draw(seed: u64, disks: usize) -> Self {
         // A separate random stream, so that the series of faults of a seed stays the same.
@@ -76,7 +76,7 @@
 
 /// A series of faults.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan(pub Vec<Step>);
+pub struct Plan(pub Vec<PlannedFault>);
 
 impl Plan {
     /// Draws the series of faults for `seed`.
@@ -92,11 +92,11 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut at = Duration::ZERO;
         let mut wiped = None;
-        let mut steps = Vec::new();
+        let mut faults = Vec::new();
         loop {
-            at += Duration::from_millis(rng.random_range(GAP_MS));
+            at += Duration::from_millis(rng.random_range(FAULT_GAP_MS));
             if at >= span {
-                return Self(steps);
+                return Self(faults);
             }
             let mut node = rng.random_range(0..nodes);
             let short = Duration::from_millis(rng.random_range(300..4_000));
@@ -110,7 +110,7 @@
                 12..=13 => InjectedFault::Silence(short),
                 14..=15 => InjectedFault::OneWay(short),
                 16..=17 => InjectedFault::Reset,
-                18 if wiped.is_none_or(|last: Duration| at - last > WIPE_GAP) => {
+                18 if wiped.is_none_or(|last: Duration| at - last > WIPE_GAP_MIN) => {
                     node = rng.random_range(0..disks);
                     wiped = Some(at);
                     InjectedFault::Wipe(short)
@@ -120,10 +120,10 @@
             };
             // While the replacement of a lost disk catches up, some entries may be on one other
             // disk only. No process with a disk gets a fault during this time.
-            let near_wipe = wiped.is_some_and(|last| at > last && at - last < WIPE_GAP / 2);
+            let is_near_wipe = wiped.is_some_and(|last| at > last && at - last < WIPE_GAP_MIN / 2);
             let touches_disk = node < disks || matches!(fault, InjectedFault::KillDisks(_));
-            if !near_wipe || !touches_disk {
-                steps.push(Step { at, node, fault });
+            if !is_near_wipe || !touches_disk {
+                faults.push(PlannedFault { at, node, fault });
             }
         }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,8 +1,8 @@
 //! The phases of a soak: traffic with faults, recovery, and a final fault.
 
-use crate::callers::{self, Asker};
-use crate::closing;
-use crate::plan::{Closing, InjectedFault, Plan, Step};
+use crate::callers::{self, Client};
+use crate::final_fault;
+use crate::plan::{FinalFault, InjectedFault, Plan, PlannedFault};
 use crate::runners;
 use crate::system::System;
 use crate::watch::{SoakReport, Watch};
@@ -38,12 +38,12 @@
 /// Longest wait until the first change set is acknowledged.
 const START_MAX: Duration = Duration::from_secs(30);
 /// Longest wait after the last fault until all jobs have ended.
-const CALM_MAX: Duration = Duration::from_secs(40);
+const RECOVERY_MAX: Duration = Duration::from_secs(40);
 /// Longest wait after the last fault if crashes are enabled: each crashing task takes down
 /// several runners for some seconds each.
-const CALM_AFTER_CRASHES_MAX: Duration = Duration::from_secs(90);
+const RECOVERY_WITH_CRASHES_MAX: Duration = Duration::from_secs(90);
 /// Time after the last fault in which a lost disk is replaced.
-const CATCH_UP: Duration = Duration::from_secs(6);
+const DISK_CATCH_UP: Duration = Duration::from_secs(6);
 /// Pause of a caller after each job.
 const JOB_GAP: Duration = Duration::from_millis(150);
 /// Pause of the operator after each change set.
@@ -66,8 +66,8 @@
     let system = System::start(program, folder, *nodes, *disks).await?;
     let watch = Rc::new(RefCell::new(Watch::default()));
     let began = Instant::now();
-    let asker = |first| Asker::new(system.callers(), first);
-    let operator = Asker::new(system.control(), 0);
+    let client = |first| Client::new(system.callers(), first);
+    let operator = Client::new(system.control(), 0);
     let last_change = Rc::new(Cell::new(false));
     let operator = callers::operate(operator, watch.clone(), CHANGE_GAP, last_change.clone());
     let operator = tokio::task::spawn_local(operator);
@@ -81,7 +81,7 @@
             watch
                 .borrow_mut()
                 .report
-                .broken
+                .violations
                 .push("no change set was acknowledged at the start".into());
             return Ok(watch.borrow().report.clone());
         }
@@ -90,21 +90,21 @@
     let until = Instant::now() + settings.span;
     for at in 0..2 {
         let traffic =
-            callers::submit(asker(at), watch.clone(), seed * 10 + at as u64, JOB_GAP, until);
+            callers::submit(client(at), watch.clone(), seed * 10 + at as u64, JOB_GAP, until);
         tokio::task::spawn_local(traffic);
     }
-    tokio::task::spawn_local(callers::ask_states(asker(2), watch.clone()));
+    tokio::task::spawn_local(callers::poll_states(client(2), watch.clone()));
     let plan = Plan::draw(*seed, *nodes, *disks, settings.span);
     let system = Rc::new(RefCell::new(system));
-    let strikes = inject(&plan, &system, &watch).await;
+    let fault_tasks = inject(&plan, &system, &watch).await;
     tokio::time::sleep_until(until).await;
-    let calm = if settings.crashes { CALM_AFTER_CRASHES_MAX } else { CALM_MAX };
-    settle(&system, &watch, calm).await;
-    strikes.join_all().await;
-    tokio::time::sleep(CATCH_UP).await;
+    let recovery_max = if settings.crashes { RECOVERY_WITH_CRASHES_MAX } else { RECOVERY_MAX };
+    recover(&system, &watch, recovery_max).await;
+    fault_tasks.join_all().await;
+    tokio::time::sleep(DISK_CATCH_UP).await;
     last_change.set(true);
     operator.await.map_err(io::Error::other)?;
-    closing::close(Closing::draw(*seed, *disks), &system, &watch).await?;
+    final_fault::inject_and_read_back(FinalFault::draw(*seed, *disks), &system, &watch).await?;
     Ok(watch.borrow().report.clone())
 }
 
@@ -112,27 +112,27 @@
 pub(crate) type SharedWatch = Rc<RefCell<Watch>>;
 
 async fn inject(plan: &Plan, system: &SharedSystem, watch: &SharedWatch) -> JoinSet<()> {
-    let mut strikes = JoinSet::new();
+    let mut fault_tasks = JoinSet::new();
     let began = Instant::now();
-    for step in &plan.0 {
-        tokio::time::sleep_until(began + step.at).await;
-        let fallen = system.borrow_mut().fallen();
-        if !fallen.is_empty() {
+    for planned in &plan.0 {
+        tokio::time::sleep_until(began + planned.at).await;
+        let ended_unexpectedly = system.borrow_mut().ended_unexpectedly();
+        if !ended_unexpectedly.is_empty() {
             watch
                 .borrow_mut()
                 .report
-                .broken
-                .push(format!("processes {fallen:?} ended unexpectedly"));
+                .violations
+                .push(format!("processes {ended_unexpectedly:?} ended unexpectedly"));
         }
         watch.borrow_mut().report.faults += 1;
-        strikes.spawn_local(strike(*step, system.clone(), watch.clone()));
+        fault_tasks.spawn_local(apply_fault(*planned, system.clone(), watch.clone()));
     }
-    strikes
+    fault_tasks
 }
 
-async fn strike(step: Step, system: SharedSystem, watch: SharedWatch) {
-    let Step { node, fault, .. } = step;
-    let mood = system.borrow().moods[node].clone();
+async fn apply_fault(planned: PlannedFault, system: SharedSystem, watch: SharedWatch) {
+    let PlannedFault { node, fault, .. } = planned;
+    let proxy_faults = system.borrow().proxy_faults[node].clone();
     let result = match fault {
         InjectedFault::Kill(down) => {
             system.borrow_mut().kill(node);
@@ -151,31 +151,35 @@
             wiped.and_then(|()| system.borrow_mut().launch(node, false))
         }
         InjectedFault::Delay(by, span) => {
-            mood.delay.set(by);
+            proxy_faults.delay.set(by);
             tokio::time::sleep(span).await;
-            mood.delay.set(Duration::ZERO);
+            proxy_faults.delay.set(Duration::ZERO);
             Ok(())
         }
         InjectedFault::Silence(span) => {
-            mood.silent.set(true);
+            proxy_faults.silent.set(true);
             tokio::time::sleep(span).await;
-            mood.silent.set(false);
+            proxy_faults.silent.set(false);
             Ok(())
         }
         InjectedFault::OneWay(span) => {
-            mood.one_way.set(true);
+            proxy_faults.one_way.set(true);
             tokio::time::sleep(span).await;
-            mood.one_way.set(false);
+            proxy_faults.one_way.set(false);
             Ok(())
         }
         InjectedFault::Reset => {
-            mood.resets.set(mood.resets.get() + 1);
+            proxy_faults.resets.set(proxy_faults.resets.get() + 1);
             Ok(())
         }
         InjectedFault::KillDisks(down) => kill_disks(down, &system).await,
     };
     if let Err(error) = result {
-        watch.borrow_mut().report.broken.push(format!("a fault could not be injected: {error}"));
+        watch
+            .borrow_mut()
+            .report
+            .violations
+            .push(format!("a fault could not be injected: {error}"));
     }
 }
 
@@ -204,7 +208,7 @@
                 watch
                     .borrow_mut()
                     .report
-                    .broken
+                    .violations
                     .push(format!("process {node} stopped with an error"));
                 break;
             }
@@ -220,9 +224,9 @@
 }
 
 /// Starts the processes that are down and waits until every acknowledged job has ended.
-async fn settle(system: &SharedSystem, watch: &SharedWatch, calm: Duration) {
-    let until = Instant::now() + calm;
-    while Instant::now() < until && !watch.borrow().open().is_empty() {
+async fn recover(system: &SharedSystem, watch: &SharedWatch, recovery_max: Duration) {
+    let until = Instant::now() + recovery_max;
+    while Instant::now() < until && !watch.borrow().open_jobs().is_empty() {
         tokio::time::sleep(POLL).await;
         let down: Vec<usize> = {
             let system = system.borrow();
@@ -232,9 +236,9 @@
             let _ = system.borrow_mut().launch(at, false);
         }
     }
-    let open = watch.borrow().open();
+    let open = watch.borrow().open_jobs();
     if !open.is_empty() {
-        let what = format!("{} acknowledged jobs did not end: {open:?}", open.len());
-        watch.borrow_mut().report.broken.push(what);
+        let violation = format!("{} acknowledged jobs did not end: {open:?}", open.len());
+        watch.borrow_mut().report.violations.push(violation);
     }
 }
--- a/crates/soak/src/runners.rs
+++ b/crates/soak/src/runners.rs
@@ -18,33 +18,33 @@
 
 const CAPACITY: Resources = Resources { millicores: 8_000, memory_mib: 16_000, accelerators: 0 };
 /// Deadline for a complete response, as on the users' platform.
-const ANSWER_MAX: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Added to the run time of tasks that crash their runner, so that they do not end before.
-const WORK_MORE: Duration = Duration::from_millis(500);
-const BODY_MAX: usize = 4 * 1024 * 1024;
+const CRASHING_RUN_TIME_EXTRA: Duration = Duration::from_millis(500);
+const BODY_MAX_BYTES: usize = 4 * 1024 * 1024;
 /// Pause after a report that got no response.
-const AGAIN: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// Longest pause between reports.
-const PAUSE_MAX: Duration = Duration::from_millis(1_000);
+const REPORT_PAUSE_MAX: Duration = Duration::from_millis(1_000);
 
 /// One job in this many crashes runners, if crashes are enabled.
 const CRASHING_ONE_IN: u64 = 24;
 /// Time from the start of a crashing task to the crash, in ms; selected by the job's id.
 const CRASH_AFTER_MS: [u64; 3] = [10, 10, 400];
 /// Shortest and longest time from a crash to the next incarnation, in ms.
-const AWAY_MS: std::ops::Range<u64> = 500..7_000;
+const DOWNTIME_MS: std::ops::Range<u64> = 500..7_000;
 /// Shortest and longest time between two changes of a runner's capacity, in ms.
-const ROOM_STAYS_MS: std::ops::Range<u64> = 500..6_000;
+const CAPACITY_CHANGE_MS: std::ops::Range<u64> = 500..6_000;
 
 /// Returns the actual behavior of a task; its run time is derived from its key.
 fn behavior(task: TaskKey, crashes: bool) -> TaskBehavior {
-    let work = Duration::from_millis(100 + (task.job.0 ^ u64::from(task.index)) % 900);
+    let run_time = Duration::from_millis(100 + (task.job.0 ^ u64::from(task.index)) % 900);
     let need = Resources { millicores: 1_000, memory_mib: 100, accelerators: 0 };
-    let strikes = crashes && task.index == 0 && task.job.0.is_multiple_of(CRASHING_ONE_IN);
+    let is_crashing = crashes && task.index == 0 && task.job.0.is_multiple_of(CRASHING_ONE_IN);
     let after = CRASH_AFTER_MS[(task.job.0 / CRASHING_ONE_IN % 3) as usize];
-    let crash = strikes.then(|| Crash::each(Duration::from_millis(after)));
+    let crash = is_crashing.then(|| Crash::each(Duration::from_millis(after)));
     TaskBehavior {
-        run_time: if strikes { work + WORK_MORE } else { work },
+        run_time: if is_crashing { run_time + CRASHING_RUN_TIME_EXTRA } else { run_time },
         actual_usage: need,
         crash,
         ..TaskBehavior::default()
@@ -52,22 +52,22 @@
 }
 
 /// Changes the capacity of a runner at random times.
-struct Room {
+struct CapacityChanger {
     rng: Pcg64Mcg,
-    changes_at: Moment,
+    next_change: Moment,
 }
 
-impl Room {
+impl CapacityChanger {
     fn new(at: usize, now: Moment) -> Self {
-        Self { rng: Pcg64Mcg::seed_from_u64(at as u64), changes_at: now }
+        Self { rng: Pcg64Mcg::seed_from_u64(at as u64), next_change: now }
     }
 
     /// Draws a new capacity for the runner if the next change is due.
     fn change(&mut self, runner: &mut EmulatedRunner, now: Moment) {
-        if now < self.changes_at {
+        if now < self.next_change {
             return;
         }
-        self.changes_at = now + Duration::from_millis(self.rng.random_range(ROOM_STAYS_MS));
+        self.next_change = now + Duration::from_millis(self.rng.random_range(CAPACITY_CHANGE_MS));
         let millicores = self.rng.random_range(1..=CAPACITY.millicores / 1_000) * 1_000;
         runner.resize(Resources { millicores, ..CAPACITY }, now);
     }
@@ -82,69 +82,71 @@
     crashes: bool,
 ) {
     let now = || Moment(1_000_000) + began.elapsed();
-    let mut room = Room::new(at, now());
+    let mut capacity_changer = CapacityChanger::new(at, now());
     let mut started_ms = 1_000 + at as u64;
     loop {
         let runner = EmulatedRunner::new(&format!("w{at}"), "r1", started_ms, CAPACITY, now());
-        let shrinks = crashes.then_some(&mut room);
-        let Some(by) = live(at, runner, &nodes, &watch, &now, shrinks).await else { return };
-        watch.borrow_mut().crashed(at, by);
-        let away = Duration::from_millis(room.rng.random_range(AWAY_MS));
-        tokio::time::sleep(away).await;
-        started_ms += u64::try_from(away.as_millis()).unwrap_or(u64::MAX);
+        let changer = crashes.then_some(&mut capacity_changer);
+        let Some(by) = run_incarnation(at, runner, &nodes, &watch, &now, changer).await else {
+            return;
+        };
+        watch.borrow_mut().record_crash(at, by);
+        let downtime = Duration::from_millis(capacity_changer.rng.random_range(DOWNTIME_MS));
+        tokio::time::sleep(downtime).await;
+        started_ms += u64::try_from(downtime.as_millis()).unwrap_or(u64::MAX);
     }
 }
 
 /// Runs one incarnation until a task crashes it, and returns that task.
-async fn live<F>(
+async fn run_incarnation<F>(
     at: usize,
     mut runner: EmulatedRunner,
     nodes: &[SocketAddr],
     watch: &Rc<RefCell<Watch>>,
     now: &F,
-    mut shrinks: Option<&mut Room>,
+    mut capacity_changer: Option<&mut CapacityChanger>,
 ) -> Option<TaskKey>
 where
     F: Fn() -> Moment,
 {
     let pool = Pool::new(PoolSettings::default());
     let id = runner.id.clone();
-    let crashes = shrinks.is_some();
+    let crashes = capacity_changer.is_some();
     let mut node = at;
-    let mut told: Option<SocketAddr> = None;
+    let mut report_to: Option<SocketAddr> = None;
     loop {
         if let Some(by) = runner.crashed_by() {
             return Some(by);
         }
-        if let Some(room) = &mut shrinks {
-            room.change(&mut runner, now());
+        if let Some(capacity_changer) = &mut capacity_changer {
+            capacity_changer.change(&mut runner, now());
         }
         let sent = now();
         let report = runner.report(sent);
-        watch.borrow_mut().happened(at, runner.take_events());
+        watch.borrow_mut().record_events(at, runner.take_events());
         let body = serde_json::to_vec(&report).ok()?;
-        let to = told.unwrap_or(nodes[node % nodes.len()]);
+        let to = report_to.unwrap_or(nodes[node % nodes.len()]);
         let path = format!("/v1/runners/{id}/heartbeat");
         let orders = post(&pool, to, &path, body).await;
         let pause = match orders {
             Some(orders) => {
-                told = orders.report_to;
+                report_to = orders.report_to;
                 let before = runner.resources_in_use();
                 runner.apply_orders(now(), sent, &orders, |task| Some(behavior(task, crashes)));
                 let filled = runner.resources_in_use().millicores > before.millicores;
                 if filled && !runner.is_within_capacity(now()) {
-                    watch.borrow_mut().overfull(at);
+                    watch.borrow_mut().record_overcommit(at);
                 }
                 Duration::from_millis(orders.retry_after_ms.max(50))
             }
             None => {
-                told = None;
+                report_to = None;
                 node += 1;
-                AGAIN
+                RETRY_PAUSE
             }
         };
-        watch.borrow_mut().happened(at, runner.take_events());
-        sleep(&mut runner, at, watch, pause.min(PAUSE_MAX), now).await;
+        watch.borrow_mut().record_events(at, runner.take_events());
+        sleep(&mut runner, at, watch, pause.min(REPORT_PAUSE_MAX), now).await;
     }
 }
 
@@ -158,14 +160,14 @@
 ) where
     F: Fn() -> Moment,
 {
-    const LOOK: Duration = Duration::from_millis(20);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let until = Instant::now() + pause;
     while Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         runner.advance(now());
         let events = runner.take_events();
         let ended = !events.is_empty();
-        watch.borrow_mut().happened(at, events);
+        watch.borrow_mut().record_events(at, events);
         if ended || runner.crashed_by().is_some() {
             return;
         }
@@ -179,11 +181,11 @@
         .header(header::HOST, to.to_string())
         .body(body.into())
         .ok()?;
-    let deadline = Instant::now() + ANSWER_MAX;
-    let mut answer = pool.send(to, req, deadline).await.ok()?;
-    if !answer.head.status.is_success() {
+    let deadline = Instant::now() + RESPONSE_TIMEOUT;
+    let mut response = pool.send(to, req, deadline).await.ok()?;
+    if !response.head.status.is_success() {
         return None;
     }
-    let whole = tokio::time::timeout_at(deadline, answer.collect_body(BODY_MAX)).await;
-    serde_json::from_slice(&whole.ok()?.ok()??).ok()
+    let collected = tokio::time::timeout_at(deadline, response.collect_body(BODY_MAX_BYTES)).await;
+    serde_json::from_slice(&collected.ok()?.ok()??).ok()
 }
--- a/crates/soak/src/system.rs
+++ b/crates/soak/src/system.rs
@@ -1,6 +1,6 @@
 //! The processes of the cell under test.
 
-use crate::proxy::{Mood, Proxy};
+use crate::proxy::{Proxy, ProxyFaults};
 use std::fs::OpenOptions;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -24,7 +24,7 @@
     children: Vec<Option<Child>>,
     /// Processes that were asked to stop, so that their end is expected.
     stopping: Vec<bool>,
-    pub(crate) moods: Vec<Rc<Mood>>,
+    pub(crate) proxy_faults: Vec<Rc<ProxyFaults>>,
 }
 
 impl System {
@@ -42,13 +42,14 @@
             disks,
             children: (0..nodes).map(|_| None).collect(),
             stopping: vec![false; nodes],
-            moods: (0..nodes).map(|_| Rc::default()).collect(),
+            proxy_faults: (0..nodes).map(|_| Rc::default()).collect(),
         };
         let fast: Rc<[Box<str>]> = (0..disks).map(|at| name(at).into()).collect();
         for node in 0..nodes {
-            let (at, to) = (system.address(node, PROXY), system.address(node, PEER));
-            let mood = system.moods[node].clone();
-            Proxy { at, to, mood, fast: fast.clone() }.serve().await?;
+            let (listen_address, process_address) =
+                (system.address(node, PROXY), system.address(node, PEER));
+            let faults = system.proxy_faults[node].clone();
+            Proxy { listen_address, process_address, faults, fast: fast.clone() }.serve().await?;
         }
         for at in 0..nodes {
             system.launch(at, true)?;
@@ -82,8 +83,8 @@
         self.children[at].is_none()
     }
 
-    /// Starts a process unless it is running; `found` lets it bootstrap a new cell.
-    pub(crate) fn launch(&mut self, at: usize, found: bool) -> io::Result<()> {
+    /// Starts a process unless it is running; `bootstrap` lets it form a new cell.
+    pub(crate) fn launch(&mut self, at: usize, bootstrap: bool) -> io::Result<()> {
         if self.children[at].is_some() {
             return Ok(());
         }
@@ -102,7 +103,7 @@
             .args(["--control", &self.address(at, CONTROL).to_string()])
             .args(["--metrics", &self.address(at, METRICS).to_string()])
             .args(["--seeds", &seeds.join(","), "--drain", "1s"])
-            .args(["--found", if found { "yes" } else { "no" }])
+            .args(["--found", if bootstrap { "yes" } else { "no" }])
             .stdin(Stdio::null())
             .stdout(log);
         if at < self.disks {
@@ -155,7 +156,7 @@
 
     /// Returns the processes that ended unexpectedly. [`Self::has_ended`] checks those that
     /// were asked to stop; it may do so only after their end.
-    pub(crate) fn fallen(&mut self) -> Vec<usize> {
+    pub(crate) fn ended_unexpectedly(&mut self) -> Vec<usize> {
         let ended = |child: &mut Option<Child>| {
             child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
         };
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
     /// Violated guarantees, in the order of their detection.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of acknowledged jobs.
     pub accepted: usize,
     /// Number of jobs that were reported as completed.
@@ -22,7 +22,7 @@
     /// Number of jobs that were reported as failed after runners had crashed under their tasks.
     pub given_up: usize,
     /// Number of jobs in `given_up` whose own tasks crashed no runner.
-    pub sound_given_up: usize,
+    pub given_up_without_crash: usize,
     /// Number of runner crashes.
     pub crashes: usize,
     /// Number of runs that started.
@@ -38,30 +38,30 @@
 struct Task {
     running: BTreeSet<usize>,
     done: bool,
-    noted: bool,
+    acknowledged: bool,
     runs: BTreeSet<u32>,
     /// Number of runners that the task crashed.
     crashes: usize,
     /// Number of runners that crashed while the task ran there.
     lost_runners: usize,
-    /// Number of starts after [`CRASHES_BORNE`] crashes.
-    starts_after: usize,
+    /// Number of starts after [`CRASHES_TOLERATED`] crashes.
+    starts_after_crashes: usize,
 }
 
 /// Number of runner crashes by a task after which it should hardly ever be started again.
-const CRASHES_BORNE: usize = 3;
-/// Number of starts after [`CRASHES_BORNE`] crashes that counts as a violation.
-const STARTS_AFTER: usize = 3;
+const CRASHES_TOLERATED: usize = 3;
+/// Number of starts after [`CRASHES_TOLERATED`] crashes that counts as a violation.
+const STARTS_AFTER_CRASHES_LIMIT: usize = 3;
 
 /// Ends of runs on one runner that are not acknowledged yet, by their number.
-type Listed = BTreeMap<u64, (TaskKey, RunOutcome)>;
+type UnacknowledgedEnds = BTreeMap<u64, (TaskKey, RunOutcome)>;
 
 #[derive(Default)]
 pub(crate) struct Watch {
     pub(crate) report: SoakReport,
     tasks: BTreeMap<TaskKey, Task>,
-    listed: BTreeMap<usize, Listed>,
-    counts: BTreeMap<usize, u64>,
+    unacknowledged: BTreeMap<usize, UnacknowledgedEnds>,
+    end_counts: BTreeMap<usize, u64>,
     accepted: BTreeMap<JobId, (Instant, u16)>,
     pub(crate) completed: BTreeSet<JobId>,
     given_up: BTreeSet<JobId>,
@@ -69,46 +69,49 @@
 }
 
 impl Watch {
-    fn broken(&mut self, what: String) {
-        self.report.broken.push(what);
+    fn record_violation(&mut self, what: String) {
+        self.report.violations.push(what);
     }
 
-    pub(crate) fn accepted(&mut self, id: JobId, tasks: u16) {
+    pub(crate) fn record_accepted(&mut self, id: JobId, tasks: u16) {
         self.accepted.entry(id).or_insert((Instant::now(), tasks));
         self.report.accepted = self.accepted.len();
     }
 
-    pub(crate) fn open(&self) -> Vec<JobId> {
+    pub(crate) fn open_jobs(&self) -> Vec<JobId> {
         let ended = |id: &JobId| self.completed.contains(id) || self.given_up.contains(id);
         self.accepted.keys().filter(|id| !ended(id)).copied().collect()
     }
 
     /// Checks the response to a request for the state of a job that was sent at `asked`; `None`
     /// stands for an unknown job.
-    pub(crate) fn told(&mut self, id: JobId, asked: Instant, state: Option<JobState>) {
+    pub(crate) fn check_state(&mut self, id: JobId, asked: Instant, state: Option<JobState>) {
         let Some((at, tasks)) = self.accepted.get(&id).copied() else { return };
         match state {
             None if asked.duration_since(at) > VISIBLE_AFTER => {
-                self.broken(format!("{id} was acknowledged but is unknown"));
+                self.record_violation(format!("{id} was acknowledged but is unknown"));
             }
             Some(JobState::Completed) => {
                 let key = |index| TaskKey { job: id, occurrence: 0, step: 0, index };
                 let missing = (0..tasks).find(|i| self.tasks.get(&key(*i)).is_none_or(|t| !t.done));
                 if let Some(index) = missing {
-                    self.broken(format!("{id} is completed but its task {index} is not done"));
+                    self.record_violation(format!(
+                        "{id} is completed but its task {index} is not done"
+                    ));
                 }
                 self.completed.insert(id);
                 self.report.completed = self.completed.len();
             }
             Some(JobState::Failed) if self.given_up.contains(&id) => {}
-            Some(JobState::Failed) if self.lost_runners_of(id) >= 2 => {
+            Some(JobState::Failed) if self.lost_runners_of_job(id) >= 2 => {
                 self.given_up.insert(id);
-                let guilty = self.tasks.iter().any(|(key, task)| key.job == id && task.crashes > 0);
-                self.report.sound_given_up += usize::from(!guilty);
+                let has_crashed =
+                    self.tasks.iter().any(|(key, task)| key.job == id && task.crashes > 0);
+                self.report.given_up_without_crash += usize::from(!has_crashed);
                 self.report.given_up = self.given_up.len();
             }
             Some(JobState::Failed | JobState::Cancelled) => {
-                self.broken(format!(
+                self.record_violation(format!(
                     "{id} is {state:?} although no task failed and nobody cancelled it"
                 ));
             }
@@ -117,16 +120,16 @@
     }
 
     /// Returns the highest number of runners that crashed under one task of the job.
-    fn lost_runners_of(&self, id: JobId) -> usize {
+    fn lost_runners_of_job(&self, id: JobId) -> usize {
         let of_job = self.tasks.iter().filter(|(key, _)| key.job == id);
         of_job.map(|(_, task)| task.lost_runners).max().unwrap_or(0)
     }
 
     /// Records that the task `by` crashed a runner; the incarnation and its runs are lost.
-    pub(crate) fn crashed(&mut self, runner: usize, by: TaskKey) {
+    pub(crate) fn record_crash(&mut self, runner: usize, by: TaskKey) {
         self.report.crashes += 1;
-        self.listed.remove(&runner);
-        self.counts.remove(&runner);
+        self.unacknowledged.remove(&runner);
+        self.end_counts.remove(&runner);
         for task in self.tasks.values_mut() {
             task.lost_runners += usize::from(task.running.remove(&runner));
         }
@@ -134,31 +137,31 @@
     }
 
     /// Records that a start exceeded the capacity of a runner.
-    pub(crate) fn overfull(&mut self, runner: usize) {
-        self.broken(format!("a start exceeds the capacity of w{runner}"));
+    pub(crate) fn record_overcommit(&mut self, runner: usize) {
+        self.record_violation(format!("a start exceeds the capacity of w{runner}"));
     }
 
     /// Checks the version in force that the operator received for a read sent at `asked`.
-    pub(crate) fn in_force(&mut self, version: u64, asked: Instant) {
+    pub(crate) fn check_version(&mut self, version: u64, asked: Instant) {
         if let Some((acknowledged, at)) = self.version
             && version < acknowledged
             && asked > at
         {
-            self.broken(format!(
+            self.record_violation(format!(
                 "version {version} is returned after {acknowledged} was acknowledged"
             ));
         }
     }
 
     /// Checks the events of a runner.
-    pub(crate) fn happened(&mut self, runner: usize, events: Vec<RunnerEvent>) {
+    pub(crate) fn record_events(&mut self, runner: usize, events: Vec<RunnerEvent>) {
         for event in events {
             match event {
                 RunnerEvent::Started { task, run, .. } => self.started(runner, task, run),
                 RunnerEvent::Ended { task, outcome, .. } => self.ended(runner, task, outcome),
-                RunnerEvent::EndsAcknowledged(upto) => self.noted(runner, upto),
+                RunnerEvent::EndsAcknowledged(upto) => self.acknowledged(runner, upto),
                 RunnerEvent::LeaseExpired(_) => {
-                    self.listed.remove(&runner);
+                    self.unacknowledged.remove(&runner);
                 }
             }
         }
@@ -169,21 +172,23 @@
         let task = self.tasks.entry(key).or_default();
         let elsewhere = !task.running.is_empty();
         let again = !task.runs.insert(run);
-        let noted = task.noted;
+        let acknowledged = task.acknowledged;
         task.running.insert(runner);
-        task.starts_after += usize::from(task.crashes >= CRASHES_BORNE);
-        let too_often = task.starts_after >= STARTS_AFTER;
+        task.starts_after_crashes += usize::from(task.crashes >= CRASHES_TOLERATED);
+        let too_often = task.starts_after_crashes >= STARTS_AFTER_CRASHES_LIMIT;
         if elsewhere {
-            self.broken(format!("{key} run {run} starts while the task runs elsewhere"));
+            self.record_violation(format!("{key} run {run} starts while the task runs elsewhere"));
         }
         if again {
-            self.broken(format!("{key} run {run} starts twice"));
+            self.record_violation(format!("{key} run {run} starts twice"));
         }
         if too_often {
-            self.broken(format!("{key} run {run} starts too often after {CRASHES_BORNE} crashes"));
+            self.record_violation(format!(
+                "{key} run {run} starts too often after {CRASHES_TOLERATED} crashes"
+            ));
         }
-        if noted {
-            self.broken(format!(
+        if acknowledged {
+            self.record_violation(format!(
                 "{key} run {run} starts after the end of the task was acknowledged"
             ));
         }
@@ -193,17 +198,17 @@
         let task = self.tasks.entry(key).or_default();
         task.running.remove(&runner);
         task.done |= outcome == RunOutcome::Done;
-        let count = self.counts.entry(runner).or_default();
+        let count = self.end_counts.entry(runner).or_default();
         *count += 1;
-        self.listed.entry(runner).or_default().insert(*count, (key, outcome));
+        self.unacknowledged.entry(runner).or_default().insert(*count, (key, outcome));
     }
 
-    fn noted(&mut self, runner: usize, upto: u64) {
-        let Some(listed) = self.listed.get_mut(&runner) else { return };
-        let rest = listed.split_off(&(upto + 1));
-        for (key, outcome) in std::mem::replace(listed, rest).into_values() {
+    fn acknowledged(&mut self, runner: usize, upto: u64) {
+        let Some(unacknowledged) = self.unacknowledged.get_mut(&runner) else { return };
+        let rest = unacknowledged.split_off(&(upto + 1));
+        for (key, outcome) in std::mem::replace(unacknowledged, rest).into_values() {
             if outcome == RunOutcome::Done {
-                self.tasks.entry(key).or_default().noted = true;
+                self.tasks.entry(key).or_default().acknowledged = true;
             }
         }
     }
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -32,15 +32,15 @@
         crashes,
     };
     let report = run(&settings).expect("the soak runs");
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         let kept = folder.keep();
-        panic!("seed {seed}, logs in {}: {:#?}", kept.display(), report.broken);
+        panic!("seed {seed}, logs in {}: {:#?}", kept.display(), report.violations);
     }
     report
 }
 
 #[test]
-fn a_short_soak_breaks_no_promise() {
+fn a_short_soak_violates_no_guarantee() {
     let report = soak(1, 10, 4, 4);
     assert!(report.accepted > 0 && report.completed == report.accepted, "{report:?}");
 }
@@ -58,7 +58,7 @@
 /// before the next fault, 1.16 s after the request, and the check for unexpected ends runs before
 /// the check for requested stops. This happened in three runs of four.
 #[test]
-fn a_stop_that_was_asked_for_is_no_fall() {
+fn a_requested_stop_is_not_an_unexpected_end() {
     soak(2034, 12, 5, 8);
 }
 
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -24,8 +24,8 @@
     replicas[0].bootstrap(Members { voters, learners: Vec::new() }, now);
 
     let mut words: Vec<&str> = vec!["nets", "returns", "quotes"];
-    let mut agreed = 0;
-    while agreed < 9 {
+    let mut committed_count = 0;
+    while committed_count < 9 {
         now = now + STEP;
         let mut network: Vec<Envelope> = Vec::new();
         for replica in &mut replicas {
@@ -45,7 +45,7 @@
             for (index, entry) in output.committed {
                 if let Payload::Command(bytes) = entry.payload {
                     println!("{} {index}: {}", replica.id(), String::from_utf8_lossy(&bytes));
-                    agreed += 1;
+                    committed_count += 1;
                 }
             }
         }
