--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -53,8 +53,8 @@
         };
         let report = run(&settings)?;
         println!(
-            "seed {seed}: {} jobs accepted, {} completed, {} given up ({} of them sound), {} runners crashed, {} \
-             starts, {} faults, read back first {:?} last {:?}, {} broken",
+            "seed {seed}: {} jobs accepted, {} completed, {} given up ({} of them without crashes), {} runners crashed, {} \
+             starts, {} faults, read back first {:?} last {:?}, {} violations",
             report.accepted,
             report.completed,
             report.given_up,
@@ -72,6 +72,6 @@
             report.violations.iter().take(10).for_each(|violation| println!("  {violation}"));
         }
     }
-    println!("{} seeds, {failed_seeds} red", seeds);
+    println!("{seeds} seeds, {failed_seeds} failed");
     Ok(failed_seeds)
 }
