--- a/crates/fakes/src/emulator.rs
+++ b/crates/fakes/src/emulator.rs
@@ -1,6 +1,6 @@
-//! A runner of a job cell, emulated without a network: it obeys orders, keeps leases,
-//! ends tasks, and reports. Time and truth come from outside, so that a whole day of
-//! many runners plays in a moment, the same each time.
+//! Emulates a runner of a job cell without a network: it applies orders, observes leases,
+//! ends tasks and sends reports. The caller supplies the time and the behavior of the tasks,
+//! so that a whole day of many runners is simulated quickly and deterministically.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,83 +11,85 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{RunOutcome, TaskKey};
 
-/// Ends listed in one report.
-const LISTED_MAX: usize = 500;
-/// How long a stop takes.
-const STOP_TIME: Duration = Duration::from_millis(100);
-/// A room that has shrunk may still be filled for this long: nobody is in touch for the first
-/// part, and the rest is one report.
-const SHRINKS_WITHIN: Duration = Duration::from_millis(4_500);
-/// A response later than this is dropped.
-const DROP_AFTER: Duration = Duration::from_secs(1);
+/// Largest number of finished runs in one report.
+const FINISHED_PER_REPORT_MAX: usize = 500;
+/// Time from the order to stop a run until its end.
+const STOP_DURATION: Duration = Duration::from_millis(100);
+/// Time after a reduction of the capacity during which the leader may still start tasks up to
+/// the former capacity: no process may be reachable for the first part of it, and the rest is
+/// the interval of one report.
+const CAPACITY_REDUCTION_GRACE: Duration = Duration::from_millis(4_500);
+/// A response that arrives later than this after its report was sent is ignored.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How many times as long a slow runner takes.
+/// Factor by which tasks on a slow runner take longer.
 const SLOW_FACTOR: u32 = 5;
 
 /// A task that makes its runner crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// How long after its start.
+    /// Time from the start of the run to the crash.
     pub after: Duration,
-    /// In how many of a thousand runs.
+    /// Number of runs in a thousand that crash their runner.
     pub per_mille: u16,
 }
 
 impl Crash {
-    /// Each run crashes its runner that long after its start.
+    /// Every run crashes its runner at this time after its start.
     pub const fn each(after: Duration) -> Self {
         Self { after, per_mille: 1_000 }
     }
 
-    /// Whether this run does, the same each time it is asked.
-    fn strikes(self, task: TaskKey, run: u32) -> bool {
+    /// Returns whether this run crashes its runner; the result is a fixed function of the task
+    /// and the run.
+    fn happens_in(self, task: TaskKey, run: u32) -> bool {
         const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
         let seed = task.job.0 ^ (u64::from(task.index) << 20) ^ (u64::from(run) << 40);
         (seed.wrapping_mul(MULTIPLIER) >> 32) % 1_000 < u64::from(self.per_mille)
     }
 }
 
-/// What is true of one task, whatever was declared.
+/// Actual behavior of a task, whatever was declared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TaskBehavior {
-    /// Work on a sound runner.
+    /// Run time on a healthy runner.
     pub run_time: Duration,
-    /// It fails at the end of its work.
+    /// The task fails at the end of its run time.
     pub fails: bool,
-    /// It runs until it is stopped.
+    /// The task runs until it is stopped.
     pub long_running: bool,
-    /// What it takes of a runner.
+    /// Resources that the task actually uses.
     pub actual_usage: Resources,
-    /// It crashes its runner.
+    /// When and how often the task crashes its runner, if it does.
     pub crash: Option<Crash>,
 }
 
-/// What happened on a runner, for whoever checks.
+/// An event on an emulated runner, for invariant checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunnerEvent {
-    /// A run began.
+    /// A run started.
     Started {
-        /// Whose.
+        /// Task of the run.
         task: TaskKey,
-        /// Which.
+        /// Number of the run.
         run: u32,
-        /// When.
+        /// Time of the start.
         at: Moment,
     },
     /// A run ended.
     Ended {
-        /// Whose.
+        /// Task of the run.
         task: TaskKey,
-        /// Which.
+        /// Number of the run.
         run: u32,
-        /// How.
+        /// How the run ended.
         outcome: RunOutcome,
-        /// When.
+        /// Time of the end.
         at: Moment,
     },
-    /// The cell has noted ends up to this number.
+    /// The leader has acknowledged the finished runs up to this number.
     EndsAcknowledged(u64),
-    /// The lease ran out.
+    /// The lease expired at this time.
     LeaseExpired(Moment),
 }
 
@@ -96,7 +98,7 @@
     run: u32,
     behavior: TaskBehavior,
     done: Duration,
-    began: Moment,
+    started_at: Moment,
     stop_at: Option<Moment>,
     rate: u8,
 }
@@ -104,54 +106,54 @@
 /// How an emulated runner misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RunnerFault {
-    /// It does not.
+    /// The runner works correctly.
     #[default]
     None,
-    /// It fails all that it runs, at once.
+    /// Every task fails immediately.
     FailsAll,
-    /// Its tasks stand still.
+    /// Tasks make no progress.
     TasksStall,
-    /// It takes five times as long.
+    /// Tasks take five times as long.
     Slow,
 }
 
-/// One life of an emulated runner.
+/// One incarnation of an emulated runner.
 #[derive(Clone, Debug)]
 pub struct EmulatedRunner {
-    /// Its name.
+    /// Name of the runner.
     pub id: Box<str>,
-    /// Where it listens.
+    /// Address that the runner reports.
     pub address: Box<str>,
-    /// When its life began.
+    /// Start of this incarnation, in ms.
     pub started_ms: u64,
-    /// How it misbehaves.
+    /// How the runner misbehaves.
     pub fault: RunnerFault,
-    /// Whether it takes new tasks.
+    /// State in the reports, which says whether the runner accepts new tasks.
     pub state: RunnerState,
-    /// When it leaves, where it says so.
+    /// Announced time at which the runner terminates, if any.
     pub terminates_at: Option<Moment>,
-    /// All that it has.
+    /// Total resources of the runner.
     pub capacity: Resources,
-    /// Its clock runs this much slow, in parts per million.
+    /// How much the clock of the runner is slow, in parts per million.
     pub slow_ppm: u64,
     rack: Box<str>,
     sequence: u64,
     token: u64,
     lease_end: Moment,
-    leased: bool,
+    has_lease: bool,
     runs: BTreeMap<TaskKey, Run>,
     finished: Vec<FinishedRun>,
-    numbers: u64,
-    highest: BTreeMap<TaskKey, u32>,
-    at: Moment,
+    last_end_number: u64,
+    highest_runs: BTreeMap<TaskKey, u32>,
+    time: Moment,
     events: Vec<RunnerEvent>,
-    /// Rooms that it had before it shrank, and until when they count.
-    former: Vec<(Moment, Resources)>,
+    /// Capacities before a reduction, each with the time until which it may still be in use.
+    former_capacities: Vec<(Moment, Resources)>,
     crashed_by: Option<TaskKey>,
 }
 
 impl EmulatedRunner {
-    /// A new life, with nothing running.
+    /// Creates an incarnation without running tasks.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -174,45 +176,45 @@
             sequence: 0,
             token: 0,
             lease_end: now,
-            leased: false,
+            has_lease: false,
             runs: BTreeMap::new(),
             finished: Vec::new(),
-            numbers: 0,
-            highest: BTreeMap::new(),
-            at: now,
+            last_end_number: 0,
+            highest_runs: BTreeMap::new(),
+            time: now,
             events: Vec::new(),
-            former: Vec::new(),
+            former_capacities: Vec::new(),
             crashed_by: None,
         }
     }
 
-    /// The task that has crashed this runner. Nothing is left of its life.
+    /// Returns the task that has crashed this runner, if any. The incarnation is then over.
     pub fn crashed_by(&self) -> Option<TaskKey> {
         self.crashed_by
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<RunnerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether a task runs here.
+    /// Returns whether `task` runs on this runner.
     pub fn is_running(&self, task: TaskKey) -> bool {
         self.runs.contains_key(&task)
     }
 
-    /// All that runs here.
+    /// Returns the running tasks.
     pub fn running(&self) -> impl Iterator<Item = TaskKey> {
         self.runs.keys().copied()
     }
 
-    /// What all that runs takes.
+    /// Returns the resources that the running tasks actually use.
     pub fn resources_in_use(&self) -> Resources {
         let all = self.runs.values().map(|run| run.behavior.actual_usage);
         all.fold(Resources::ZERO, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
-    /// Gives it more or less room.
+    /// Changes the capacity of the runner.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -225,25 +227,27 @@
     pub fn resize(&mut self, capacity: Resources, now: Moment) {
         let former = std::mem::replace(&mut self.capacity, capacity);
         if !capacity.covers(former) {
-            self.former.push((now + SHRINKS_WITHIN, former));
+            self.former_capacities.push((now + CAPACITY_REDUCTION_GRACE, former));
         }
     }
 
-    /// Whether all that runs fits its room, or one that it had until lately.
+    /// Returns whether the running tasks fit the current capacity, or one that was reduced
+    /// so recently that the leader may not know.
     pub fn is_within_capacity(&mut self, now: Moment) -> bool {
-        self.former.retain(|(until, _)| now < *until);
-        let mut rooms = self.former.iter().map(|(_, room)| *room).chain([self.capacity]);
-        let taken = self.resources_in_use();
-        rooms.any(|room| room.covers(taken))
+        self.former_capacities.retain(|(until, _)| now < *until);
+        let mut capacities =
+            self.former_capacities.iter().map(|(_, capacity)| *capacity).chain([self.capacity]);
+        let in_use = self.resources_in_use();
+        capacities.any(|capacity| capacity.covers(in_use))
     }
 
-    /// Lets time pass: tasks work and end, leases run out.
+    /// Advances the time to `now`: tasks progress and end, and the lease may expire.
     pub fn advance(&mut self, now: Moment) {
-        let passed = now.since(self.at);
-        self.at = now;
+        let passed = now.since(self.time);
+        self.time = now;
         if now >= self.lease_end {
-            if self.leased {
-                self.leased = false;
+            if self.has_lease {
+                self.has_lease = false;
                 self.events.push(RunnerEvent::LeaseExpired(now));
             }
             let all: Vec<TaskKey> = self.runs.keys().copied().collect();
@@ -253,9 +257,9 @@
         }
         let mut ends = Vec::new();
         for (task, run) in &mut self.runs {
-            let due = |crash: &Crash| now.since(run.began) >= crash.after;
-            let crash = run.behavior.crash.filter(due);
-            if crash.is_some_and(|crash| crash.strikes(*task, run.run)) {
+            let is_due = |crash: &Crash| now.since(run.started_at) >= crash.after;
+            let crash = run.behavior.crash.filter(is_due);
+            if crash.is_some_and(|crash| crash.happens_in(*task, run.run)) {
                 self.crashed_by.get_or_insert(*task);
             }
             if run.stop_at.is_some_and(|at| now >= at) {
@@ -284,11 +288,11 @@
 
     fn end(&mut self, task: TaskKey, outcome: RunOutcome) {
         let Some(run) = self.runs.remove(&task) else { return };
-        self.numbers += 1;
-        let highest = self.highest.entry(task).or_default();
-        *highest = (*highest).max(run.run);
+        self.last_end_number += 1;
+        let highest_run = self.highest_runs.entry(task).or_default();
+        *highest_run = (*highest_run).max(run.run);
         let checkpoint = checkpoint_text(task, run.run);
-        let number = self.numbers;
+        let number = self.last_end_number;
         self.finished.push(FinishedRun {
             number,
             task: Some(task),
@@ -296,10 +300,10 @@
             outcome,
             checkpoint,
         });
-        self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.at });
+        self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.time });
     }
 
-    /// The next report.
+    /// Advances the time to `now` and returns the next report.
     pub fn report(&mut self, now: Moment) -> RunnerReport {
         self.advance(now);
         self.sequence += 1;
@@ -323,17 +327,17 @@
             labels: vec!["a".into(), self.rack.clone()],
             rack: self.rack.clone(),
             running: running.collect(),
-            finished: self.finished.iter().take(LISTED_MAX).cloned().collect(),
+            finished: self.finished.iter().take(FINISHED_PER_REPORT_MAX).cloned().collect(),
         }
     }
 
-    /// Obeys the answer to a report that was sent at `sent`.
+    /// Applies the orders in the response to the report that was sent at `sent`.
     pub fn apply_orders<F>(&mut self, now: Moment, sent: Moment, orders: &RunnerOrders, behavior: F)
     where
         F: Fn(TaskKey) -> Option<TaskBehavior>,
     {
         self.advance(now);
-        if orders.token < self.token || now.since(sent) > DROP_AFTER {
+        if orders.token < self.token || now.since(sent) > RESPONSE_TIMEOUT {
             return;
         }
         self.token = orders.token;
@@ -350,14 +354,14 @@
         if orders.lease_ms == 0 {
             return;
         }
-        // A slow clock takes longer to count the same span.
+        // A slow clock takes longer to measure the lease.
         let span = Duration::from_millis(orders.lease_ms);
         let slow = Duration::from_micros(orders.lease_ms * self.slow_ppm / 1_000);
         self.lease_end = self.lease_end.max(sent + span + slow);
         if self.lease_end <= now {
             return;
         }
-        self.leased = true;
+        self.has_lease = true;
         for start in &orders.start {
             if let Some(behavior) = behavior(start.task) {
                 self.start(start.task, start.run, behavior);
@@ -366,37 +370,38 @@
     }
 
     fn start(&mut self, task: TaskKey, run: u32, behavior: TaskBehavior) {
-        let ended = self.highest.get(&task).copied().unwrap_or(0);
+        let ended = self.highest_runs.get(&task).copied().unwrap_or(0);
         if self.runs.get(&task).is_some_and(|there| there.run == run) {
             return;
         }
         if run <= ended || self.runs.contains_key(&task) {
-            self.numbers += 1;
+            self.last_end_number += 1;
             let (number, task, outcome, checkpoint) =
-                (self.numbers, Some(task), RunOutcome::Refused, "".into());
+                (self.last_end_number, Some(task), RunOutcome::Refused, "".into());
             return self.finished.push(FinishedRun { number, task, run, outcome, checkpoint });
         }
         let done = Duration::ZERO;
-        let began = self.at;
-        self.runs.insert(task, Run { run, behavior, done, began, stop_at: None, rate: 100 });
-        self.events.push(RunnerEvent::Started { task, run, at: self.at });
+        let started_at = self.time;
+        self.runs.insert(task, Run { run, behavior, done, started_at, stop_at: None, rate: 100 });
+        self.events.push(RunnerEvent::Started { task, run, at: self.time });
     }
 
     fn stop(&mut self, task: TaskKey, run: u32) {
-        let at = self.at;
+        let at = self.time;
         match self.runs.get_mut(&task).filter(|found| found.run == run) {
             Some(found) => {
-                found.stop_at.get_or_insert(at + STOP_TIME);
+                found.stop_at.get_or_insert(at + STOP_DURATION);
             }
             None => {
-                let highest = self.highest.entry(task).or_default();
-                *highest = (*highest).max(run);
+                let highest_run = self.highest_runs.entry(task).or_default();
+                *highest_run = (*highest_run).max(run);
             }
         }
     }
 }
 
-/// The checkpoint of a run names its task, so that a mix-up shows.
+/// Returns the checkpoint of a run. It names its task, so that a checkpoint that is passed to
+/// the wrong task is detected.
 pub fn checkpoint_text(task: TaskKey, run: u32) -> Box<str> {
     format!("{task}/{run}").into()
 }
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -1,6 +1,6 @@
-//! Runs seeds by hand: `cargo run --release -p yuccalink-soak --example soak -- PROGRAM
-//! [--from SEED] [--seeds N] [--seconds N] [--nodes N] [--disks N] [--runners N] [--crashes]`.
-//! Folders of seeds that broke a promise are kept and named.
+//! Runs soaks from the command line: `cargo run --release -p yuccalink-soak --example soak --
+//! PROGRAM [--from SEED] [--seeds N] [--seconds N] [--nodes N] [--disks N] [--runners N]
+//! [--crashes]`. If a seed violates a guarantee, its folder is kept and its path printed.
 
 use lexopt::{Arg, Parser, ValueExt};
 use std::process::ExitCode;
@@ -36,8 +36,9 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let program: std::path::PathBuf = program.ok_or("name the program yuccalinkd")?;
-    let mut red = 0;
+    let program: std::path::PathBuf =
+        program.ok_or("the path of the program yuccalinkd is missing")?;
+    let mut failed_seeds = 0;
     for seed in from..from + seeds {
         let folder = tempfile::tempdir()?;
         let settings = SoakSettings {
@@ -52,25 +53,25 @@
         };
         let report = run(&settings)?;
         println!(
-            "seed {seed}: {} jobs accepted, {} completed, {} given up ({} of them sound), {} runners crashed, {} \
-             starts, {} faults, read back first {:?} last {:?}, {} broken",
+            "seed {seed}: {} jobs accepted, {} completed, {} given up ({} of them without crashes), {} runners crashed, {} \
+             starts, {} faults, read back first {:?} last {:?}, {} violations",
             report.accepted,
             report.completed,
             report.given_up,
-            report.sound_given_up,
+            report.given_up_without_crash,
             report.crashes,
             report.starts,
             report.faults,
             report.read_back.first(),
             report.read_back.last(),
-            report.broken.len()
+            report.violations.len()
         );
-        if !report.broken.is_empty() {
-            red += 1;
+        if !report.violations.is_empty() {
+            failed_seeds += 1;
             println!("  kept in {}", folder.keep().display());
-            report.broken.iter().take(10).for_each(|what| println!("  {what}"));
+            report.violations.iter().take(10).for_each(|violation| println!("  {violation}"));
         }
     }
-    println!("{} seeds, {red} red", seeds);
-    Ok(red)
+    println!("{seeds} seeds, {failed_seeds} failed");
+    Ok(failed_seeds)
 }
--- a/crates/soak/src/system.rs
+++ b/crates/soak/src/system.rs
@@ -1,6 +1,6 @@
-//! The processes of one cell.
+//! The processes of the cell under test.
 
-use crate::proxy::{Mood, Proxy};
+use crate::proxy::{Proxy, ProxyFaults};
 use std::fs::OpenOptions;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,9 +22,9 @@
     nodes: usize,
     disks: usize,
     children: Vec<Option<Child>>,
-    /// Processes that were asked to stop: they end by our word, not by themselves.
+    /// Processes that were asked to stop, so that their end is expected.
     stopping: Vec<bool>,
-    pub(crate) moods: Vec<Rc<Mood>>,
+    pub(crate) proxy_faults: Vec<Rc<ProxyFaults>>,
 }
 
 impl System {
@@ -42,13 +42,14 @@
             disks,
             children: (0..nodes).map(|_| None).collect(),
             stopping: vec![false; nodes],
-            moods: (0..nodes).map(|_| Rc::default()).collect(),
+            proxy_faults: (0..nodes).map(|_| Rc::default()).collect(),
         };
         let fast: Rc<[Box<str>]> = (0..disks).map(|at| name(at).into()).collect();
         for node in 0..nodes {
-            let (at, to) = (system.address(node, PROXY), system.address(node, PEER));
-            let mood = system.moods[node].clone();
-            Proxy { at, to, mood, fast: fast.clone() }.serve().await?;
+            let (listen_address, process_address) =
+                (system.address(node, PROXY), system.address(node, PEER));
+            let faults = system.proxy_faults[node].clone();
+            Proxy { listen_address, process_address, faults, fast: fast.clone() }.serve().await?;
         }
         for at in 0..nodes {
             system.launch(at, true)?;
@@ -82,8 +83,8 @@
         self.children[at].is_none()
     }
 
-    /// Starts a process, with an empty disk where it has none.
-    pub(crate) fn launch(&mut self, at: usize, found: bool) -> io::Result<()> {
+    /// Starts a process unless it is running; `bootstrap` lets it form a new cell.
+    pub(crate) fn launch(&mut self, at: usize, bootstrap: bool) -> io::Result<()> {
         if self.children[at].is_some() {
             return Ok(());
         }
@@ -102,7 +103,7 @@
             .args(["--control", &self.address(at, CONTROL).to_string()])
             .args(["--metrics", &self.address(at, METRICS).to_string()])
             .args(["--seeds", &seeds.join(","), "--drain", "1s"])
-            .args(["--found", if found { "yes" } else { "no" }])
+            .args(["--found", if bootstrap { "yes" } else { "no" }])
             .stdin(Stdio::null())
             .stdout(log);
         if at < self.disks {
@@ -144,7 +145,8 @@
         self.signal(at, "-TERM")
     }
 
-    /// Whether a process that was asked to stop has; its exit code must be 0.
+    /// Returns whether a process that was asked to stop ended with exit code 0, or `None` if
+    /// it is still running. A process that is down for another reason counts as ended.
     pub(crate) fn has_ended(&mut self, at: usize) -> io::Result<Option<bool>> {
         let Some(child) = &mut self.children[at] else { return Ok(Some(true)) };
         let Some(status) = child.try_wait()? else { return Ok(None) };
@@ -152,9 +154,9 @@
         Ok(Some(status.success()))
     }
 
-    /// Processes that have ended by themselves. One that was asked to stop is judged by
-    /// [`Self::has_ended`], which looks a moment later.
-    pub(crate) fn fallen(&mut self) -> Vec<usize> {
+    /// Returns the processes that ended unexpectedly. [`Self::has_ended`] checks those that
+    /// were asked to stop; it may do so only after their end.
+    pub(crate) fn ended_unexpectedly(&mut self) -> Vec<usize> {
         let ended = |child: &mut Option<Child>| {
             child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
         };
@@ -176,8 +178,8 @@
     format!("node-{node:03}")
 }
 
-/// Loopback addresses that no other soak of this machine uses, so that processes can
-/// be started again where they were.
+/// Selects a loopback network for this soak by the id of its process, so that soaks on one
+/// machine do not share addresses and a process can be restarted on its former address.
 fn network() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -1,4 +1,4 @@
-//! What runners and callers saw, checked against the promises while it comes in.
+//! Checks what runners and callers observe against the guarantees of the cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use yuccalink_fakes::emulator::RunnerEvent;
 use yuccalink_state::jobs::{JobId, RunOutcome, TaskKey};
 
-/// Time after an acknowledgement from which everybody must know of it.
+/// Time after the acknowledgement of a job from which every process must know it.
 const VISIBLE_AFTER: Duration = Duration::from_secs(3);
 
-/// What a soak came to.
+/// Result of a soak.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
-    /// Promises that were broken, in the order in which it showed.
-    pub broken: Vec<String>,
-    /// Jobs that were acknowledged.
+    /// Violated guarantees, in the order of their detection.
+    pub violations: Vec<String>,
+    /// Number of acknowledged jobs.
     pub accepted: usize,
-    /// Jobs that were seen completed.
+    /// Number of jobs that were reported as completed.
     pub completed: usize,
-    /// Jobs that were seen failed, since their tasks crash each runner.
+    /// Number of jobs that were reported as failed after runners had crashed under their tasks.
     pub given_up: usize,
-    /// Of these, jobs whose tasks crashed none.
-    pub sound_given_up: usize,
-    /// Runners that crashed.
+    /// Number of jobs in `given_up` whose own tasks crashed no runner.
+    pub given_up_without_crash: usize,
+    /// Number of runner crashes.
     pub crashes: usize,
-    /// Runs that began.
+    /// Number of runs that started.
     pub starts: usize,
-    /// Faults that were injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// From when all processes were started again at the end until each had answered a read
-    /// of the change set, shortest first.
+    /// Times from the restart of all processes after the final fault until each process had
+    /// answered a read of the change set, shortest first.
     pub read_back: Vec<Duration>,
 }
 
@@ -38,30 +38,30 @@
 struct Task {
     running: BTreeSet<usize>,
     done: bool,
-    noted: bool,
+    acknowledged: bool,
     runs: BTreeSet<u32>,
-    /// Runners that it made crash.
+    /// Number of runners that the task crashed.
     crashes: usize,
-    /// Runners that crashed while it ran there.
+    /// Number of runners that crashed while the task ran there.
     lost_runners: usize,
-    /// Its starts since the third of them.
-    starts_after: usize,
+    /// Number of starts after [`CRASHES_TOLERATED`] crashes.
+    starts_after_crashes: usize,
 }
 
-/// Crashes of runners under a task after which it is hardly ever started again, and starts
-/// after them that are too many.
-const CRASHES_BORNE: usize = 3;
-const STARTS_AFTER: usize = 3;
+/// Number of runner crashes by a task after which it should hardly ever be started again.
+const CRASHES_TOLERATED: usize = 3;
+/// Number of starts after [`CRASHES_TOLERATED`] crashes that counts as a violation.
+const STARTS_AFTER_CRASHES_LIMIT: usize = 3;
 
-/// One runner's listed ends that are not noted yet.
-type Listed = BTreeMap<u64, (TaskKey, RunOutcome)>;
+/// Ends of runs on one runner that are not acknowledged yet, by their number.
+type UnacknowledgedEnds = BTreeMap<u64, (TaskKey, RunOutcome)>;
 
 #[derive(Default)]
 pub(crate) struct Watch {
     pub(crate) report: SoakReport,
     tasks: BTreeMap<TaskKey, Task>,
-    listed: BTreeMap<usize, Listed>,
-    counts: BTreeMap<usize, u64>,
+    unacknowledged: BTreeMap<usize, UnacknowledgedEnds>,
+    end_counts: BTreeMap<usize, u64>,
     accepted: BTreeMap<JobId, (Instant, u16)>,
     pub(crate) completed: BTreeSet<JobId>,
     given_up: BTreeSet<JobId>,
@@ -69,91 +69,99 @@
 }
 
 impl Watch {
-    fn broken(&mut self, what: String) {
-        self.report.broken.push(what);
+    fn record_violation(&mut self, what: String) {
+        self.report.violations.push(what);
     }
 
-    pub(crate) fn accepted(&mut self, id: JobId, tasks: u16) {
+    pub(crate) fn record_accepted(&mut self, id: JobId, tasks: u16) {
         self.accepted.entry(id).or_insert((Instant::now(), tasks));
         self.report.accepted = self.accepted.len();
     }
 
-    pub(crate) fn open(&self) -> Vec<JobId> {
+    pub(crate) fn open_jobs(&self) -> Vec<JobId> {
         let ended = |id: &JobId| self.completed.contains(id) || self.given_up.contains(id);
         self.accepted.keys().filter(|id| !ended(id)).copied().collect()
     }
 
-    /// A caller asked at `asked` and was told a job's state, or that there is none.
-    pub(crate) fn told(&mut self, id: JobId, asked: Instant, state: Option<JobState>) {
+    /// Checks the response to a request for the state of a job that was sent at `asked`; `None`
+    /// stands for an unknown job.
+    pub(crate) fn check_state(&mut self, id: JobId, asked: Instant, state: Option<JobState>) {
         let Some((at, tasks)) = self.accepted.get(&id).copied() else { return };
         match state {
             None if asked.duration_since(at) > VISIBLE_AFTER => {
-                self.broken(format!("{id} was acknowledged and is not known"));
+                self.record_violation(format!("{id} was acknowledged but is unknown"));
             }
             Some(JobState::Completed) => {
                 let key = |index| TaskKey { job: id, occurrence: 0, step: 0, index };
                 let missing = (0..tasks).find(|i| self.tasks.get(&key(*i)).is_none_or(|t| !t.done));
                 if let Some(index) = missing {
-                    self.broken(format!("{id} is completed and its task {index} is not done"));
+                    self.record_violation(format!(
+                        "{id} is completed but its task {index} is not done"
+                    ));
                 }
                 self.completed.insert(id);
                 self.report.completed = self.completed.len();
             }
             Some(JobState::Failed) if self.given_up.contains(&id) => {}
-            Some(JobState::Failed) if self.lost_runners_of(id) >= 2 => {
+            Some(JobState::Failed) if self.lost_runners_of_job(id) >= 2 => {
                 self.given_up.insert(id);
-                let guilty = self.tasks.iter().any(|(key, task)| key.job == id && task.crashes > 0);
-                self.report.sound_given_up += usize::from(!guilty);
+                let has_crashed =
+                    self.tasks.iter().any(|(key, task)| key.job == id && task.crashes > 0);
+                self.report.given_up_without_crash += usize::from(!has_crashed);
                 self.report.given_up = self.given_up.len();
             }
             Some(JobState::Failed | JobState::Cancelled) => {
-                self.broken(format!("{id} is {state:?} and nobody failed or cancelled it"));
+                self.record_violation(format!(
+                    "{id} is {state:?} although no task failed and nobody cancelled it"
+                ));
             }
             _ => {}
         }
     }
 
-    /// Most runners that crashed under one task of a job.
-    fn lost_runners_of(&self, id: JobId) -> usize {
+    /// Returns the highest number of runners that crashed under one task of the job.
+    fn lost_runners_of_job(&self, id: JobId) -> usize {
         let of_job = self.tasks.iter().filter(|(key, _)| key.job == id);
         of_job.map(|(_, task)| task.lost_runners).max().unwrap_or(0)
     }
 
-    /// A task made a runner crash: nothing is left of that life.
-    pub(crate) fn crashed(&mut self, runner: usize, by: TaskKey) {
+    /// Records that the task `by` crashed a runner; the incarnation and its runs are lost.
+    pub(crate) fn record_crash(&mut self, runner: usize, by: TaskKey) {
         self.report.crashes += 1;
-        self.listed.remove(&runner);
-        self.counts.remove(&runner);
+        self.unacknowledged.remove(&runner);
+        self.end_counts.remove(&runner);
         for task in self.tasks.values_mut() {
             task.lost_runners += usize::from(task.running.remove(&runner));
         }
         self.tasks.entry(by).or_default().crashes += 1;
     }
 
-    /// A start brought a runner over its room.
-    pub(crate) fn overfull(&mut self, runner: usize) {
-        self.broken(format!("a start brings w{runner} over its room"));
+    /// Records that a start exceeded the capacity of a runner.
+    pub(crate) fn record_overcommit(&mut self, runner: usize) {
+        self.record_violation(format!("a start exceeds the capacity of w{runner}"));
     }
 
-    /// An operator asked at `asked` and was told that this version is in force.
-    pub(crate) fn in_force(&mut self, version: u64, asked: Instant) {
+    /// Checks the version in force that the operator received for a read sent at `asked`.
+    pub(crate) fn check_version(&mut self, version: u64, asked: Instant) {
         if let Some((acknowledged, at)) = self.version
             && version < acknowledged
             && asked > at
         {
-            self.broken(format!("version {version} is told after {acknowledged} was acknowledged"));
+            self.record_violation(format!(
+                "version {version} is returned after {acknowledged} was acknowledged"
+            ));
         }
     }
 
-    /// What happened on a runner.
-    pub(crate) fn happened(&mut self, runner: usize, events: Vec<RunnerEvent>) {
+    /// Checks the events of a runner.
+    pub(crate) fn record_events(&mut self, runner: usize, events: Vec<RunnerEvent>) {
         for event in events {
             match event {
                 RunnerEvent::Started { task, run, .. } => self.started(runner, task, run),
                 RunnerEvent::Ended { task, outcome, .. } => self.ended(runner, task, outcome),
-                RunnerEvent::EndsAcknowledged(upto) => self.noted(runner, upto),
+                RunnerEvent::EndsAcknowledged(upto) => self.acknowledged(runner, upto),
                 RunnerEvent::LeaseExpired(_) => {
-                    self.listed.remove(&runner);
+                    self.unacknowledged.remove(&runner);
                 }
             }
         }
@@ -164,21 +172,25 @@
         let task = self.tasks.entry(key).or_default();
         let elsewhere = !task.running.is_empty();
         let again = !task.runs.insert(run);
-        let noted = task.noted;
+        let acknowledged = task.acknowledged;
         task.running.insert(runner);
-        task.starts_after += usize::from(task.crashes >= CRASHES_BORNE);
-        let too_often = task.starts_after >= STARTS_AFTER;
+        task.starts_after_crashes += usize::from(task.crashes >= CRASHES_TOLERATED);
+        let too_often = task.starts_after_crashes >= STARTS_AFTER_CRASHES_LIMIT;
         if elsewhere {
-            self.broken(format!("{key} run {run} starts while it runs elsewhere"));
+            self.record_violation(format!("{key} run {run} starts while the task runs elsewhere"));
         }
         if again {
-            self.broken(format!("{key} run {run} starts twice"));
+            self.record_violation(format!("{key} run {run} starts twice"));
         }
         if too_often {
-            self.broken(format!("{key} run {run} starts once more after three crashes"));
+            self.record_violation(format!(
+                "{key} run {run} starts too often after {CRASHES_TOLERATED} crashes"
+            ));
         }
-        if noted {
-            self.broken(format!("{key} run {run} starts after its end was noted"));
+        if acknowledged {
+            self.record_violation(format!(
+                "{key} run {run} starts after the end of the task was acknowledged"
+            ));
         }
     }
 
@@ -186,17 +198,17 @@
         let task = self.tasks.entry(key).or_default();
         task.running.remove(&runner);
         task.done |= outcome == RunOutcome::Done;
-        let count = self.counts.entry(runner).or_default();
+        let count = self.end_counts.entry(runner).or_default();
         *count += 1;
-        self.listed.entry(runner).or_default().insert(*count, (key, outcome));
+        self.unacknowledged.entry(runner).or_default().insert(*count, (key, outcome));
     }
 
-    fn noted(&mut self, runner: usize, upto: u64) {
-        let Some(listed) = self.listed.get_mut(&runner) else { return };
-        let rest = listed.split_off(&(upto + 1));
-        for (key, outcome) in std::mem::replace(listed, rest).into_values() {
+    fn acknowledged(&mut self, runner: usize, upto: u64) {
+        let Some(unacknowledged) = self.unacknowledged.get_mut(&runner) else { return };
+        let rest = unacknowledged.split_off(&(upto + 1));
+        for (key, outcome) in std::mem::replace(unacknowledged, rest).into_values() {
             if outcome == RunOutcome::Done {
-                self.tasks.entry(key).or_default().noted = true;
+                self.tasks.entry(key).or_default().acknowledged = true;
             }
         }
     }
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Embeds the coordination parts in a program of one's own: three replicas agree on
-//! a few words, with a `Vec` for a network and a counter for a clock.
+//! Embeds the Raft implementation of the coordination package in another program: three
+//! replicas commit a few words, with a `Vec` as the network and a counter as the clock.
 //!
 //! `cargo run -p yuccalink-coordination --example embed`
 
@@ -24,8 +24,8 @@
     replicas[0].bootstrap(Members { voters, learners: Vec::new() }, now);
 
     let mut words: Vec<&str> = vec!["nets", "returns", "quotes"];
-    let mut agreed = 0;
-    while agreed < 9 {
+    let mut committed_count = 0;
+    while committed_count < 9 {
         now = now + STEP;
         let mut network: Vec<Envelope> = Vec::new();
         for replica in &mut replicas {
@@ -36,8 +36,8 @@
                 words.pop();
             }
             let output = replica.take();
-            // A real program writes and syncs here, and sends a message only once the
-            // write that it names is durable.
+            // A real program writes and syncs here, and sends each message only when the
+            // write on which it depends is durable.
             if let Some(write) = output.persist.last() {
                 replica.persisted(write.seq, now);
             }
@@ -45,7 +45,7 @@
             for (index, entry) in output.committed {
                 if let Payload::Command(bytes) = entry.payload {
                     println!("{} {index}: {}", replica.id(), String::from_utf8_lossy(&bytes));
-                    agreed += 1;
+                    committed_count += 1;
                 }
             }
         }
