--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -239,7 +239,7 @@
     }
     match (config.is_voter(), config.data.is_some()) {
         (true, false) => {
-            let what = "is required for a daemon that stores the state; give a folder on a disk";
+            let what = "is needed by a daemon that keeps the state; name a folder on a disk";
             return Err(setting_error("data", what));
         }
         (false, true) => {
--- a/crates/state/src/id.rs
+++ b/crates/state/src/id.rs
@@ -97,7 +97,7 @@
 #[serde(transparent)]
 pub struct TaskId(pub u64);
 
-/// `{0}` is not a task number; write one such as 7 or t7
+/// `{0}` is no task number; write one such as 7 or t7
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub struct BadTaskId(pub Box<str>);
 
