--- a/crates/coordination/src/jobs/pace.rs
+++ b/crates/coordination/src/jobs/pace.rs
@@ -62,16 +62,17 @@
     }
 }
 
-/// Stops all background tasks beside a serving task that exceeds its bound for too long.
+/// All background tasks beside a serving task that exceeds its bound for too long are
+/// paused (pace 0).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StandstillPolicy {
-    /// Whether background tasks are stopped.
+    /// Whether background tasks are paused (pace 0).
     pub mode: Switch,
     /// Time for which a serving task exceeds its bound, in milliseconds, before
-    /// background tasks are stopped whatever the learnt weights say, so that a wrong
-    /// weight costs users no more than a few seconds. Samples are half a second old, and
-    /// an order takes as long to have an effect.
+    /// background tasks are paused (pace 0) whatever the learnt weights say, so that a
+    /// wrong weight costs users no more than a few seconds. Samples are half a second old,
+    /// and an order takes as long to have an effect.
     #[serde(rename = "after-ms")]
     pub after: Millis,
 }
@@ -199,7 +200,7 @@
     }
 }
 
-/// Stops all background tasks.
+/// Returns allowances by which all background tasks are paused (pace 0).
 fn standstill_allowances(colocation: &Colocation) -> Vec<Allowance> {
     let paused = |background: &BackgroundShare| Allowance {
         image: background.image,
--- a/crates/coordination/src/jobs/policy.rs
+++ b/crates/coordination/src/jobs/policy.rs
@@ -97,7 +97,8 @@
     pub pacing: PacingPolicy,
     /// Moves background tasks with checkpoints to other runners.
     pub moving: MovingPolicy,
-    /// Stops all background tasks beside a serving task that exceeds its bound for too long.
+    /// All background tasks beside a serving task that exceeds its bound for too long are
+    /// paused (pace 0).
     pub standstill: StandstillPolicy,
     /// Starts a job even if no compatible runner was found for some time.
     pub patience: PatiencePolicy,
@@ -239,7 +240,7 @@
     pacing: PacingPolicy,
     /// Sets which background tasks are moved to other runners.
     moving: MovingPolicy,
-    /// Sets when all background tasks beside a serving task are stopped.
+    /// Sets when all background tasks beside a serving task are paused (pace 0).
     standstill: StandstillPolicy,
     /// Sets how long a job waits for a compatible runner.
     patience: PatiencePolicy,
