--- a/crates/coordination/tests/cell/checks.rs
+++ b/crates/coordination/tests/cell/checks.rs
@@ -3,6 +3,8 @@
 use super::*;
 
 impl World {
+    /// Checks a start that the leader orders: its job was accepted, and its checkpoint, if any,
+    /// is of this task or its gang.
     pub(super) fn check_start_order(&mut self, _: usize, task: TaskKey, checkpoint: &str) {
         if !self.accepted.contains(&task.job) {
             self.violations.push(format!("{task} was never submitted"));
@@ -38,8 +40,10 @@
         }
     }
 
-    /// Removes ends that were reported before the lease expired and are acknowledged after it.
-    /// The cell had to give up those runs without telling anyone, so they don't count.
+    /// Handles ends that were reported before the lease expired and not acknowledged by then:
+    /// drops the failures and moves the completions to `expired_completions`. The cell had to
+    /// give up those runs without telling anyone, so these ends don't count against a
+    /// later start.
     pub(super) fn on_lease_expired(&mut self, at: usize) {
         let unacknowledged_ends: Vec<(TaskKey, u32, RunOutcome)> =
             self.slots[at].unacknowledged_ends.values().copied().collect();
@@ -92,11 +96,11 @@
         {
             self.violations.push(format!("{task} starts after its end was acknowledged"));
         }
-        for before in &step.depends_on {
-            let count = spec.steps[usize::from(*before)].count;
+        for required in &step.depends_on {
+            let count = spec.steps[usize::from(*required)].count;
             for index in 0..count {
                 let index = u16::try_from(index).unwrap_or(u16::MAX);
-                let key = TaskKey { step: *before, index, ..task };
+                let key = TaskKey { step: *required, index, ..task };
                 if !self.is_done(&spec, key) {
                     self.violations.push(format!("{task} starts before {key} is done"));
                 }
@@ -163,7 +167,8 @@
         self.violations.extend(violations);
     }
 
-    /// Reports jobs that failed although no task failed, or lost its runner, often enough.
+    /// Reports jobs that failed although none of their tasks or gangs failed `ATTEMPTS` times and
+    /// none of their tasks lost two runners.
     pub fn check_failed(&mut self) {
         let mut violations = Vec::new();
         for (id, job) in self.committed.all() {
@@ -212,9 +217,9 @@
 
     /// Number of active jobs: neither ended nor cancelled.
     pub fn active_jobs(&self) -> usize {
-        let open =
+        let is_active =
             |job: &yuccalink_state::jobs::Job| job.phase == yuccalink_state::jobs::JobPhase::Active;
-        self.committed.all().filter(|(_, job)| open(job)).count()
+        self.committed.all().filter(|(_, job)| is_active(job)).count()
     }
 
     /// Whether a job is still active.
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -15,7 +15,8 @@
     Disk { member: member(id, address), zone: zone.into(), silent: Duration::ZERO }
 }
 
-/// The view of a leader with disk 1 that hears from all `disks`.
+/// The view of a leader whose own disk is disk 1. It has just heard from all members, and all
+/// have caught up. `disks` are the disks of which it knows.
 fn view(voters: &[u64], learners: &[u64], disks: Vec<Disk>) -> MembershipView {
     let all = |ids: &[u64]| ids.iter().map(|id| member(*id, &format!("a{id}"))).collect();
     let members = Members { voters: all(voters), learners: all(learners) };
@@ -32,10 +33,11 @@
 fn apply_all_changes(mut view: MembershipView, wanted: usize) -> MembershipView {
     for _ in 0..50 {
         let Some((members, _)) = voters::next(&view, wanted) else { return view };
-        let changed = |members: &Members| {
+        let voter_ids = |members: &Members| {
             members.voters.iter().map(|m| m.id).collect::<std::collections::BTreeSet<_>>()
         };
-        let difference = changed(&view.members).symmetric_difference(&changed(&members)).count();
+        let difference =
+            voter_ids(&view.members).symmetric_difference(&voter_ids(&members)).count();
         assert!(difference <= 1, "more than one voter changes at a time");
         for member in members.all() {
             view.silent.entry(member.id).or_insert(Duration::ZERO);
@@ -59,8 +61,8 @@
     assert_eq!(after.members.learners.len(), 1);
 }
 
-/// There are two disks in each of four zones. No zone may have three of the five voters, or its
-/// loss takes the majority with it.
+/// There are two disks in each of four zones. No zone may have three of the five voters, or the
+/// loss of that zone would leave no majority.
 #[test]
 fn voters_are_spread_over_zones() {
     let mut all = Vec::new();
@@ -70,8 +72,8 @@
     let after = apply_all_changes(view(&[1], &[], all.clone()), 5);
     let mut per_zone: BTreeMap<Box<str>, usize> = BTreeMap::new();
     for voter in &after.members.voters {
-        let at = all.iter().find(|disk| disk.member.id == voter.id).expect("known");
-        *per_zone.entry(at.zone.clone()).or_default() += 1;
+        let disk = all.iter().find(|disk| disk.member.id == voter.id).expect("known");
+        *per_zone.entry(disk.zone.clone()).or_default() += 1;
     }
     assert_eq!(after.members.voters.len(), 5);
     assert!(per_zone.values().all(|count| *count <= 2), "{per_zone:?}");
@@ -242,7 +244,7 @@
 
 /// A disk lost between two steps of a repair must not leave the voters without a majority.
 #[test]
-fn no_two_disks_lost_at_any_step_of_a_repair_take_the_majority() {
+fn two_disks_lost_at_any_steps_of_a_repair_leave_a_majority() {
     const PARTITIONS: usize = 1;
     for count in 5..=8 {
         let all: Vec<u64> = (1..=count).collect();
@@ -256,7 +258,7 @@
 /// A leader with a replaced disk must remove the former disk's vote at once. That vote used to
 /// stay for five seconds, in which the loss of one more disk took the majority for good.
 #[test]
-fn a_leader_takes_the_vote_of_its_own_former_disk_at_once() {
+fn a_leader_removes_the_vote_of_its_own_former_disk_at_once() {
     let mut view = view(&[1, 2, 3, 9], &[], disks(&[1, 3]));
     view.own = ReplicaId(9);
     for voter in &mut view.members.voters {
--- a/crates/operator/src/plot.rs
+++ b/crates/operator/src/plot.rs
@@ -39,16 +39,17 @@
         .draw()?;
     for (index, cause) in losses.all.lost_by_cause.keys().enumerate() {
         let colour = Palette99::pick(index).to_rgba();
-        let bars = losses.windows.iter().map(|(second, sum)| {
+        let bars = losses.windows.iter().map(|(start, window)| {
+            // Share lost to the causes below this one in the stack, or up to and including it.
             let stacked_share = |inclusive: bool| -> f64 {
-                let before = sum
+                let stacked = window
                     .lost_by_cause
                     .iter()
                     .filter(|(name, _)| if inclusive { *name <= cause } else { *name < cause });
-                before.map(|(_, part)| part).sum::<f64>() / sum.worth.max(1e-9)
+                stacked.map(|(_, lost)| lost).sum::<f64>() / window.worth.max(1e-9)
             };
             Rectangle::new(
-                [(*second, stacked_share(false)), (*second + WINDOW_S, stacked_share(true))],
+                [(*start, stacked_share(false)), (*start + WINDOW_S, stacked_share(true))],
                 colour.filled(),
             )
         });
--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -23,8 +23,8 @@
                 path = \"drafts\"\nidempotent = \"yes\"\ndeadline = \"2 seconds\"\n\n\
                 [[task]]\nname = \"cut\"\nprocessors = 0\nmemory = \"512MB\"\n\
                 duration = \"5m\"\nspread = \"rows\"\n\n[gives-up]\nevictions = 3\n";
-    let faults = read(text).expect_err("it has faults");
-    let found: Vec<(usize, &str)> = faults.0.iter().map(|f| (f.line, &*f.field)).collect();
+    let errors = read(text).expect_err("it has errors");
+    let found: Vec<(usize, &str)> = errors.0.iter().map(|f| (f.line, &*f.field)).collect();
     let want = [
         (1, "team"),
         (1, "version"),
@@ -40,8 +40,8 @@
         (20, "task[0].spread"),
         (23, "gives-up.evictions"),
     ];
-    assert_eq!(found, want, "{faults}");
-    let shown = faults.to_string();
+    assert_eq!(found, want, "{errors}");
+    let shown = errors.to_string();
     assert!(
         shown.contains("line 5, column 13: peak.time-zone: `Europe/Brno` is no IANA time zone")
     );
@@ -68,8 +68,8 @@
         ("service = ".into(), "not TOML"),
         (format!("{base}# {}", "x".repeat(70_000)), "shorten it"),
     ] {
-        let faults = read(&text).expect_err(what);
-        assert!(faults.to_string().contains(what), "{what}: {faults}");
+        let errors = read(&text).expect_err(what);
+        assert!(errors.to_string().contains(what), "{what}: {errors}");
     }
 }
 
@@ -81,14 +81,14 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,300}") {
+    fn any_text_is_parsed_or_rejected(text in "\\PC{0,300}") {
         let _ = read(&text);
     }
 
-    /// A valid document with a few characters overwritten is either parsed or rejected with
-    /// positions inside the text.
+    /// A valid document with a few characters overwritten is either parsed or rejected with at
+    /// least one error, each at a line of the text or the one after its last.
     #[test]
-    fn a_changed_document_is_read_or_refused(
+    fn a_changed_document_is_parsed_or_rejected(
         at in any::<prop::sample::Index>(),
         piece in "[\\[\\]=\"'a-z0-9.\\n{}-]{0,8}",
     ) {
@@ -97,22 +97,22 @@
         let start = offsets[at.index(offsets.len())];
         let end = offsets.iter().copied().find(|p| *p >= start + piece.len()).unwrap_or(text.len());
         text.replace_range(start..end, &piece);
-        if let Err(faults) = read(&text) {
-            prop_assert!(!faults.0.is_empty());
+        if let Err(errors) = read(&text) {
+            prop_assert!(!errors.0.is_empty());
             let lines = text.lines().count() + 1;
-            prop_assert!(faults.0.iter().all(|f| f.line >= 1 && f.line <= lines));
+            prop_assert!(errors.0.iter().all(|f| f.line >= 1 && f.line <= lines));
         }
     }
 
     #[test]
-    fn any_bytes_are_a_message_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = peer::decode::<peer::LeaderRequest>(&bytes);
         let _ = peer::decode::<peer::LeaderResponse>(&bytes);
         let _ = request::check_key(&bytes);
     }
 
     #[test]
-    fn any_path_is_mapped_or_not(path in "\\PC{0,60}") {
+    fn any_path_is_split_at_its_service_or_rejected(path in "\\PC{0,60}") {
         let document = read(VALID).expect("a valid document");
         if let Some((service, inner)) = request::split(&path) {
             prop_assert!(!service.is_empty() && inner.starts_with('/'));
--- a/crates/yuccalinkd/tests/support/mod.rs
+++ b/crates/yuccalinkd/tests/support/mod.rs
@@ -1,5 +1,6 @@
 //! Daemon processes on loopback addresses of their own, with fake runners, workers and callers,
-//! and a load balancer that follows the health checks.
+//! and a load balancer that follows the health checks. A fake runner answers requests, a fake
+//! worker runs tasks. Callers and targets see a daemon as an entry.
 #![allow(dead_code, missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -19,6 +20,7 @@
 use yuccalink_protocol::problem::ExecutionStatus;
 use yuccalink_state::Resources;
 
+/// Number of daemons that vote and store data: the first ones. Later ones have no data folder.
 pub const VOTERS: usize = 3;
 
 pub const DOCUMENT: &str = "service = 'q'\nteam = 't'\nversion = 1\n\
@@ -32,8 +34,8 @@
     yuccalink_fakes::wait::wait_until(Duration::from_secs(30), what, found)
 }
 
-/// Returns the middle bytes of loopback addresses for one test, derived from the process id and
-/// a counter. With addresses of its own, a test can restart a daemon at the same address.
+/// Returns the two middle bytes of the loopback addresses of one test, derived from the process
+/// id and a counter. With addresses of its own, a test can restart a daemon at the same address.
 fn loopback_prefix() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
@@ -250,8 +252,8 @@
             let (health, stop) = (load.health.clone(), load.stop.clone());
             threads.push(thread::spawn(move || {
                 while !stop.load(Ordering::SeqCst) {
-                    let green = probe.get("/readyz").is_ok_and(|reply| reply.status == 200);
-                    health[at].store(green, Ordering::SeqCst);
+                    let healthy = probe.get("/readyz").is_ok_and(|reply| reply.status == 200);
+                    health[at].store(healthy, Ordering::SeqCst);
                     thread::park_timeout(Duration::from_millis(20));
                 }
             }));
@@ -321,7 +323,8 @@
             checker.lock().expect("a lock").sent(&label, tag, once);
             let Some(entry) = self.next_healthy_entry(entries, &mut at) else { continue };
             let mut outcome = self.send_request(entry, tag, once, &label);
-            // The caller repeats a request of unknown outcome with the same idempotency key.
+            // If the outcome of a request to `/once` is unknown, the caller repeats it one time
+            // with the same idempotency key.
             while once
                 && outcome == Some(CallerOutcome::Unknown)
                 && !self.stop.load(Ordering::SeqCst)
@@ -349,7 +352,7 @@
         None
     }
 
-    /// Sends a request. Returns `None` if the connection failed, so that the outcome is not
+    /// Sends a request. Returns `None` if no complete response arrived; that outcome is not
     /// recorded.
     fn send_request(
         &self,
@@ -375,11 +378,11 @@
             }),
             Err(_) => None,
         };
-        let words = match reply {
+        let message = match reply {
             Ok(reply) => reply.text(),
             Err(error) => error,
         };
-        self.failed.lock().expect("a lock").push(format!("{entry} {label}: {words}"));
+        self.failed.lock().expect("a lock").push(format!("{entry} {label}: {message}"));
         outcome
     }
 
