--- a/crates/coordination/src/jobs/external.rs
+++ b/crates/coordination/src/jobs/external.rs
@@ -48,7 +48,7 @@
     Up,
     /// The machine moves to another pool, or is down for maintenance.
     Away,
-    /// The machine is off.
+    /// The machine is neither up nor away, such as one that is off.
     Down,
 }
 
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -26,9 +26,10 @@
 /// The placements to commit now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Placements in the order of the tasks' ranks.
+    /// Placements in the order of the waiting tasks, the most urgent first.
     pub decisions: Vec<Decision>,
-    /// Waiting tasks for which no worker has enough free capacity now.
+    /// Number of waiting tasks for which no worker has enough free capacity now. Tasks after
+    /// the last placement of a full plan are not counted.
     pub no_room: usize,
 }
 
@@ -60,10 +61,12 @@
     },
 }
 
-/// Checks that some worker could run `need` if it were empty.
+/// Checks that some worker that is not gone could run a task with this need if the worker were
+/// empty.
 ///
 /// # Errors
-/// Returns [`Impossible`] with the largest capacities of the workers.
+/// [`Impossible::NoWorker`] if there is no such worker, [`Impossible::TooLarge`] if none is large
+/// enough.
 ///
 /// ```
 /// # use yuccalink_coordination::placement::{possible, Impossible};
@@ -225,9 +228,9 @@
     let cores = share(left.millicores, capacity.millicores);
     let memory = share(left.memory_mib, capacity.memory_mib);
     let accelerators = share(left.accelerators.into(), capacity.accelerators.into());
-    let empty = cores + memory + accelerators;
+    let free_share = cores + memory + accelerators;
     match class {
-        TaskClass::Batch => empty,
-        TaskClass::LatencyCritical => u64::MAX - empty,
+        TaskClass::Batch => free_share,
+        TaskClass::LatencyCritical => u64::MAX - free_share,
     }
 }
--- a/crates/coordination/src/scenario.rs
+++ b/crates/coordination/src/scenario.rs
@@ -65,7 +65,7 @@
     pub name: Name,
     /// The service that it serves.
     pub service: Name,
-    /// Its slots.
+    /// Number of requests that it can run at once.
     pub slots: u32,
     /// Its availability zone.
     pub zone: Name,
@@ -95,7 +95,8 @@
     pub class: TaskClass,
     /// Whether its tasks are spread over racks or zones.
     pub spread: Spread,
-    /// Whether its tasks can be checkpointed and resumed.
+    /// Whether tasks can be checkpointed and resumed. If it is set for one kind, it applies to
+    /// all kinds of the scenario.
     pub checkpoint: bool,
 }
 
@@ -132,11 +133,11 @@
     Finish(Box<str>),
     /// A running task fails at its worker.
     Fail(Box<str>),
-    /// A target or an entry is disconnected.
+    /// A worker, runner or entry is disconnected.
     Silence(Name),
-    /// A target or an entry is connected again.
+    /// A worker, runner or entry is connected again.
     Hear(Name),
-    /// A target or an entry announces that it leaves.
+    /// A worker, runner or entry announces that it leaves.
     Leave(Name),
     /// The process of a worker, runner or entry restarts.
     Restart(Name),
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -15,10 +15,11 @@
 pub const FORMAT: u32 = 2;
 
 const MAGIC: &[u8; 8] = b"YUCCASNP";
+/// Length of the header: magic, format version and CRC-32 of the body.
 const HEADER_LEN: usize = 8 + 4 + 4;
 const SUFFIX: &str = ".snapshot";
 
-/// Metadata of a snapshot: the log position and the members that it represents.
+/// Metadata of a snapshot: its position in the log, and the members at that position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Meta {
     /// Index of the last applied record.
@@ -56,7 +57,7 @@
     pub state: S,
 }
 
-/// Encodes a snapshot: header, CRC-32 and state.
+/// Encodes a snapshot: the header, then the metadata and the state as its body.
 ///
 /// # Errors
 /// [`Error::Decode`] if the codec fails, which is not expected for these types.
@@ -86,7 +87,8 @@
 ///
 /// # Errors
 /// [`Error::DamagedMiddle`] if the snapshot is damaged or incomplete,
-/// [`Error::Version`] if it has the format of another release.
+/// [`Error::Version`] if it has the format of another release, and [`Error::Decode`] if its
+/// body is not a state of this type.
 pub fn decode(buf: &[u8], shown: &str) -> Result<Snapshot> {
     decode_as(buf, shown)
 }
@@ -136,7 +138,8 @@
 ///
 /// # Errors
 /// [`Error::NoSnapshot`] if there are snapshot files but none is intact, and
-/// [`Error::Version`] if one of another release's format comes before an intact one.
+/// [`Error::Version`] if a snapshot in the format of another release is newer than all intact
+/// ones; [`Error::Io`] if the folder or a snapshot file cannot be read.
 pub fn newest<S>(folder: &Path) -> Result<Option<Snapshot<S>>>
 where
     S: Replicated,
@@ -172,6 +175,7 @@
     Ok(found.get(excess).map(|(index, _)| *index))
 }
 
+/// The snapshot files with the indexes in their names, the oldest first.
 fn list(folder: &Path) -> Result<Vec<(u64, PathBuf)>> {
     let mut found = Vec::new();
     let entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
