--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,5 +1,6 @@
-//! Control state of this entry: applies the leader's updates, publishes the routing table of
-//! the traffic threads, and keeps the lease without which this entry must not serve.
+//! Control state of this entry VM, which accepts callers' requests: applies the leader's updates,
+//! publishes the routing table of the traffic threads, and keeps the lease without which this
+//! entry must not serve.
 
 use crate::shared::{Owner, RoutingTable, Shared};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -16,6 +17,8 @@
     lease: ConfigLease,
     revision: u64,
     term: u64,
+    /// Version of the leader's runner table up to which changes are applied; 0 asks for the
+    /// whole table.
     table_version: u64,
     /// Connection generation in which the leader last acknowledged the owned runners.
     owned_acked_generation: u64,
@@ -52,8 +55,9 @@
         }
     }
 
-    /// Returns the state to send to the leader over the connection with number `generation`.
+    /// Returns the state to send to the leader over the connection of this `generation`.
     /// The owned runners are included until the leader has acknowledged them on that connection.
+    /// If the lease has expired, this stops routing to the owned runners.
     pub(crate) fn state(&mut self, leaving: bool, generation: u64) -> EntryState {
         if !self.lease.holds(self.shared.clock.now()) {
             self.stop_routing_to_owned();
@@ -86,6 +90,7 @@
         if self.table_version == 0 {
             return;
         }
+        // With version 0 the leader sends the table from the start.
         self.table_version = 0;
         let mut routing = self.shared.routing();
         let names: Vec<Name> = routing.router.runners().map(|r| r.spec.name.clone()).collect();
@@ -109,6 +114,7 @@
         let mut released = Vec::new();
         self.releasing.retain(|name| match routing.router.in_flight(name) {
             Some(count) if count > 0 => true,
+            // None in flight, or the router no longer knows the runner.
             _ => {
                 routing.router.remove_runner(name);
                 released.push(name.clone());
@@ -152,8 +158,9 @@
         }
     }
 
-    /// Drops the runners that are missing from the leader's table, once that is complete.
-    /// Until then the entries from the previous leader's table are kept as the best estimate.
+    /// Marks the leader's runner table as complete and drops the runners that are missing from
+    /// it. Until then the runners of the previous leader's table are kept, as nothing better is
+    /// known. Returns whether any was dropped.
     fn drop_unlisted_runners(&mut self) -> bool {
         self.runner_table_complete = true;
         let unlisted: Vec<Name> = self
@@ -229,8 +236,10 @@
         let mut owners: HashMap<Box<str>, BTreeMap<Name, Owner>> = HashMap::new();
         for change in self.runners.values().filter(|change| change.usable) {
             let Some(owner) = &change.owner else { continue };
-            let found = self.peer_entries.iter().find(|n| n.name == *owner && !n.draining);
-            let Some(caller_address) = found.and_then(|entry| entry.caller_address.parse().ok())
+            let owner_entry =
+                self.peer_entries.iter().find(|entry| entry.name == *owner && !entry.draining);
+            let Some(caller_address) =
+                owner_entry.and_then(|entry| entry.caller_address.parse().ok())
             else {
                 continue;
             };
--- a/crates/daemon/src/voters.rs
+++ b/crates/daemon/src/voters.rs
@@ -20,9 +20,10 @@
 const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause before a replica that is not yet a voter repeats its request to join.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Largest number of concurrent calls to one voter; further messages are dropped.
+/// Maximum number of concurrent calls to one voter; further messages are dropped.
 const CONCURRENT_CALLS_MAX: usize = 4;
-/// Bytes of messages in one call; a larger message is sent in a call of its own.
+/// Maximum size of the messages in one call, in bytes; a larger message is sent in a call of its
+/// own.
 const CALL_BYTES: usize = 2 * 1024 * 1024;
 
 /// Connections to the other voters, over which Raft messages are sent.
@@ -60,14 +61,14 @@
             let outgoing = self.replica.borrow_mut().take_messages();
             for (to, messages) in outgoing {
                 let Some(address) = self.address(to) else { continue };
-                for part in split_messages(messages) {
-                    self.clone().send_part(to, address, part);
+                for batch in split_messages(messages) {
+                    self.clone().send_batch(to, address, batch);
                 }
             }
         }
     }
 
-    fn send_part(self: Rc<Self>, to: ReplicaId, address: SocketAddr, messages: Vec<Envelope>) {
+    fn send_batch(self: Rc<Self>, to: ReplicaId, address: SocketAddr, messages: Vec<Envelope>) {
         let Some(connection) = self.connections.borrow().get(&address).cloned() else {
             self.connect(address);
             return;
@@ -142,11 +143,11 @@
             let empty = self.replica.borrow().is_empty();
             let system = if empty { self.query_voters().await } else { SystemState::Bootstrapped };
             match system {
+                // Only the first voter of the list bootstraps; the others wait for its messages.
                 SystemState::AllEmpty(members) if config.voters[0].name == config.name => {
                     let members = std::iter::once(self.own_member()).chain(members).collect();
                     self.replica.borrow_mut().bootstrap(members);
                 }
-                // Only the first voter of the list bootstraps; the others wait for its messages.
                 SystemState::AllEmpty(_) | SystemState::Unknown => sleep(QUERY_INTERVAL).await,
                 SystemState::Bootstrapped => {
                     if let Err(error) = self.join(&leader_client).await {
@@ -186,29 +187,32 @@
     }
 }
 
-/// Whether the other voters belong to a system already.
+/// What the other voters say about an existing system; `Unknown` if one did not respond before
+/// any said that it exists.
 enum SystemState {
     AllEmpty(Vec<Member>),
     Bootstrapped,
     Unknown,
 }
 
-/// Splits messages into calls of at most [`CALL_BYTES`], in order.
+/// Splits messages into calls of at most [`CALL_BYTES`], in order; a larger message gets a call
+/// of its own.
 fn split_messages(messages: Vec<Envelope>) -> Vec<Vec<Envelope>> {
-    let mut parts: Vec<Vec<Envelope>> = Vec::new();
+    let mut batches: Vec<Vec<Envelope>> = Vec::new();
+    // Full, so that the first message starts a call.
     let mut bytes = usize::MAX;
     for message in messages {
         let size = message.message.size();
         if bytes.saturating_add(size) > CALL_BYTES {
-            parts.push(Vec::new());
+            batches.push(Vec::new());
             bytes = 0;
         }
         bytes += size;
-        if let Some(part) = parts.last_mut() {
-            part.push(message);
+        if let Some(batch) = batches.last_mut() {
+            batch.push(message);
         }
     }
-    parts
+    batches
 }
 
 async fn send_raft_messages(
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -23,7 +23,8 @@
 pub const HEADERS_MAX: usize = 64;
 /// Maximum size of the write buffer of a connection, in bytes.
 const WRITE_BUFFER_BYTES: usize = 256 * 1024;
-/// Time to wait for the server's threads after a forced stop; after it they are detached.
+/// Time to wait for the server's threads after a forced stop; after that they are left
+/// running.
 const FORCED_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Request handler of one thread. Each thread creates its own, so a handler may hold
@@ -44,7 +45,7 @@
     pub head_timeout: Duration,
     /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
-    /// Time after which a connection is closed whose caller does not accept sent bytes.
+    /// Time after which a connection is closed if its caller does not accept the bytes sent to it.
     pub stall_timeout: Duration,
 }
 
@@ -166,10 +167,11 @@
         self.wait_for_exit(FORCED_STOP_TIMEOUT);
     }
 
-    fn wait_for_exit(&self, time: Duration) -> bool {
+    /// Waits at most this long and returns whether the server's thread has ended.
+    fn wait_for_exit(&self, time_limit: Duration) -> bool {
         let started = std::time::Instant::now();
         let finished = || self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished);
-        while !finished() && started.elapsed() < time {
+        while !finished() && started.elapsed() < time_limit {
             thread::sleep(Duration::from_millis(5));
         }
         finished()
@@ -230,6 +232,7 @@
         }
     }
     let first = first.unwrap_or_default();
+    // A body in one chunk is returned without a copy.
     if rest.is_empty() {
         return Ok(first);
     }
