--- a/crates/coordination/src/invariants.rs
+++ b/crates/coordination/src/invariants.rs
@@ -1,19 +1,19 @@
-//! Checks of what must always hold. Any test can attach them; each returns
-//! every breach it finds, in words.
+//! Invariant checks that any test can attach. Each returns all violations that it found, with a
+//! readable message.
 
 use std::collections::{BTreeMap, HashMap};
 use yuccalink_state::id::{Epoch, Name, TaskId, WorkerKey};
 use yuccalink_state::{Resources, StateMachine};
 
-/// A promise that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Violation {
-    /// worker {0} is committed beyond what it has
-    OverCommitted(Name),
-    /// worker {0} counts commitments that its tasks do not add up to
-    WrongSum(Name),
+    /// the committed resources of worker {0} exceed its capacity
+    CapacityExceeded(Name),
+    /// the committed resources of worker {0} differ from the sum of its tasks
+    CommitmentMismatch(Name),
     /// task {task} ran as epoch {first} and epoch {second} at once
-    TwoPlaces {
+    ConcurrentRuns {
         /// The task.
         task: TaskId,
         /// The earlier start.
@@ -23,24 +23,25 @@
     },
     /// task {0} finished twice
     FinishedTwice(TaskId),
-    /// request {0} got an answer that was not its own
+    /// request {0} got the response to another request
     WrongAnswer(Box<str>),
     /// request {0} must run at most once and ran {1} times
-    RanAgain(Box<str>, u32),
-    /// request {0} was called "not run" and had run
-    FalseNotRun(Box<str>),
-    /// runner {runner} held {held} requests and has {slots} slots
-    OverSlots {
+    ExecutedRepeatedly(Box<str>, u32),
+    /// request {0} was reported as "not run" but had run
+    ExecutedDespiteNotRun(Box<str>),
+    /// runner {runner} ran {running} requests at once but has {slots} slots
+    SlotsExceeded {
         /// The runner.
         runner: Box<str>,
-        /// Requests at once.
-        held: u32,
-        /// Its slots.
+        /// Requests that it executed at once.
+        running: u32,
+        /// The number of its slots.
         slots: u32,
     },
 }
 
-/// Commitments of each worker against its capacity and its tasks.
+/// Checks the resources committed on each worker against its capacity and the needs of its
+/// tasks.
 ///
 /// ```
 /// # use yuccalink_coordination::invariants::commitments;
@@ -58,16 +59,16 @@
     for (key, worker) in state.workers() {
         let sum = sums.get(&key).copied().unwrap_or_default();
         if sum != worker.committed {
-            found.push(Violation::WrongSum(worker.spec.name.clone()));
+            found.push(Violation::CommitmentMismatch(worker.spec.name.clone()));
         }
         if !worker.spec.capacity.covers(sum) {
-            found.push(Violation::OverCommitted(worker.spec.name.clone()));
+            found.push(Violation::CapacityExceeded(worker.spec.name.clone()));
         }
     }
     found
 }
 
-/// Watches what workers really do with tasks.
+/// Checks the task executions that workers report.
 ///
 /// ```
 /// use yuccalink_coordination::invariants::TaskChecker;
@@ -85,21 +86,21 @@
 }
 
 impl TaskChecker {
-    /// A worker began to run a task.
+    /// Records that a worker started a task.
     pub fn started(&mut self, task: TaskId, epoch: Epoch) {
         if let Some(first) = self.running.insert(task, epoch) {
-            self.violations.push(Violation::TwoPlaces { task, first, second: epoch });
+            self.violations.push(Violation::ConcurrentRuns { task, first, second: epoch });
         }
     }
 
-    /// A worker no longer runs a task.
+    /// Records that a worker no longer runs a task.
     pub fn stopped(&mut self, task: TaskId, epoch: Epoch) {
         if self.running.get(&task) == Some(&epoch) {
             self.running.remove(&task);
         }
     }
 
-    /// A worker ran a task to its end.
+    /// Records that a worker ran a task to its end.
     pub fn finished(&mut self, task: TaskId, epoch: Epoch) {
         self.stopped(task, epoch);
         let times = self.finished.entry(task).or_default();
@@ -109,33 +110,33 @@
         }
     }
 
-    /// What was found.
+    /// The violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 }
 
-/// What a caller was told of its request.
+/// What the caller of a request was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// A whole answer that carries this tag of the request it is for.
+    /// A complete response with the tag of the request that it answers.
     Answer(u64),
-    /// That the request did not run.
+    /// The request was not executed.
     NotRun,
-    /// That nobody knows.
+    /// It is unknown whether the request was executed.
     Unknown,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Request {
-    once: bool,
+    at_most_once: bool,
     tag: u64,
     runs: u32,
-    told: Vec<CallerOutcome>,
+    outcomes: Vec<CallerOutcome>,
 }
 
-/// Watches what runners really do with requests and what callers are told. Each
-/// sending of a request that may be called "not run" wants a name of its own.
+/// Checks the requests that runners execute against what callers are told. Each attempt of a
+/// request that may be reported as "not run" needs its own name.
 ///
 /// ```
 /// use yuccalink_coordination::invariants::{RequestChecker, CallerOutcome};
@@ -144,60 +145,61 @@
 /// checker.ran("invoice", "r1", 8);
 /// checker.done("r1");
 /// checker.record_outcome("invoice", CallerOutcome::NotRun);
-/// assert_eq!(checker.violations()[0].to_string(), "request invoice was called \"not run\" and had run");
+/// assert_eq!(checker.violations()[0].to_string(), "request invoice was reported as \"not run\" but had run");
 /// ```
 #[derive(Debug, Default)]
 pub struct RequestChecker {
     requests: BTreeMap<Box<str>, Request>,
-    held: BTreeMap<Box<str>, u32>,
+    running: BTreeMap<Box<str>, u32>,
     violations: Vec<Violation>,
 }
 
 impl RequestChecker {
-    /// A caller sends a request; `tag` is what its answer must carry.
-    pub fn sent(&mut self, name: &str, tag: u64, once: bool) {
+    /// Records that a caller sent a request; `tag` is the tag that its response must carry.
+    pub fn sent(&mut self, name: &str, tag: u64, at_most_once: bool) {
         let request = self.requests.entry(name.into()).or_default();
         request.tag = tag;
-        request.once = once;
+        request.at_most_once = at_most_once;
     }
 
-    /// A runner begins to run a request.
+    /// Records that a runner started a request.
     pub fn ran(&mut self, name: &str, runner: &str, slots: u32) {
         self.requests.entry(name.into()).or_default().runs += 1;
-        let held = self.held.entry(runner.into()).or_default();
-        *held += 1;
-        if *held > slots {
-            let violation = Violation::OverSlots { runner: runner.into(), held: *held, slots };
+        let running = self.running.entry(runner.into()).or_default();
+        *running += 1;
+        if *running > slots {
+            let violation =
+                Violation::SlotsExceeded { runner: runner.into(), running: *running, slots };
             self.violations.push(violation);
         }
     }
 
-    /// A runner is done with a request.
+    /// Records that a runner finished a request.
     pub fn done(&mut self, runner: &str) {
-        if let Some(held) = self.held.get_mut(runner) {
-            *held = held.saturating_sub(1);
+        if let Some(running) = self.running.get_mut(runner) {
+            *running = running.saturating_sub(1);
         }
     }
 
-    /// A caller is told something.
-    pub fn record_outcome(&mut self, name: &str, told: CallerOutcome) {
-        self.requests.entry(name.into()).or_default().told.push(told);
+    /// Records what a caller was told.
+    pub fn record_outcome(&mut self, name: &str, outcome: CallerOutcome) {
+        self.requests.entry(name.into()).or_default().outcomes.push(outcome);
     }
 
-    /// What was found, at the end of a run.
+    /// All violations; call this at the end of a run.
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = self.violations.clone();
         for (name, request) in &self.requests {
-            if request.once && request.runs > 1 {
-                found.push(Violation::RanAgain(name.clone(), request.runs));
+            if request.at_most_once && request.runs > 1 {
+                found.push(Violation::ExecutedRepeatedly(name.clone(), request.runs));
             }
-            for told in &request.told {
-                match told {
+            for outcome in &request.outcomes {
+                match outcome {
                     CallerOutcome::Answer(tag) if *tag != request.tag => {
                         found.push(Violation::WrongAnswer(name.clone()));
                     }
                     CallerOutcome::NotRun if request.runs > 0 => {
-                        found.push(Violation::FalseNotRun(name.clone()));
+                        found.push(Violation::ExecutedDespiteNotRun(name.clone()));
                     }
                     CallerOutcome::Answer(_) | CallerOutcome::NotRun | CallerOutcome::Unknown => {}
                 }
--- a/crates/coordination/src/jobs.rs
+++ b/crates/coordination/src/jobs.rs
@@ -1,12 +1,14 @@
-//! What the leader of a job cell decides, sans-IO: feed [`Leader`] asks, commits
-//! and ticks with the current [`Now`]; take its commands for the log and its
-//! answers. It never reads a clock and draws no random numbers.
+//! Decisions of a job cell's leader, without I/O: pass requests, committed commands and
+//! ticks to [`Leader`] with the current [`Now`], and take its commands for the log and its
+//! responses. It never reads a clock and draws no random numbers.
 
 pub mod account;
 mod admission;
 mod advice;
+mod capacity;
 mod colocation;
 mod commits;
+mod compatibility;
 mod copies;
 mod due;
 mod estimate;
@@ -24,11 +26,9 @@
 pub mod policy;
 mod ready;
 mod requests;
-mod room;
 mod routes;
 pub mod runner;
 mod sizes;
-mod suits;
 mod suspects;
 mod telemetry;
 mod waves;
--- a/crates/coordination/src/jobs/advice.rs
+++ b/crates/coordination/src/jobs/advice.rs
@@ -1,5 +1,6 @@
-//! Tickets of an outside policy: one question at a time, about the runners with the
-//! most room, asked before a step is to start and kept for as long as they are valid.
+//! Tickets of an external placement policy. The leader sends one query at a time, about the
+//! runners with the most free capacity, before a step starts, and keeps the tickets for as
+//! long as they are valid.
 
 use super::external::{ExternalCall, ExternalCallId, ExternalReply};
 use super::leader::{Leader, Now};
@@ -9,60 +10,61 @@
 use std::time::Duration;
 use yuccalink_state::jobs::IncarnationKey;
 
-/// Runners asked about at once: as many as a job's objective allows for.
-const ASKED_MAX: usize = 30;
-/// A ticket that ends sooner than this may not reach its runner in time.
+/// Runners in one query. A job's objective leaves no time for more.
+const RUNNERS_QUERIED_MAX: usize = 30;
+/// A ticket that expires sooner than this may not reach its runner in time.
 const TICKET_MARGIN: Duration = Duration::from_millis(1_200);
-/// Longest wait for an answer before the question is asked anew.
-const ANSWER_MAX: Duration = Duration::from_millis(3_000);
+/// Longest wait for a reply before another query is sent.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// What is known for one step.
+/// Tickets of one step, and the runners that were already queried.
 #[derive(Debug, Default)]
-struct Known {
+struct StepTickets {
     tickets: BTreeMap<IncarnationKey, Box<str>>,
     until: Moment,
-    asked: BTreeSet<IncarnationKey>,
+    queried: BTreeSet<IncarnationKey>,
 }
 
-/// The question under way.
+/// The query that waits for its reply.
 #[derive(Debug)]
-struct Asked {
+struct PendingQuery {
     call: ExternalCallId,
-    group: StepKey,
-    /// The runners asked about, by name.
+    step_key: StepKey,
+    /// The runners in the query, by name.
     incarnations: BTreeMap<Box<str>, IncarnationKey>,
     since: Moment,
 }
 
-/// All of it.
+/// Tickets of all steps, and the pending query.
 #[derive(Debug, Default)]
 pub(super) struct Advice {
-    known: BTreeMap<StepKey, Known>,
-    asked: Option<Asked>,
+    by_step: BTreeMap<StepKey, StepTickets>,
+    pending: Option<PendingQuery>,
 }
 
 impl Advice {
     /// The ticket for a step's tasks on a runner, if it is valid for long enough.
     pub(super) fn ticket(
         &self,
-        group: StepKey,
+        step_key: StepKey,
         incarnation: IncarnationKey,
         now: Moment,
     ) -> Option<&str> {
-        let known = self.known.get(&group).filter(|known| known.until > now + TICKET_MARGIN)?;
+        let known =
+            self.by_step.get(&step_key).filter(|known| known.until > now + TICKET_MARGIN)?;
         known.tickets.get(&incarnation).map(|ticket| &**ticket)
     }
 
-    /// Takes an answer in; false when it is not to a question of ours.
-    pub(super) fn told(&mut self, call: ExternalCallId, told: &ExternalReply) -> bool {
-        let Some(asked) = self.asked.take_if(|asked| asked.call == call) else { return false };
-        let ExternalReply::Advice { allowed, validity_ms } = told else { return true };
-        let known = self.known.entry(asked.group).or_default();
-        // Valid from some moment between question and answer; the earliest counts.
-        known.until = asked.since + Duration::from_millis(*validity_ms);
-        known.asked.extend(asked.incarnations.values());
+    /// Handles a reply; false if it does not belong to the pending query.
+    pub(super) fn handle_reply(&mut self, call: ExternalCallId, reply: &ExternalReply) -> bool {
+        let Some(query) = self.pending.take_if(|query| query.call == call) else { return false };
+        let ExternalReply::Advice { allowed, validity_ms } = reply else { return true };
+        let known = self.by_step.entry(query.step_key).or_default();
+        // The validity begins between the query and its reply; count from the earliest time.
+        known.until = query.since + Duration::from_millis(*validity_ms);
+        known.queried.extend(query.incarnations.values());
         for (name, ticket) in allowed {
-            if let Some(incarnation) = asked.incarnations.get(name) {
+            if let Some(incarnation) = query.incarnations.get(name) {
                 known.tickets.insert(*incarnation, ticket.clone());
             }
         }
@@ -72,45 +74,47 @@
 
 impl Leader {
     /// Whether a step's tasks need a ticket.
-    pub(super) fn needs_ticket(&self, group: StepKey) -> bool {
-        let job = self.state.job(group.job);
+    pub(super) fn needs_ticket(&self, step_key: StepKey) -> bool {
+        let job = self.state.job(step_key.job);
         let queue = job.and_then(|job| self.routes.queue(&job.queue));
         queue.is_some_and(|queue| queue.advisor.is_some())
     }
 
-    /// Asks for the first step in order that needs tickets and has none left.
-    pub(super) fn ask_advice(&mut self, now: Now) {
-        if self.advice.asked.as_ref().is_some_and(|a| now.at.since(a.since) < ANSWER_MAX) {
+    /// Sends a query for the first step in order that needs tickets and has no usable one.
+    pub(super) fn query_advice(&mut self, now: Now) {
+        if self.advice.pending.as_ref().is_some_and(|a| now.at.since(a.since) < REPLY_TIMEOUT) {
             return;
         }
-        self.advice.asked = None;
-        // Tickets too old to be used count as none, or nobody would ask for new ones.
-        self.advice.known.retain(|_, known| known.until > now.at + TICKET_MARGIN);
-        let wants = |group: &StepKey| self.needs_ticket(*group) && !self.has_room_by_ticket(*group);
-        let Some(group) = self.ready.order().find(wants) else { return };
-        let incarnations = self.incarnations_to_ask(group);
+        self.advice.pending = None;
+        // Tickets that expire too soon to be used are dropped, so that new ones are requested.
+        self.advice.by_step.retain(|_, known| known.until > now.at + TICKET_MARGIN);
+        let wants = |step_key: &StepKey| {
+            self.needs_ticket(*step_key) && !self.has_capacity_by_ticket(*step_key)
+        };
+        let Some(step_key) = self.ready.order().find(wants) else { return };
+        let incarnations = self.incarnations_to_query(step_key);
         if incarnations.is_empty() {
             return;
         }
         let call = self.call(ExternalCall::Advise {
-            job: group.job,
-            occurrence: group.occurrence,
-            step: group.step,
+            job: step_key.job,
+            occurrence: step_key.occurrence,
+            step: step_key.step,
             runners: incarnations.keys().cloned().collect(),
         });
         log::info!(
             "advice asked job={} step={} runners={}",
-            group.job,
-            group.step,
+            step_key.job,
+            step_key.step,
             incarnations.len()
         );
-        self.advice.asked = Some(Asked { call, group, incarnations, since: now.at });
+        self.advice.pending = Some(PendingQuery { call, step_key, incarnations, since: now.at });
     }
 
-    /// Whether a runner with a ticket has room for a task of the step.
-    fn has_room_by_ticket(&self, group: StepKey) -> bool {
-        let Some(known) = self.advice.known.get(&group) else { return false };
-        let Some(step) = self.ready.step(group.job, group.step) else { return false };
+    /// Whether a runner with a ticket has free capacity for a task of the step.
+    fn has_capacity_by_ticket(&self, step_key: StepKey) -> bool {
+        let Some(known) = self.advice.by_step.get(&step_key) else { return false };
+        let Some(step) = self.ready.step(step_key.job, step_key.step) else { return false };
         known.tickets.keys().any(|incarnation| {
             self.runners
                 .get(incarnation)
@@ -118,19 +122,21 @@
         })
     }
 
-    /// The runners with the most room that were not asked about yet; all of them once
-    /// none is left.
-    fn incarnations_to_ask(&self, group: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
-        let Some(step) = self.ready.step(group.job, group.step) else { return BTreeMap::new() };
-        let known = self.advice.known.get(&group);
-        let asked = |incarnation: IncarnationKey| {
-            known.is_some_and(|known| known.asked.contains(&incarnation))
+    /// The runners with the most free capacity that were not yet in a query for this step.
+    /// All runners count again once the tickets of the step have expired.
+    fn incarnations_to_query(&self, step_key: StepKey) -> BTreeMap<Box<str>, IncarnationKey> {
+        let Some(step) = self.ready.step(step_key.job, step_key.step) else {
+            return BTreeMap::new();
+        };
+        let known = self.advice.by_step.get(&step_key);
+        let queried = |incarnation: IncarnationKey| {
+            known.is_some_and(|known| known.queried.contains(&incarnation))
         };
         let fits = |r: &&super::runner::Runner| {
-            r.takes_tasks() && r.free.covers(step.reserved) && !asked(r.key)
+            r.takes_tasks() && r.free.covers(step.reserved) && !queried(r.key)
         };
         let mut runners: Vec<_> = self.runners.values().filter(fits).collect();
         runners.sort_by_key(|runner| std::cmp::Reverse(runner.free.millicores));
-        runners.into_iter().take(ASKED_MAX).map(|r| (r.id.clone(), r.key)).collect()
+        runners.into_iter().take(RUNNERS_QUERIED_MAX).map(|r| (r.id.clone(), r.key)).collect()
     }
 }
--- a/crates/coordination/src/jobs/copies.rs
+++ b/crates/coordination/src/jobs/copies.rs
@@ -1,42 +1,45 @@
-//! Second copies of tasks that lag behind, for steps that allow them: the first copy to
-//! finish counts.
+//! Second copies of stragglers, for steps that allow them: the first copy to finish
+//! counts.
 //!
-//! The pattern answered here: a sixth of the runners turn four to six times as slow for
-//! some seconds, or their tasks stand still, while they report as ever. A short task
-//! there takes as long as its job may take in all. A copy elsewhere ends within one
-//! usual length; it costs its own work once more, so only tasks that lag get one, only
-//! in room that nobody waits for, and only so many at once.
+//! The expected fault is that a sixth of the runners become four to six times as slow for
+//! some seconds, or their tasks stall, while they report as usual. A short task there
+//! takes as long as its whole job may take. A copy elsewhere ends within one usual run
+//! time but repeats the work. Therefore only stragglers are copied, only into capacity
+//! that no waiting task needs, and only a limited number at once.
 
+use super::capacity::saturating_sub;
 use super::leader::{Leader, Now};
 use super::place::{Chosen, label_fits};
 use super::policy::{Millis, Switch};
 use super::ready::StepKey;
-use super::room::saturating_sub;
 use super::runner::{RunView, Runner, Trust};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use yuccalink_state::jobs::{RunStart, TaskKey};
 
-/// Tasks that lag get second copies, where their step allows it.
+/// Starts second copies of stragglers whose step allows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct CopiesPolicy {
-    /// Whether they do.
+    /// Whether copies are started.
     pub mode: Switch,
-    /// A run lags that is expected to take this many times as long as the guess. Guesses
-    /// are half off in the usual case, and a sound run beside busy ones takes more than
-    /// half as long again as guessed.
-    pub lags_by: u32,
-    /// Least time that a copy must be expected to save: ordering it takes a third of that.
+    /// A run that is expected to take this many times its estimate is a straggler.
+    /// Estimates are usually off by half, and a sound run on a busy runner takes more
+    /// than 1.5 times its estimate.
+    #[serde(rename = "lags-by")]
+    pub straggler_factor: u32,
+    /// Shortest time that a copy must be expected to save, in milliseconds; ordering a
+    /// copy takes a third of this time.
     #[serde(rename = "gain-ms")]
     pub gain: Millis,
-    /// A run whose figure has not moved for this long may stand still; two reports come
-    /// in that time.
+    /// Time without progress, in milliseconds, after which a run counts as stalled for
+    /// copies; two reports arrive in that time.
     #[serde(rename = "unmoved-ms")]
-    pub unmoved: Millis,
-    /// One task in this many that run may have a copy,
+    pub stalled_after: Millis,
+    /// One in this many running tasks whose step allows copies may have a copy.
     pub one_in: usize,
-    /// and always this many: the last tasks of a job are few, and all of them may lag.
+    /// Copies allowed at any time: the last tasks of a job are few, and all of them may
+    /// be stragglers.
     pub at_least: usize,
 }
 
@@ -44,9 +47,9 @@
     fn default() -> Self {
         Self {
             mode: Switch::On,
-            lags_by: 2,
+            straggler_factor: 2,
             gain: Millis(400),
-            unmoved: Millis(900),
+            stalled_after: Millis(900),
             one_in: 10,
             at_least: 8,
         }
@@ -54,13 +57,13 @@
 }
 
 impl Leader {
-    /// Finds the tasks that lag behind, the worst first.
-    pub(super) fn find_laggards(&mut self, now: Now) {
+    /// Finds the stragglers and sorts them by the time left, longest first.
+    pub(super) fn find_stragglers(&mut self, now: Now) {
         let policy = self.cfg.policy.copies;
         if policy.mode == Switch::Off {
             return;
         }
-        let mut found = Vec::new();
+        let mut stragglers = Vec::new();
         let (mut running, mut copies) = (0, 0);
         for runner in self.runners.values() {
             for (task, view) in &runner.running {
@@ -68,31 +71,34 @@
                     continue;
                 };
                 running += 1;
-                let twice = self.state.task(*task).is_some_and(|state| state.assignments.len() > 1);
-                if twice {
+                let has_copy =
+                    self.state.task(*task).is_some_and(|state| state.assignments.len() > 1);
+                if has_copy {
                     copies += 1;
-                } else if let Some(left) = policy.lag(now, runner, view, step.estimate_ms) {
-                    found.push((left, *task));
+                } else if let Some(left) =
+                    policy.straggler_time_left(now, runner, view, step.estimate_ms)
+                {
+                    stragglers.push((left, *task));
                 }
             }
         }
-        // Both runs of a task that has a copy were counted.
+        // `copies` counts both runs of a task that has a copy.
         let budget = (running / policy.one_in).max(policy.at_least);
-        found.sort_unstable_by(|a, b| b.cmp(a));
-        found.truncate(budget.saturating_sub(copies / 2));
-        self.laggards = found.into_iter().map(|(_, task)| task).collect();
+        stragglers.sort_unstable_by(|a, b| b.cmp(a));
+        stragglers.truncate(budget.saturating_sub(copies / 2));
+        self.stragglers = stragglers.into_iter().map(|(_, task)| task).collect();
     }
 
-    /// Starts copies in what room is left on a runner.
+    /// Starts copies in the capacity that is left on a runner.
     pub(super) fn pick_copies(&self, runner: &Runner, trust: Trust, chosen: &mut Chosen) {
         if trust != Trust::Full {
             return;
         }
-        for task in &self.laggards {
-            if chosen.starts.len() >= chosen.most {
+        for task in &self.stragglers {
+            if chosen.starts.len() >= chosen.starts_max {
                 return;
             }
-            if let Some(start) = self.copy_of(*task, runner, chosen) {
+            if let Some(start) = self.copy_start(*task, runner, chosen) {
                 let Some(step) = self.ready.step_of(*task) else { continue };
                 chosen.free = saturating_sub(chosen.free, step.reserved);
                 chosen.starts.push(start);
@@ -100,19 +106,19 @@
         }
     }
 
-    fn copy_of(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<RunStart> {
+    fn copy_start(&self, task: TaskKey, runner: &Runner, chosen: &Chosen) -> Option<RunStart> {
         let job = self.state.job(task.job)?;
         let step = job.spec.steps.get(usize::from(task.step))?;
         let state = self.state.task(task)?;
         let [original] = state.assignments.as_slice() else { return None };
-        let group = StepKey::of(task);
+        let step_key = StepKey::of(task);
         let chosen_here =
-            chosen.starts.iter().filter(|start| StepKey::of(start.task) == group).count();
-        let here = self.count_here(runner.key, group) as usize + chosen_here;
+            chosen.starts.iter().filter(|start| StepKey::of(start.task) == step_key).count();
+        let count_on_runner = self.task_count_on(runner.key, step_key) as usize + chosen_here;
         let fits = !state.done
             && original.incarnation != runner.key
             && !self.starting.contains_key(&task)
-            // A failure of the copy beside one of the original would end the job.
+            // A failure of the copy after one of the original would end the job.
             && state.failures == 0
             && self.may_have_copy(task)
             && !step.gang
@@ -121,26 +127,36 @@
             && self.pool_of(job) == &*runner.pool
             && label_fits(step, runner)
             && step.data_rack.as_ref().is_none_or(|rack| *rack == runner.rack)
-            && (step.per_runner_max == 0 || here < step.per_runner_max as usize);
+            && (step.per_runner_max == 0 || count_on_runner < step.per_runner_max as usize);
         fits.then(|| RunStart { task, run: state.last_run + 1, incarnation: runner.key })
     }
 }
 
 impl CopiesPolicy {
-    /// How long a run is expected to take still, where that is much more than a copy would.
-    fn lag(&self, now: Now, runner: &Runner, view: &RunView, estimate_ms: u64) -> Option<Duration> {
+    /// Returns the remaining time of a run if it is a straggler and a copy would save
+    /// enough time.
+    fn straggler_time_left(
+        &self,
+        now: Now,
+        runner: &Runner,
+        view: &RunView,
+        estimate_ms: u64,
+    ) -> Option<Duration> {
         if view.stopping || !runner.reported_recently(now.at) {
             return None;
         }
-        let usual = Duration::from_millis(estimate_ms);
+        let estimate = Duration::from_millis(estimate_ms);
         let gain = self.gain.to_duration();
-        let stands = view.percent < 100 && now.at.since(view.moved) > self.unmoved.to_duration();
-        let left = match stands {
-            true => usual * self.lags_by + gain,
+        let is_stalled = view.percent < 100
+            && now.at.since(view.progressed_at) > self.stalled_after.to_duration();
+        let left = match is_stalled {
+            true => estimate * self.straggler_factor + gain,
             false => view.time_left(now.at, estimate_ms),
         };
-        let ran = now.at.since(view.first_seen);
-        let lags = ran > usual / 2 && ran + left > usual * self.lags_by && left > usual + gain;
-        lags.then_some(left)
+        let elapsed = now.at.since(view.first_seen);
+        let is_straggler = elapsed > estimate / 2
+            && elapsed + left > estimate * self.straggler_factor
+            && left > estimate + gain;
+        is_straggler.then_some(left)
     }
 }
--- a/crates/coordination/src/jobs/sizes.rs
+++ b/crates/coordination/src/jobs/sizes.rs
@@ -1,39 +1,42 @@
-//! Jobs of each size get their turn while there is room for less than what comes.
+//! Keeps large jobs from starving when there is less capacity than the jobs ask for.
 //!
-//! The pattern answered here: short jobs of one queue, the largest of them several times as
-//! large as the usual, in a pool that has a little less room than all of them ask for. An order by worth
-//! for each core-second left serves nearly all of the small ones and none of the largest,
-//! whose callers then wait in vain each time. So how often each size ends in time is counted
-//! for each queue, and a size that falls behind its queue has jobs drawn to the front, a few
-//! at a time and in their usual order.
+//! The expected load is short jobs of one queue, the largest of them several times as
+//! large as the usual ones, in a pool with slightly less capacity than they ask for
+//! together. An order by worth per core-second left then completes nearly all small jobs
+//! and none of the largest, whose callers wait in vain each time. Therefore the share of
+//! jobs that end on time is tracked for each size and queue, and jobs of a size that
+//! falls behind its queue are boosted to the front of the order, a few at a time and in
+//! their usual order.
 
 use super::policy::Switch;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 use yuccalink_state::jobs::JobId;
 
-/// Jobs whose sizes are remembered for each queue.
-const RECENT_MAX: usize = 200;
-/// Jobs of a queue from which its sizes are told apart.
-const RECENT_MIN: usize = 20;
-/// Where the largest jobs of a queue begin, and those that come before them.
-const LARGEST_FROM: f64 = 0.9;
-const LARGE_FROM: f64 = 0.7;
-/// What an outcome still counts for after each further one of its size.
-const FADING: f64 = 0.95;
-/// Outcomes, as they fade, from which a size is judged.
-const JUDGED_FROM: f64 = 2.0;
-
-/// A size that falls behind its queue is drawn to the front.
+/// Latest jobs of a queue whose sizes are kept.
+const RECENT_JOBS_MAX: usize = 200;
+/// Jobs of a queue needed before its sizes are classified.
+const RECENT_JOBS_MIN: usize = 20;
+/// Quantiles of the work of a queue's jobs from which a job is of the largest or of the
+/// large size.
+const LARGEST_QUANTILE: f64 = 0.9;
+const LARGE_QUANTILE: f64 = 0.7;
+/// Factor by which the weight of an outcome falls with each later one of its size.
+const OUTCOME_DECAY: f64 = 0.95;
+/// Sum of decayed outcomes from which a size has an on-time share.
+const OUTCOMES_MIN: f64 = 2.0;
+
+/// Boosts jobs of a size that falls behind its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SizesPolicy {
-    /// Whether it is.
+    /// Whether jobs of a size that falls behind are boosted.
     pub mode: Switch,
-    /// Share of its queue's jobs in time, as a part of one, below which a size is behind.
+    /// A size is behind if its on-time share is below this part, from 0 to 1, of the
+    /// on-time share of its queue.
     pub behind: f64,
-    /// Share of the processors that no task that lasts holds, as a part of one, that jobs at the
-    /// front may take at once; one job of each size may always.
+    /// Share, from 0 to 1, of the CPU not reserved for long-running tasks that boosted jobs
+    /// may take at once. One job of each size may always be boosted.
     pub room: f64,
 }
 
@@ -43,48 +46,48 @@
     }
 }
 
-/// Where a job stands among its queue's.
+/// Size of a job relative to the latest jobs of its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) enum Size {
-    /// Seven in ten.
-    Usual,
-    /// The fifth below the largest.
+pub(super) enum SizeClass {
+    /// The smaller 70 % of the jobs.
+    Typical,
+    /// The 20 % of the jobs below the largest.
     Large,
-    /// The largest tenth.
+    /// The largest 10 % of the jobs.
     Largest,
 }
 
-/// How often jobs ended in time, the latest counting most.
+/// Decayed counts of all ended jobs and of the jobs that ended on time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Record {
+struct OnTimeRecord {
     ended: f64,
-    in_time: f64,
+    on_time: f64,
 }
 
-impl Record {
-    fn add(&mut self, in_time: bool) {
-        self.ended = self.ended * FADING + 1.0;
-        self.in_time = self.in_time * FADING + f64::from(u8::from(in_time));
+impl OnTimeRecord {
+    fn add(&mut self, on_time: bool) {
+        self.ended = self.ended * OUTCOME_DECAY + 1.0;
+        self.on_time = self.on_time * OUTCOME_DECAY + f64::from(u8::from(on_time));
     }
 
     fn share(&self) -> Option<f64> {
-        (self.ended >= JUDGED_FROM).then(|| self.in_time / self.ended)
+        (self.ended >= OUTCOMES_MIN).then(|| self.on_time / self.ended)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct QueueSizes {
-    /// Core-seconds of the latest jobs, and the same in order.
+    /// Core-seconds of the latest jobs, in order of arrival and sorted by size.
     recent: VecDeque<f64>,
     sorted: Vec<f64>,
-    all: Record,
-    large: Record,
-    largest: Record,
+    all: OnTimeRecord,
+    large: OnTimeRecord,
+    largest: OnTimeRecord,
 }
 
 impl QueueSizes {
-    fn meet(&mut self, work: f64) -> Size {
-        if self.recent.len() == RECENT_MAX
+    fn classify(&mut self, work: f64) -> SizeClass {
+        if self.recent.len() == RECENT_JOBS_MAX
             && let Some(oldest) = self.recent.pop_front()
         {
             let at = self.sorted.partition_point(|known| *known < oldest);
@@ -93,52 +96,52 @@
         self.recent.push_back(work);
         let at = self.sorted.partition_point(|known| *known < work);
         self.sorted.insert(at, work);
-        if self.sorted.len() < RECENT_MIN {
-            return Size::Usual;
+        if self.sorted.len() < RECENT_JOBS_MIN {
+            return SizeClass::Typical;
         }
-        let below = at as f64 / self.sorted.len() as f64;
-        match below {
-            _ if below >= LARGEST_FROM => Size::Largest,
-            _ if below >= LARGE_FROM => Size::Large,
-            _ => Size::Usual,
+        let rank = at as f64 / self.sorted.len() as f64;
+        match rank {
+            _ if rank >= LARGEST_QUANTILE => SizeClass::Largest,
+            _ if rank >= LARGE_QUANTILE => SizeClass::Large,
+            _ => SizeClass::Typical,
         }
     }
 
-    fn ended(&mut self, size: Size, in_time: bool) {
-        self.all.add(in_time);
+    fn record_outcome(&mut self, size: SizeClass, on_time: bool) {
+        self.all.add(on_time);
         match size {
-            Size::Usual => {}
-            Size::Large => self.large.add(in_time),
-            Size::Largest => self.largest.add(in_time),
+            SizeClass::Typical => {}
+            SizeClass::Large => self.large.add(on_time),
+            SizeClass::Largest => self.largest.add(on_time),
         }
     }
 }
 
-/// The sizes of all queues, and which jobs are drawn to the front.
+/// Size statistics of all queues, and the boosted jobs.
 #[derive(Debug, Default)]
 pub(super) struct Sizes {
     policy: SizesPolicy,
     queues: HashMap<Box<str>, QueueSizes>,
-    /// Jobs at the front, with the processors that they take.
-    front: HashMap<JobId, Front>,
+    /// Boosted jobs with the CPU that they take.
+    boosted: HashMap<JobId, BoostedJob>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Front {
-    size: Size,
+struct BoostedJob {
+    size: SizeClass,
     millicores: u64,
 }
 
-/// A job that may be drawn to the front.
+/// A job that may be boosted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Candidate<'a> {
+pub(super) struct BoostCandidate<'a> {
     pub(super) id: JobId,
     pub(super) queue: &'a str,
-    pub(super) size: Size,
-    /// What the tasks of its next step take together.
+    pub(super) size: SizeClass,
+    /// CPU that the tasks of the job's next step take together.
     pub(super) millicores: u64,
-    /// What its pool has beside tasks that last.
-    pub(super) room_millicores: u64,
+    /// CPU of the job's pool that is not reserved for long-running tasks.
+    pub(super) available_millicores: u64,
 }
 
 impl Sizes {
@@ -146,56 +149,62 @@
         Self { policy, ..Self::default() }
     }
 
-    /// A job of so many core-seconds came in.
-    pub(super) fn meet(&mut self, queue: &str, work: f64) -> Size {
+    /// Classifies a new job by its core-seconds and adds it to its queue's statistics.
+    pub(super) fn classify(&mut self, queue: &str, work: f64) -> SizeClass {
         match self.queues.get_mut(queue) {
-            Some(known) => known.meet(work),
-            None => self.queues.entry(queue.into()).or_default().meet(work),
+            Some(known) => known.classify(work),
+            None => self.queues.entry(queue.into()).or_default().classify(work),
         }
     }
 
-    /// A job ended, or can no longer end in time.
-    pub(super) fn ended(&mut self, id: JobId, queue: &str, size: Size, in_time: bool) {
-        self.front.remove(&id);
+    /// Records whether a job ended on time, or that it no longer can.
+    pub(super) fn record_outcome(
+        &mut self,
+        id: JobId,
+        queue: &str,
+        size: SizeClass,
+        on_time: bool,
+    ) {
+        self.boosted.remove(&id);
         if let Some(known) = self.queues.get_mut(queue) {
-            known.ended(size, in_time);
+            known.record_outcome(size, on_time);
         }
     }
 
-    /// A job needs nothing any more.
-    pub(super) fn forget(&mut self, id: JobId) {
-        self.front.remove(&id);
+    /// Removes a job that needs no further scheduling.
+    pub(super) fn remove_job(&mut self, id: JobId) {
+        self.boosted.remove(&id);
     }
 
-    /// Whether a job is at the front.
-    pub(super) fn is_front(&self, id: JobId) -> bool {
-        self.front.contains_key(&id)
+    /// Returns whether a job is boosted.
+    pub(super) fn is_boosted(&self, id: JobId) -> bool {
+        self.boosted.contains_key(&id)
     }
 
-    /// Draws a job to the front if its size is behind and there is a place.
-    pub(super) fn draw(&mut self, job: Candidate<'_>) {
-        if self.policy.mode == Switch::Off || self.is_front(job.id) {
+    /// Boosts a job if its size is behind and the boosted jobs leave enough CPU for it.
+    pub(super) fn boost(&mut self, job: BoostCandidate<'_>) {
+        if self.policy.mode == Switch::Off || self.is_boosted(job.id) {
             return;
         }
         if !self.is_behind(job.queue, job.size) {
             return;
         }
-        let taken: u64 = self.front.values().map(|front| front.millicores).sum();
-        let places = job.room_millicores as f64 * self.policy.room;
-        let first = self.front.values().all(|front| front.size != job.size);
-        if first || (taken + job.millicores) as f64 <= places {
-            let front = Front { size: job.size, millicores: job.millicores };
-            self.front.insert(job.id, front);
-            log::info!("job={} drawn to the front: its size is behind in {}", job.id, job.queue);
+        let taken: u64 = self.boosted.values().map(|boosted| boosted.millicores).sum();
+        let boosted_max = job.available_millicores as f64 * self.policy.room;
+        let first = self.boosted.values().all(|boosted| boosted.size != job.size);
+        if first || (taken + job.millicores) as f64 <= boosted_max {
+            let boosted = BoostedJob { size: job.size, millicores: job.millicores };
+            self.boosted.insert(job.id, boosted);
+            log::info!("job={} boosted: its size is behind in queue {}", job.id, job.queue);
         }
     }
 
-    fn is_behind(&self, queue: &str, size: Size) -> bool {
+    fn is_behind(&self, queue: &str, size: SizeClass) -> bool {
         let Some(known) = self.queues.get(queue) else { return false };
         let record = match size {
-            Size::Usual => return false,
-            Size::Large => known.large,
-            Size::Largest => known.largest,
+            SizeClass::Typical => return false,
+            SizeClass::Large => known.large,
+            SizeClass::Largest => known.largest,
         };
         match (record.share(), known.all.share()) {
             (Some(own), Some(all)) => own < all * self.policy.behind,
--- a/crates/coordination/src/raft/follower.rs
+++ b/crates/coordination/src/raft/follower.rs
@@ -1,9 +1,9 @@
-//! Following a leader: its entries and its snapshots.
+//! Follower: handles entries and snapshots of the leader.
 
 use super::*;
 
 impl Raft {
-    pub(super) fn take_entries(
+    pub(super) fn handle_append(
         &mut self,
         from: ReplicaId,
         (prev, prev_term): (u64, u64),
@@ -33,8 +33,8 @@
             if index <= self.log.base() || self.log.term(index) == Some(entry.term) {
                 continue;
             }
-            // The first entry that differs: this and all after it were never
-            // committed, and are replaced by the leader's.
+            // This is the first entry that differs. It and all later ones were never committed, so
+            // the leader's entries replace them.
             self.replace(index, entries[at..].to_vec());
             break;
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Finds the newest members in the log.
+    /// Reads the newest members from the log.
     pub(super) fn read_members(&mut self) {
         self.members = self.log.base_members().clone();
         self.members_index = self.log.base();
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn take_chunk(
+    pub(super) fn handle_chunk(
         &mut self,
         from: ReplicaId,
         meta: &SnapshotMeta,
@@ -90,17 +90,17 @@
         sent: Moment,
     ) {
         let term = self.hard.term;
-        if self.installing || total > SNAPSHOT_MAX as u64 {
+        if self.installing || total > SNAPSHOT_MAX_BYTES as u64 {
             return;
         }
         if meta.index <= self.commit {
-            // It has caught up by entries meanwhile.
+            // The follower has caught up through entries in the meantime.
             let ok = Message::AppendReply { term, ok: true, index: self.commit, echo: sent };
             return self.send(from, ok);
         }
         let fresh = self.incoming.as_ref().is_none_or(|incoming| incoming.meta != *meta);
         if fresh {
-            self.incoming = Some(Incoming { meta: meta.clone(), bytes: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { meta: meta.clone(), bytes: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming else { return };
         let have = incoming.bytes.len() as u64;
@@ -109,7 +109,7 @@
         }
         let have = incoming.bytes.len() as u64;
         if have >= total {
-            if let Some(Incoming { meta, bytes }) = self.incoming.take() {
+            if let Some(IncomingSnapshot { meta, bytes }) = self.incoming.take() {
                 self.installing = true;
                 self.out.install = Some((meta, bytes));
             }
@@ -118,8 +118,8 @@
         self.send(from, Message::ChunkReply { term, index: meta.index, offset: have, echo: sent });
     }
 
-    /// The snapshot of the last [`Output::install`] is durable and in place, or
-    /// `None` when it could not be read.
+    /// Reports that the snapshot of the last [`Output::install`] is durable and in place, or `None`
+    /// if it could not be read.
     pub fn installed(&mut self, meta: Option<SnapshotMeta>) {
         self.installing = false;
         let Some(meta) = meta else { return };
@@ -127,7 +127,7 @@
             return;
         }
         if self.log.term(meta.index) == Some(meta.term) {
-            // What follows the snapshot here was acknowledged and must stay.
+            // Entries after the snapshot were acknowledged here and must stay.
             self.log.compact(meta.index);
         } else {
             self.log = MemoryLog::new(meta.index, meta.term, Vec::new());
@@ -138,7 +138,7 @@
         }
         self.read_members();
         self.commit = meta.index;
-        self.handed_out = meta.index;
+        self.delivered = meta.index;
         if let Some(leader) = self.leader {
             let term = self.hard.term;
             let done =
--- a/crates/coordination/src/raft/leader.rs
+++ b/crates/coordination/src/raft/leader.rs
@@ -1,12 +1,13 @@
-//! Leading: proposals, changes of members, and what followers have.
+//! Leader: proposals, membership changes and replication to followers.
 
 use super::*;
 
 impl Raft {
-    /// Proposes commands; returns the index of the first.
+    /// Proposes commands; returns the index of the first one.
     ///
     /// # Errors
-    /// [`NotProposed::NotLeader`].
+    /// [`NotProposed::NotLeader`] if this replica does not lead, or not yet with an entry committed
+    /// in its term.
     pub fn propose(&mut self, now: Moment, commands: Vec<Arc<[u8]>>) -> Result<u64, NotProposed> {
         if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
@@ -17,7 +18,7 @@
         Ok(first)
     }
 
-    /// Proposes the next members, which may differ by one voter at most.
+    /// Proposes the next members; the voters may differ by at most one.
     ///
     /// # Errors
     /// [`NotProposed::Busy`] while an earlier change is not committed.
@@ -25,21 +26,21 @@
         if !self.has_committed_in_term() {
             return Err(NotProposed::NotLeader);
         }
-        // Two changes at once could give two disjoint quorums.
-        if self.members_index > self.commit || !one_step(&self.members, &members) {
+        // Two concurrent changes could produce two disjoint quorums.
+        if self.members_index > self.commit || !is_single_change(&self.members, &members) {
             return Err(NotProposed::Busy);
         }
         self.append(vec![Payload::Members(members)]);
-        self.meet_members(now);
+        self.sync_progress(now);
         self.send_all(now, false);
-        self.advance();
+        self.advance_commit();
         Ok(())
     }
 
-    /// Asks the voter that is furthest to take over, before a planned stop: the
-    /// others need not wait until they miss this leader. False when none can.
-    /// From then on it grants nothing until it is elected again: the election it
-    /// asked for, which may come late, does not wait for leases.
+    /// Asks an up-to-date voter to take over before a planned stop, so that the others need not
+    /// wait for an election timeout. Returns false if no voter is ready. From then on this leader
+    /// grants no leases until it is elected again: the election that it requested may come late and
+    /// does not wait for leases.
     pub fn transfer_leadership(&mut self) -> bool {
         if !self.has_committed_in_term() {
             return false;
@@ -51,17 +52,17 @@
         let best = self.progress.iter().filter(ready).max_by_key(|(_, p)| p.last_heard);
         let Some((to, _)) = best else { return false };
         let to = *to;
-        self.handing_over = true;
+        self.transferring_leadership = true;
         self.send_now(to, Message::TakeOver { term: self.hard.term });
         true
     }
 
     /// Whether a learner has all but the newest entries.
     pub fn is_caught_up(&self, id: ReplicaId) -> bool {
-        self.progress.get(&id).is_some_and(|p| p.matched + CAUGHT_UP >= self.log.last())
+        self.progress.get(&id).is_some_and(|p| p.matched + CAUGHT_UP_ENTRIES >= self.log.last())
     }
 
-    /// When a member was last heard by this leader.
+    /// When this leader last heard from a member.
     pub fn last_heard(&self, id: ReplicaId) -> Option<Moment> {
         self.progress.get(&id).map(|progress| progress.last_heard)
     }
@@ -83,7 +84,7 @@
         self.out.persist.push(LogWrite { seq: self.seq, hard: self.hard, first, entries });
     }
 
-    /// The disk has confirmed all writes up to `seq`.
+    /// Records that the disk has confirmed all writes up to `seq`.
     pub fn persisted(&mut self, seq: u64, now: Moment) {
         self.written = self.written.max(seq);
         while let Some((at, last)) = self.writing.front().copied() {
@@ -94,19 +95,19 @@
             self.stable = self.stable.max(last).min(self.log.last());
         }
         match self.role {
-            Role::Candidate if self.written == self.seq => self.vote_came(now, self.id),
-            Role::Leader => self.advance(),
+            Role::Candidate if self.written == self.seq => self.record_vote(now, self.id),
+            Role::Leader => self.advance_commit(),
             _ => {}
         }
     }
 
     pub(super) fn send(&mut self, to: ReplicaId, message: Message) {
         let envelope = Envelope { from: self.id, to, message };
-        // Whatever this replica tells rests on what it has decided to write.
+        // Every message of this replica may depend on the newest write that it has queued.
         self.out.messages.push((self.seq, envelope));
     }
 
-    /// Messages that promise nothing of this replica's own disk.
+    /// Sends a message that does not depend on this replica's own disk.
     pub(super) fn send_now(&mut self, to: ReplicaId, message: Message) {
         let envelope = Envelope { from: self.id, to, message };
         self.out.messages.push((0, envelope));
@@ -122,24 +123,24 @@
     pub(super) fn send_to(&mut self, now: Moment, to: ReplicaId, heartbeat: bool) {
         let Some(progress) = self.progress.get_mut(&to) else { return };
         match &mut progress.sending {
-            Sending::Snapshot { asked: false, .. } => {
+            Sending::Snapshot { requested: false, .. } => {
                 self.out.need_snapshot.push(to);
-                if let Sending::Snapshot { asked, .. } = &mut progress.sending {
-                    *asked = true;
+                if let Sending::Snapshot { requested, .. } = &mut progress.sending {
+                    *requested = true;
                 }
-                self.beat(now, to);
+                self.send_empty_append(now, to);
             }
             Sending::Snapshot { .. } => {
                 if heartbeat {
-                    self.beat(now, to);
+                    self.send_empty_append(now, to);
                 }
             }
             Sending::Entries => self.send_entries(now, to, heartbeat),
         }
     }
 
-    /// Keeps a follower from electing another while it takes in a snapshot.
-    pub(super) fn beat(&mut self, now: Moment, to: ReplicaId) {
+    /// Sends an empty append, so that a follower that is receiving a snapshot starts no election.
+    pub(super) fn send_empty_append(&mut self, now: Moment, to: ReplicaId) {
         let base = self.log.base();
         let message = Message::Append {
             term: self.hard.term,
@@ -158,9 +159,9 @@
             let Some(progress) = self.progress.get_mut(&to) else { return };
             let prev = progress.next - 1;
             let Some(prev_term) = self.log.term(prev) else {
-                progress.sending = Sending::Snapshot { asked: true, bytes: None };
+                progress.sending = Sending::Snapshot { requested: true, bytes: None };
                 self.out.need_snapshot.push(to);
-                return self.beat(now, to);
+                return self.send_empty_append(now, to);
             };
             let full = progress.in_flight >= progress.window();
             let more = progress.next <= self.log.last() && !full;
@@ -185,7 +186,7 @@
         }
     }
 
-    pub(super) fn append_answered(
+    pub(super) fn handle_append_reply(
         &mut self,
         now: Moment,
         from: ReplicaId,
@@ -195,28 +196,28 @@
     ) {
         let last = self.log.last();
         let Some(progress) = self.progress.get_mut(&from) else { return };
-        progress.hear(now, echo);
+        progress.record_response(now, echo);
         if ok {
             let index = index.min(last);
-            progress.reached(index);
+            progress.record_match(index);
             if let Sending::Snapshot { bytes, .. } = &progress.sending {
                 let offered = bytes.as_ref().map(|(meta, _)| meta.index);
                 if index >= self.log.base() {
                     progress.sending = Sending::Entries;
                     progress.next = index + 1;
                 } else if offered.is_some_and(|offered| index >= offered) {
-                    // The entries after it were forgotten while it was on its way.
-                    progress.sending = Sending::Snapshot { asked: false, bytes: None };
+                    // The entries after the snapshot were compacted while it was sent.
+                    progress.sending = Sending::Snapshot { requested: false, bytes: None };
                 }
             }
-            self.advance();
+            self.advance_commit();
         } else {
-            progress.refused(index);
+            progress.record_mismatch(index);
         }
         self.send_to(now, from, false);
     }
 
-    pub(super) fn advance(&mut self) {
+    pub(super) fn advance_commit(&mut self) {
         let reached = |voter: &Member| match voter.id == self.id {
             true => self.stable,
             false => self.progress.get(&voter.id).map_or(0, |p| p.matched),
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -1,45 +1,46 @@
-//! A budget for repeated work: retries and hedges may add only a set share to
-//! the load, so that a fault never multiplies it.
+//! Retry budget: retries may add only a fixed share of the successes and a small saved number to
+//! the load, so a fault never multiplies it.
 
-/// Extra tries allowed per hundred successes.
-pub const PERCENT: u32 = 10;
-/// Most extra tries that can be saved up.
-pub const SAVED_MAX: u32 = 20;
+/// Retries earned per hundred successes.
+pub const RETRY_PERCENT: u32 = 10;
+/// Maximum number of retries that can be saved up.
+pub const SAVED_RETRIES_MAX: u32 = 20;
 
-const PER_TRY: u32 = 100;
+/// Credit that one retry costs; a success earns `RETRY_PERCENT`.
+const CREDIT_PER_RETRY: u32 = 100;
 
-/// The budget of one service at one entry.
+/// The retry budget of one service at one entry. It starts full.
 ///
 /// ```
 /// use yuccalink_coordination::retry::Budget;
 /// let mut budget = Budget::default();
-/// let free = (0..1000).filter(|_| budget.spend()).count();
-/// assert_eq!(free, 20);
+/// let saved = (0..1000).filter(|_| budget.spend()).count();
+/// assert_eq!(saved, 20);
 /// for _ in 0..10 { budget.earn(); }
 /// assert!(budget.spend());
 /// assert!(!budget.spend());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Budget {
-    saved: u32,
+    credit: u32,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { saved: SAVED_MAX * PER_TRY }
+        Self { credit: SAVED_RETRIES_MAX * CREDIT_PER_RETRY }
     }
 }
 
 impl Budget {
-    /// Notes a success, which pays for a share of an extra try.
+    /// Records a success, which earns a fraction of a retry.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + PERCENT).min(SAVED_MAX * PER_TRY);
+        self.credit = (self.credit + RETRY_PERCENT).min(SAVED_RETRIES_MAX * CREDIT_PER_RETRY);
     }
 
-    /// Takes one extra try out, or says that there is none.
+    /// Spends one retry; returns false if the budget has none.
     pub fn spend(&mut self) -> bool {
-        let Some(left) = self.saved.checked_sub(PER_TRY) else { return false };
-        self.saved = left;
+        let Some(left) = self.credit.checked_sub(CREDIT_PER_RETRY) else { return false };
+        self.credit = left;
         true
     }
 }
--- a/crates/coordination/src/router.rs
+++ b/crates/coordination/src/router.rs
@@ -1,9 +1,9 @@
-//! Routing at one entry VM: which of the runners that this entry owns gets a
-//! request, who waits, and who is refused at once.
+//! Request routing at one entry VM: decides which of this entry's runners gets a request, which
+//! requests wait, and which are refused at once.
 //!
-//! A runner is owned by one entry at a time, so counting here is enough to
-//! keep it within its slots. Waiting is late-bound: a request waits for the
-//! service, not for a runner, and the worthiest waiting one gets the next slot.
+//! Each runner is owned by one entry at a time, so local counters are enough to keep it within
+//! its slots. Binding is late: a request waits for the service and not for a runner, and the
+//! waiting request with the highest worth gets the next free slot.
 
 use crate::moment::Moment;
 use crate::retry::Budget;
@@ -14,22 +14,22 @@
 use yuccalink_state::id::Name;
 use yuccalink_state::target::RunnerSpec;
 
-/// Failures in a row after which a runner is ejected for a while.
+/// Consecutive failures after which a runner is ejected for some time.
 pub const EJECT_AFTER: u32 = 5;
-/// First ejection time; it doubles with each further one.
+/// Duration of the first ejection; it doubles with each further ejection.
 pub const EJECT_FIRST: Duration = Duration::from_secs(1);
-/// Longest ejection time.
-pub const EJECT_LONGEST: Duration = Duration::from_secs(30);
-/// At most one in this many of a service's runners is ejected at once, but always
-/// one where there are several, so that bad luck or a fault of the service itself
-/// cannot eject them all.
-pub const EJECT_SHARE: usize = 3;
-/// Waiting requests allowed per slot of the service.
+/// Longest ejection.
+pub const EJECT_MAX: Duration = Duration::from_secs(30);
+/// At most one in this many of a service's runners is ejected at once, but always one if there
+/// are several. Random failures or a fault of the service itself therefore cannot eject them
+/// all.
+pub const EJECT_ONE_IN: usize = 3;
+/// Maximum number of waiting requests per slot of the service.
 pub const QUEUE_PER_SLOT: usize = 4;
-/// Service time assumed before any was seen.
-const FIRST_GUESS: Duration = Duration::from_millis(10);
-/// Weight of the newest service time, as one in this many.
-const SMOOTHING: u32 = 8;
+/// Service time assumed before the first measurement.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(10);
+/// The newest service time has a weight of one in this many.
+const SERVICE_TIME_SMOOTHING: u32 = 8;
 
 new_key_type! {
     /// Key of a runner at this entry.
@@ -38,33 +38,33 @@
     struct PoolKey;
 }
 
-/// A request that asks for a runner.
+/// A request that needs a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest<'a> {
-    /// The service asked.
+    /// The requested service.
     pub service: &'a Name,
     /// When its caller stops waiting.
     pub deadline: Moment,
-    /// What a correct answer is worth.
+    /// The worth of a correct answer.
     pub worth: u32,
-    /// A runner that this request already failed on.
+    /// A runner on which this request already failed.
     pub avoid: Option<RunnerKey>,
 }
 
-/// A slot of a runner, held until [`Router::release`].
+/// A slot of a runner, in use until [`Router::release`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The runner.
     pub runner: RunnerKey,
-    /// When it was given.
+    /// When the slot was granted.
     pub at: Moment,
 }
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Why a request is refused without having run.
+/// Why a request was refused without being executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Refusal {
     /// no runner of this service is known here
@@ -77,30 +77,30 @@
     TooLate,
 }
 
-/// What becomes of a request that arrives.
+/// Decision about an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent now.
+    /// The request may be sent now.
     Granted(Grant),
-    /// It waits under this ticket until [`Router::release`] or
-    /// [`Router::abandon`] names it.
+    /// The request waits under this ticket until [`Router::release`] or another call returns the
+    /// ticket with a slot, or [`Router::abandon`] removes it.
     Wait(Ticket),
-    /// It is refused; try again after the given time.
+    /// The request is refused; the caller may try again after the given time.
     Refuse(Refusal, Duration),
 }
 
 /// How a granted request ended at its runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunnerOutcome {
-    /// The whole answer came.
+    /// The complete response arrived.
     Answered,
-    /// The runner could not be reached, cut the answer or failed.
+    /// The runner could not be reached, cut off the response or failed.
     Failed,
-    /// The caller went away; nothing is learnt of the runner.
+    /// The caller disconnected, which says nothing about the runner.
     Abandoned,
 }
 
-/// A waiting request's turn has come.
+/// A waiting request that now has a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DequeuedRequest {
     /// The request.
@@ -109,29 +109,29 @@
     pub grant: Grant,
 }
 
-/// Whether a runner may be given requests.
+/// Whether a runner may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It may.
+pub enum RunnerStatus {
+    /// The runner may get requests.
     Open,
-    /// Nothing new until the moment named.
+    /// The runner gets no requests until this moment.
     Ejected(Moment),
-    /// It said that it leaves, or it is silent.
+    /// The runner announced that it leaves, or it is silent.
     Closed,
 }
 
-/// A runner as this entry sees it.
+/// A runner as this entry knows it.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// What it announced.
+    /// The specification that it announced.
     pub spec: RunnerSpec,
-    /// Whether it may be given requests.
-    pub standing: Standing,
-    /// Requests of this entry that it holds.
+    /// Whether it may get requests.
+    pub status: RunnerStatus,
+    /// Requests of this entry in flight at the runner.
     pub busy: u32,
-    /// Requests of an earlier owner that it still holds.
+    /// Requests of a previous owner that may still be in flight at the runner.
     pub reserved: u32,
-    /// Most that `busy` was since the last heartbeat.
+    /// Highest value of `busy` since the last heartbeat.
     pub peak: u32,
     failures: u32,
     ejections: u32,
@@ -139,11 +139,11 @@
 }
 
 impl Runner {
-    fn open_at(&self, now: Moment) -> bool {
-        match self.standing {
-            Standing::Open => true,
-            Standing::Ejected(until) => now >= until && self.busy == 0,
-            Standing::Closed => false,
+    fn is_available(&self, now: Moment) -> bool {
+        match self.status {
+            RunnerStatus::Open => true,
+            RunnerStatus::Ejected(until) => now >= until && self.busy == 0,
+            RunnerStatus::Closed => false,
         }
     }
 
@@ -153,7 +153,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct WaitingRequest {
     ticket: Ticket,
     deadline: Moment,
     avoid: Option<RunnerKey>,
@@ -162,22 +162,22 @@
 #[derive(Debug)]
 struct Pool {
     runners: Vec<RunnerKey>,
-    queue: BTreeMap<(Reverse<u32>, Ticket), Waiting>,
+    queue: BTreeMap<(Reverse<u32>, Ticket), WaitingRequest>,
     service_time: Duration,
     budget: Budget,
-    next: usize,
+    rotation: usize,
 }
 
-/// Counts since the start, for metrics and for tests.
+/// Counters since the start, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests given a slot.
+    /// Requests that got a slot.
     pub granted: u64,
     /// Requests that had to wait.
     pub waited: u64,
-    /// Requests refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Runners ejected.
+    /// Ejections of runners.
     pub ejected: u64,
 }
 
@@ -188,22 +188,22 @@
 /// use yuccalink_state::{id::{Incarnation, Name}, target::RunnerSpec};
 /// let (quotes, now) = (Name::new("quotes")?, Moment::from_millis(1));
 /// let mut router = Router::new(Name::new("brno")?);
-/// let mut turns = Vec::new();
+/// let mut dequeued = Vec::new();
 /// let spec = RunnerSpec {
 ///     name: Name::new("r1")?, incarnation: Incarnation(1), service: quotes.clone(),
 ///     address: "127.0.0.1:9".into(), slots: 1, connections: 8, zone: Name::new("brno")?,
 /// };
-/// router.add_runner(now, spec, 0, &mut turns);
+/// router.add_runner(now, spec, 0, &mut dequeued);
 /// let deadline = Moment::from_millis(9_000);
-/// let arrival = RoutingRequest { service: &quotes, deadline, worth: 1, avoid: None };
-/// let Admission::Granted(grant) = router.admit(now, arrival) else { panic!("a free slot") };
-/// let Admission::Wait(ticket) = router.admit(now, arrival) else { panic!("a queue") };
+/// let request = RoutingRequest { service: &quotes, deadline, worth: 1, avoid: None };
+/// let Admission::Granted(grant) = router.admit(now, request) else { panic!("a free slot") };
+/// let Admission::Wait(ticket) = router.admit(now, request) else { panic!("a queue") };
 /// assert_eq!(router.queued(&quotes), 1);
-/// router.release(now, grant, RunnerOutcome::Answered, &mut turns);
-/// assert_eq!(turns[0].ticket, ticket, "the waiting one is next");
+/// router.release(now, grant, RunnerOutcome::Answered, &mut dequeued);
+/// assert_eq!(dequeued[0].ticket, ticket, "the waiting one is next");
 /// router.stop_routing_to(&Name::new("r1")?);
 /// assert!(!router.abandon(ticket), "its turn has come already");
-/// assert!(matches!(router.admit(now, arrival), Admission::Refuse(Refusal::NoneHealthy, _)));
+/// assert!(matches!(router.admit(now, request), Admission::Refuse(Refusal::NoneHealthy, _)));
 /// # Ok::<(), yuccalink_state::id::BadName>(())
 /// ```
 #[derive(Debug)]
@@ -219,15 +219,15 @@
 }
 
 impl Router {
-    /// A router without runners for an entry VM in `zone`.
+    /// Creates a router without runners for an entry VM in `zone`.
     ///
     /// ```
     /// use yuccalink_coordination::{Moment, router::*};
     /// use yuccalink_state::id::Name;
     /// let mut router = Router::new(Name::new("brno")?);
     /// let quotes = Name::new("quotes")?;
-    /// let arrival = RoutingRequest { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
-    /// assert!(matches!(router.admit(Moment::ZERO, arrival), Admission::Refuse(Refusal::NoRunner, _)));
+    /// let request = RoutingRequest { service: &quotes, deadline: Moment::from_millis(9), worth: 1, avoid: None };
+    /// assert!(matches!(router.admit(Moment::ZERO, request), Admission::Refuse(Refusal::NoRunner, _)));
     /// # Ok::<(), yuccalink_state::id::BadName>(())
     /// ```
     pub fn new(zone: Name) -> Self {
@@ -243,26 +243,26 @@
         }
     }
 
-    /// Adds a runner that this entry now owns, or renews what is known of it.
-    /// `reserved` is how many requests it still holds for an earlier owner.
-    /// Requests whose turn has come are pushed to `turns`.
+    /// Adds a runner that this entry now owns, or updates its specification. `reserved` is the
+    /// number of requests that may still be in flight there for a previous owner. Waiting requests
+    /// that get a slot are pushed to `dequeued`.
     pub fn add_runner(
         &mut self,
         now: Moment,
         spec: RunnerSpec,
         reserved: u32,
-        turns: &mut Vec<DequeuedRequest>,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         if let Some(key) = self.by_name.get(&spec.name).copied()
             && let Some(runner) = self.runners.get_mut(key)
         {
             let same_pool = runner.spec.service == spec.service;
             if same_pool && runner.spec.incarnation == spec.incarnation {
-                if runner.standing == Standing::Closed {
-                    runner.standing = Standing::Open;
+                if runner.status == RunnerStatus::Closed {
+                    runner.status = RunnerStatus::Open;
                 }
                 runner.spec = spec;
-                self.serve_queue_of(now, key, turns);
+                self.serve_queue_of(now, key, dequeued);
                 return;
             }
             self.remove_runner(&spec.name);
@@ -271,7 +271,7 @@
         let name = spec.name.clone();
         let key = self.runners.insert(Runner {
             spec,
-            standing: Standing::Open,
+            status: RunnerStatus::Open,
             busy: 0,
             reserved,
             peak: 0,
@@ -281,11 +281,10 @@
         });
         self.by_name.insert(name, key);
         self.pools[pool].runners.push(key);
-        self.serve_queue_of(now, key, turns);
+        self.serve_queue_of(now, key, dequeued);
     }
 
-    /// Forgets a runner. Requests that it holds still end by
-    /// [`Router::release`], which then does nothing.
+    /// Removes a runner. [`Router::release`] has no effect for its requests that end later.
     pub fn remove_runner(&mut self, name: &Name) {
         let Some(key) = self.by_name.remove(name) else { return };
         if let Some(runner) = self.runners.remove(key) {
@@ -293,61 +292,61 @@
         }
     }
 
-    /// Gives a runner nothing new; what it holds goes on.
+    /// Sends no new requests to a runner; requests in flight continue.
     pub fn stop_routing_to(&mut self, name: &Name) {
         if let Some(runner) = self.by_name.get(name).and_then(|key| self.runners.get_mut(*key)) {
-            runner.standing = Standing::Closed;
+            runner.status = RunnerStatus::Closed;
         }
     }
 
-    /// Takes in a runner's own count of requests, which may be late: only what
-    /// exceeds the most that this entry had there is somebody else's.
+    /// Applies a runner's own count of its requests, which may be outdated: only the excess over
+    /// the highest count of this entry belongs to a previous owner.
     pub fn update_busy_count(
         &mut self,
         now: Moment,
         name: &Name,
         busy: u32,
-        turns: &mut Vec<DequeuedRequest>,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         let Some(key) = self.by_name.get(name).copied() else { return };
         let Some(runner) = self.runners.get_mut(key) else { return };
         runner.reserved = busy.saturating_sub(runner.peak).min(runner.reserved);
         runner.peak = runner.busy;
-        self.serve_queue_of(now, key, turns);
+        self.serve_queue_of(now, key, dequeued);
     }
 
-    /// Decides on a request.
-    pub fn admit(&mut self, now: Moment, arrival: RoutingRequest<'_>) -> Admission {
-        let Some(pool_key) = self.pool_by_name.get(arrival.service).copied() else {
+    /// Decides whether a request gets a slot, waits or is refused.
+    pub fn admit(&mut self, now: Moment, request: RoutingRequest<'_>) -> Admission {
+        let Some(pool_key) = self.pool_by_name.get(request.service).copied() else {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
         };
         if self.pools[pool_key].runners.is_empty() {
             return self.refuse(Refusal::NoRunner, Duration::from_secs(1));
         }
-        // Those that wait go first: a newcomer takes a free slot only if nobody waits.
+        // Waiting requests go first: a new request takes a free slot only if none waits.
         if self.pools[pool_key].queue.is_empty()
-            && let Some(key) = self.choose(now, pool_key, arrival.avoid)
+            && let Some(key) = self.choose(now, pool_key, request.avoid)
         {
             return Admission::Granted(self.grant(now, key));
         }
-        self.enqueue(now, pool_key, arrival)
+        self.enqueue(now, pool_key, request)
     }
 
     fn enqueue(
         &mut self,
         now: Moment,
         pool_key: PoolKey,
-        arrival: RoutingRequest<'_>,
+        request: RoutingRequest<'_>,
     ) -> Admission {
         let pool = &self.pools[pool_key];
-        let slots = self.open_slots(now, pool);
+        let slots = self.available_slots(now, pool);
         if slots == 0 {
             return self.refuse(Refusal::NoneHealthy, EJECT_FIRST);
         }
-        let ahead = pool.queue.range(..(Reverse(arrival.worth), Ticket(u64::MAX))).count();
+        let ahead = pool.queue.range(..(Reverse(request.worth), Ticket(u64::MAX))).count();
         let rounds = u32::try_from(ahead / slots + 1).unwrap_or(u32::MAX);
         let wait = pool.service_time.saturating_mul(rounds);
-        if now + wait > arrival.deadline {
+        if now + wait > request.deadline {
             return self.refuse(Refusal::TooLate, wait);
         }
         if pool.queue.len() >= slots * QUEUE_PER_SLOT {
@@ -356,8 +355,8 @@
         self.last_ticket += 1;
         self.counts.waited += 1;
         let ticket = Ticket(self.last_ticket);
-        let rank = Reverse(arrival.worth);
-        let waiting = Waiting { ticket, deadline: arrival.deadline, avoid: arrival.avoid };
+        let rank = Reverse(request.worth);
+        let waiting = WaitingRequest { ticket, deadline: request.deadline, avoid: request.avoid };
         self.pools[pool_key].queue.insert((rank, ticket), waiting);
         self.tickets.insert(ticket, (pool_key, rank));
         Admission::Wait(ticket)
@@ -368,50 +367,50 @@
         Admission::Refuse(why, retry)
     }
 
-    /// Takes a request that no longer waits out of the queue; false when its
-    /// turn had already come.
+    /// Removes a request from the queue; returns false if it already has a slot or is not queued.
     pub fn abandon(&mut self, ticket: Ticket) -> bool {
         let Some((pool, rank)) = self.tickets.remove(&ticket) else { return false };
         self.pools[pool].queue.remove(&(rank, ticket));
         true
     }
 
-    /// Gives a slot back and hands it to whoever is next.
+    /// Returns a slot and gives it to the next waiting request.
     pub fn release(
         &mut self,
         now: Moment,
         grant: Grant,
-        ended: RunnerOutcome,
-        turns: &mut Vec<DequeuedRequest>,
+        outcome: RunnerOutcome,
+        dequeued: &mut Vec<DequeuedRequest>,
     ) {
         let Some(runner) = self.runners.get_mut(grant.runner) else { return };
         runner.busy = runner.busy.saturating_sub(1);
         let pool = runner.pool;
-        match ended {
+        match outcome {
             RunnerOutcome::Answered => {
                 runner.failures = 0;
                 runner.ejections = 0;
-                if matches!(runner.standing, Standing::Ejected(_)) {
-                    runner.standing = Standing::Open;
+                if matches!(runner.status, RunnerStatus::Ejected(_)) {
+                    runner.status = RunnerStatus::Open;
                 }
                 let pool = &mut self.pools[pool];
                 let took = now.since(grant.at);
-                pool.service_time = (pool.service_time * (SMOOTHING - 1) + took) / SMOOTHING;
+                pool.service_time = (pool.service_time * (SERVICE_TIME_SMOOTHING - 1) + took)
+                    / SERVICE_TIME_SMOOTHING;
                 pool.budget.earn();
             }
-            RunnerOutcome::Failed => self.failed(now, grant.runner),
+            RunnerOutcome::Failed => self.record_failure(now, grant.runner),
             RunnerOutcome::Abandoned => {}
         }
-        self.serve_queue(now, pool, turns);
+        self.serve_queue(now, pool, dequeued);
     }
 
-    /// Whether a failed request of `service` may be tried once more.
+    /// Whether a failed request of `service` may be retried; spends one retry of the budget.
     pub fn may_retry(&mut self, service: &Name) -> bool {
         let key = self.pool(service);
         self.pools[key].budget.spend()
     }
 
-    /// Notes a success at another entry, which pays for a share of a retry.
+    /// Records a success at another entry, which earns a fraction of a retry.
     pub fn earn_retry(&mut self, service: &Name) {
         let key = self.pool(service);
         self.pools[key].budget.earn();
@@ -427,12 +426,12 @@
         self.runners.values()
     }
 
-    /// Requests waiting for `service`.
+    /// Number of requests waiting for `service`.
     pub fn queued(&self, service: &Name) -> usize {
         self.pool_by_name.get(service).map_or(0, |key| self.pools[*key].queue.len())
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -444,21 +443,23 @@
         let key = self.pools.insert(Pool {
             runners: Vec::new(),
             queue: BTreeMap::new(),
-            service_time: FIRST_GUESS,
+            service_time: INITIAL_SERVICE_TIME,
             budget: Budget::default(),
-            next: 0,
+            rotation: 0,
         });
         self.pool_by_name.insert(service.clone(), key);
         key
     }
 
-    fn open_slots(&self, now: Moment, pool: &Pool) -> usize {
+    fn available_slots(&self, now: Moment, pool: &Pool) -> usize {
         let open = pool.runners.iter().filter_map(|key| self.runners.get(*key));
-        open.filter(|runner| runner.open_at(now)).map(|runner| runner.spec.slots as usize).sum()
+        open.filter(|runner| runner.is_available(now))
+            .map(|runner| runner.spec.slots as usize)
+            .sum()
     }
 
-    /// The open runner with the smallest share of its slots in use; its own
-    /// zone first, then in turn.
+    /// The available runner with the smallest share of its slots in use; on a tie, one in the
+    /// entry's own zone, then by rotation.
     fn choose(
         &mut self,
         now: Moment,
@@ -467,12 +468,12 @@
     ) -> Option<RunnerKey> {
         let pool = &mut self.pools[pool];
         let count = pool.runners.len();
-        pool.next = (pool.next + 1) % count.max(1);
+        pool.rotation = (pool.rotation + 1) % count.max(1);
         let mut best = None;
         for step in 0..count {
-            let key = pool.runners[(pool.next + step) % count];
+            let key = pool.runners[(pool.rotation + step) % count];
             let Some(runner) = self.runners.get(key) else { continue };
-            if runner.free() == 0 || !runner.open_at(now) || avoid == Some(key) && count > 1 {
+            if runner.free() == 0 || !runner.is_available(now) || avoid == Some(key) && count > 1 {
                 continue;
             }
             let share = (runner.busy + runner.reserved) * 1024 / runner.spec.slots.max(1);
@@ -492,17 +493,17 @@
         Grant { runner: key, at: now }
     }
 
-    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, turns: &mut Vec<DequeuedRequest>) {
+    fn serve_queue_of(&mut self, now: Moment, key: RunnerKey, dequeued: &mut Vec<DequeuedRequest>) {
         if let Some(runner) = self.runners.get(key) {
-            self.serve_queue(now, runner.pool, turns);
+            self.serve_queue(now, runner.pool, dequeued);
         }
     }
 
-    fn serve_queue(&mut self, now: Moment, pool: PoolKey, turns: &mut Vec<DequeuedRequest>) {
+    fn serve_queue(&mut self, now: Moment, pool: PoolKey, dequeued: &mut Vec<DequeuedRequest>) {
         while let Some((rank, waiting)) = self.pools[pool].queue.first_key_value() {
             let (rank, waiting) = (*rank, waiting.clone());
             if waiting.deadline <= now {
-                // Its own timer answers it; a slot spent on it would be wasted.
+                // The request's own timer responds to its caller; a slot for it would be wasted.
                 self.pools[pool].queue.remove(&rank);
                 self.tickets.remove(&waiting.ticket);
                 continue;
@@ -510,15 +511,16 @@
             let Some(key) = self.choose(now, pool, waiting.avoid) else { return };
             self.pools[pool].queue.remove(&rank);
             self.tickets.remove(&waiting.ticket);
-            turns.push(DequeuedRequest { ticket: waiting.ticket, grant: self.grant(now, key) });
+            dequeued.push(DequeuedRequest { ticket: waiting.ticket, grant: self.grant(now, key) });
         }
     }
 
-    fn failed(&mut self, now: Moment, key: RunnerKey) {
+    fn record_failure(&mut self, now: Moment, key: RunnerKey) {
         let runner = &mut self.runners[key];
         runner.failures += 1;
-        let probe_failed = matches!(runner.standing, Standing::Ejected(_));
-        if runner.standing == Standing::Closed || (runner.failures < EJECT_AFTER && !probe_failed) {
+        let probe_failed = matches!(runner.status, RunnerStatus::Ejected(_));
+        if runner.status == RunnerStatus::Closed || (runner.failures < EJECT_AFTER && !probe_failed)
+        {
             return;
         }
         let pool = &self.pools[runner.pool];
@@ -526,20 +528,20 @@
         let ejected = pool
             .runners
             .iter()
-            .filter(|key| matches!(self.runners[**key].standing, Standing::Ejected(_)))
+            .filter(|key| matches!(self.runners[**key].status, RunnerStatus::Ejected(_)))
             .count();
-        let most = (all / EJECT_SHARE).max(1).min(all.saturating_sub(1));
+        let most = (all / EJECT_ONE_IN).max(1).min(all.saturating_sub(1));
         if !probe_failed && ejected >= most {
             return;
         }
         let runner = &mut self.runners[key];
-        let span = EJECT_FIRST.saturating_mul(1 << runner.ejections.min(5)).min(EJECT_LONGEST);
+        let span = EJECT_FIRST.saturating_mul(1 << runner.ejections.min(5)).min(EJECT_MAX);
         runner.ejections += 1;
-        runner.standing = Standing::Ejected(now + span);
+        runner.status = RunnerStatus::Ejected(now + span);
         self.counts.ejected += 1;
     }
 
-    /// Requests of this entry that a runner holds, if it is owned here.
+    /// Requests of this entry in flight at a runner, if this entry owns the runner.
     pub fn in_flight(&self, name: &Name) -> Option<u32> {
         self.by_name.get(name).and_then(|key| self.runners.get(*key)).map(|runner| runner.busy)
     }
--- a/crates/daemon/benches/memory.rs
+++ b/crates/daemon/benches/memory.rs
@@ -1,5 +1,5 @@
-//! What one more connection and one more target cost a daemon in memory, and what
-//! the log takes to append and to recover.
+//! Measures the daemon's memory per connection and per target, and the time for appending
+//! to the log and recovering it.
 //!
 //! `cargo bench -p yuccalink-daemon --bench memory`
 
@@ -15,7 +15,8 @@
 const TARGETS: usize = 2000;
 const RECORDS: u64 = 20_000;
 
-fn memory() -> u64 {
+/// Resident memory of this process, in bytes.
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS"));
     line.and_then(|l| l.split_whitespace().nth(1)?.parse::<u64>().ok()).unwrap_or(0) * 1024
@@ -23,15 +24,16 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let folder = tempfile::tempdir()?;
-    let any: SocketAddr = "127.0.0.1:0".parse()?;
-    let config = Config::builder().data(folder.path()).callers(any).control(any).peer(any);
+    let loopback: SocketAddr = "127.0.0.1:0".parse()?;
+    let config =
+        Config::builder().data(folder.path()).callers(loopback).control(loopback).peer(loopback);
     let daemon = Daemon::start(config.build()?)?;
     let caller = Caller::new(daemon.control());
     while caller.get("/readyz")?.status != 200 {
         std::thread::yield_now();
     }
 
-    let before = memory();
+    let before = resident_bytes();
     let mut open = Vec::new();
     for _ in 0..CONNECTIONS {
         let mut stream = TcpStream::connect(daemon.callers())?;
@@ -40,10 +42,10 @@
         std::io::Read::read_exact(&mut stream, &mut head)?;
         open.push(stream);
     }
-    println!("per caller's connection: {} bytes", (memory() - before) / CONNECTIONS as u64);
+    println!("per caller's connection: {} bytes", (resident_bytes() - before) / CONNECTIONS as u64);
     drop(open);
 
-    let before = memory();
+    let before = resident_bytes();
     for at in 0..TARGETS {
         let body = format!(
             r#"{{"kind":"runner","name":"r{at}","incarnation":1,"service":"q",
@@ -51,28 +53,28 @@
         );
         assert_eq!(caller.post("/v1/targets", body.as_bytes())?.status, 200);
     }
-    println!("per target: {} bytes", memory().saturating_sub(before) / TARGETS as u64);
+    println!("per target: {} bytes", resident_bytes().saturating_sub(before) / TARGETS as u64);
     daemon.kill();
-    log()
+    measure_log()
 }
 
-fn log() -> Result<(), Box<dyn std::error::Error>> {
+fn measure_log() -> Result<(), Box<dyn std::error::Error>> {
     println!("\n| records a sync | appends/s | bytes a record |");
     println!("|---|---|---|");
     let record: Box<[u8]> = store::encode(&Command::Cancel([].into()))?.into();
-    for group in [1u64, 16, 256] {
+    for group_size in [1u64, 16, 256] {
         let folder = tempfile::tempdir()?;
         let (mut store, _) = Store::open(folder.path(), 1)?;
-        let count = (RECORDS / 20).max(group) * group.min(20);
+        let count = (RECORDS / 20).max(group_size) * group_size.min(20);
         let started = Instant::now();
-        for _ in 0..count / group {
-            let records = (0..group).map(|_| (1, record.clone())).collect();
+        for _ in 0..count / group_size {
+            let records = (0..group_size).map(|_| (1, record.clone())).collect();
             let hard = TermAndVote { term: 1, vote: 1 };
             store.append(&LogFrame { hard, first: store.last() + 1, records })?;
         }
         let rate = count as f64 / started.elapsed().as_secs_f64();
         let bytes = store.counts().bytes as f64 / store.counts().records as f64;
-        println!("| {group} | {rate:.0} | {bytes:.1} |");
+        println!("| {group_size} | {rate:.0} | {bytes:.1} |");
     }
     let folder = tempfile::tempdir()?;
     let (mut store, _) = Store::open(folder.path(), 1)?;
@@ -86,7 +88,7 @@
     }
     drop(store);
     let started = Instant::now();
-    let (_, found) = Store::open(folder.path(), 1)?;
-    println!("\nrecovery of {} records: {:?}", found.records.len(), started.elapsed());
+    let (_, recovered) = Store::open(folder.path(), 1)?;
+    println!("\nrecovery of {} records: {:?}", recovered.records.len(), started.elapsed());
     Ok(())
 }
--- a/crates/daemon/src/cell/native.rs
+++ b/crates/daemon/src/cell/native.rs
@@ -1,7 +1,7 @@
-//! The cell's own HTTP interface, in JSON.
+//! The cell's native HTTP interface, in JSON.
 //!
-//! Callers: `POST`, `GET` and `DELETE /v1/HOST/QUEUE-PATH/JOB`, where the host is
-//! taken from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
+//! Callers: `POST`, `GET` and `DELETE /v1/HOST/QUEUE-PATH/JOB`, where the host comes
+//! from the `Host` header. Runners: `POST /v1/runners/ID/heartbeat` and
 //! `/leave`. Operators: `PUT` and `GET /v1/change`.
 
 use crate::cell::adapter::{ApiAdapter, ApiRequest, ApiResponse, ExternalRequest};
@@ -13,17 +13,17 @@
 use yuccalink_coordination::jobs::{CellRequest, CellResponse, JobState, RunnerReport};
 use yuccalink_state::jobs::{ChangeSet, JobId, JobSpec, Wave};
 
-/// The interface that this project speaks by itself.
+/// Adapter for the native HTTP interface.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
-/// An error as callers see it.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     error: &'a str,
 }
 
-/// How far a job is.
+/// JSON view of a job's state.
 #[derive(Debug, Serialize)]
 struct StateView {
     state: JobState,
@@ -31,28 +31,28 @@
     reason: Option<Box<str>>,
 }
 
-/// How many jobs have not begun.
+/// JSON view of the number of jobs that have not started.
 #[derive(Debug, Serialize)]
 struct PendingView {
     pending: u64,
 }
 
-/// How far a wave is.
+/// JSON view of a wave's state.
 #[derive(Debug, Serialize)]
 struct WaveView {
     state: &'static str,
 }
 
 impl ApiAdapter for Native {
-    fn caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
-        parse_caller_request(req, parse::<JobSpec>)
+    fn parse_caller(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
+        parse_caller_request(req, parse_json::<JobSpec>)
     }
 
-    fn control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
+    fn parse_control(&self, req: ApiRequest<'_>) -> Result<CellRequest, ApiResponse> {
         let parts: Vec<&str> = req.path.trim_matches('/').split('/').collect();
         match (req.method, parts.as_slice()) {
             ("POST", ["v1", "runners", id, "heartbeat"]) => {
-                let mut report: RunnerReport = parse(req.body)?;
+                let mut report: RunnerReport = parse_json(req.body)?;
                 report.runner = (*id).into();
                 Ok(CellRequest::Heartbeat(Box::new(report)))
             }
@@ -60,31 +60,33 @@
                 Ok(CellRequest::Leave { runner: (*id).into(), started_ms: None })
             }
             ("PUT", ["v1", "change"]) => {
-                let mut change: ChangeSet = parse(req.body)?;
+                let mut change: ChangeSet = parse_json(req.body)?;
                 change.text = req.body.into();
                 Ok(CellRequest::Change(Arc::new(change)))
             }
             ("GET", ["v1", "change"]) => Ok(CellRequest::Document),
             ("PUT", ["v1", "waves", id]) => {
-                let mut wave: Wave = parse(req.body)?;
-                wave.id = number(id)?;
+                let mut wave: Wave = parse_json(req.body)?;
+                wave.id = parse_number(id)?;
                 Ok(CellRequest::WaveStart(wave))
             }
-            ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(number(id)?)),
-            _ => Err(problem(404, "no such path; see docs/PROTOCOLS.md for those there are")),
+            ("GET", ["v1", "waves", id]) => Ok(CellRequest::WaveState(parse_number(id)?)),
+            _ => {
+                Err(error_response(404, "no such path; see docs/PROTOCOLS.md for the valid paths"))
+            }
         }
     }
 
-    fn reply(&self, answer: CellResponse) -> ApiResponse {
-        match answer {
-            CellResponse::Orders(orders) => json(200, &*orders),
-            CellResponse::Invalid(what) => problem(400, &what),
+    fn to_response(&self, response: CellResponse) -> ApiResponse {
+        match response {
+            CellResponse::Orders(orders) => json_response(200, &*orders),
+            CellResponse::Invalid(what) => error_response(400, &what),
             other => common_response(other),
         }
     }
 
-    fn request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
-        // On its own the cell has no policy to ask and no machines to order.
+    fn external_request(&self, _: &ExternalCall) -> Option<ExternalRequest> {
+        // The native interface has no external policy to ask and no machines to order.
         None
     }
 
@@ -93,18 +95,18 @@
     }
 }
 
-/// Reads a number in a path.
+/// Parses a number in a path.
 ///
 /// # Errors
-/// The response to what is none.
-pub fn number(text: &str) -> Result<u64, ApiResponse> {
-    text.parse().map_err(|_| problem(400, &format!("{text:?} is no number; use digits")))
+/// Returns a 400 response if `text` is not a number.
+pub fn parse_number(text: &str) -> Result<u64, ApiResponse> {
+    text.parse().map_err(|_| error_response(400, &format!("{text:?} is not a number; use digits")))
 }
 
-/// Reads a caller's request: the last part of its path is the job's number.
+/// Parses a caller's request. The last segment of its path is the job ID.
 ///
 /// # Errors
-/// The response to a body that `read` refuses.
+/// Returns the response of `read` if it rejects the body.
 pub fn parse_caller_request<F>(req: ApiRequest<'_>, read: F) -> Result<CellRequest, ApiResponse>
 where
     F: FnOnce(&[u8]) -> Result<JobSpec, ApiResponse>,
@@ -129,19 +131,19 @@
     }
 }
 
-/// The responses that any JSON interface gives in the same way.
-pub fn common_response(answer: CellResponse) -> ApiResponse {
+/// Converts a cell response to the HTTP response that all JSON interfaces share.
+pub fn common_response(response: CellResponse) -> ApiResponse {
     let later = |status, after_ms| ApiResponse {
         retry_after_ms: Some(after_ms),
         ..ApiResponse::empty(status)
     };
-    match answer {
+    match response {
         CellResponse::Accepted | CellResponse::Ok => ApiResponse::empty(200),
-        CellResponse::State(state) => json(200, &StateView { state, reason: None }),
+        CellResponse::State(state) => json_response(200, &StateView { state, reason: None }),
         CellResponse::Failed(reason) => {
-            json(200, &StateView { state: JobState::Failed, reason: Some(reason) })
+            json_response(200, &StateView { state: JobState::Failed, reason: Some(reason) })
         }
-        CellResponse::Pending(pending) => json(200, &PendingView { pending }),
+        CellResponse::Pending(pending) => json_response(200, &PendingView { pending }),
         CellResponse::Gone => ApiResponse::empty(410),
         CellResponse::NoQueue => ApiResponse::empty(404),
         CellResponse::NotTaken => ApiResponse::empty(405),
@@ -151,39 +153,39 @@
             ApiResponse::empty(504)
         }
         CellResponse::Document(text) => ApiResponse::json(200, text.to_vec()),
-        CellResponse::Invalid(what) => problem(400, &what),
-        CellResponse::Orders(orders) => json(200, &*orders),
+        CellResponse::Invalid(what) => error_response(400, &what),
+        CellResponse::Orders(orders) => json_response(200, &*orders),
         CellResponse::Wave { done } => {
-            json(200, &WaveView { state: if done { "completed" } else { "running" } })
+            json_response(200, &WaveView { state: if done { "completed" } else { "running" } })
         }
     }
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 ///
 /// # Errors
-/// A response that says what is wrong and where.
-pub fn parse<T>(body: &[u8]) -> Result<T, ApiResponse>
+/// Returns a 400 response that says what is wrong and where.
+pub fn parse_json<T>(body: &[u8]) -> Result<T, ApiResponse>
 where
     T: DeserializeOwned,
 {
-    serde_json::from_slice(body).map_err(|error| problem(400, &error.to_string()))
+    serde_json::from_slice(body).map_err(|error| error_response(400, &error.to_string()))
 }
 
-/// An error with its remedy.
-pub fn problem(status: u16, error: &str) -> ApiResponse {
-    json(status, &Problem { error })
+/// Creates an error response with a JSON body; `error` should name the remedy.
+pub fn error_response(status: u16, error: &str) -> ApiResponse {
+    json_response(status, &Problem { error })
 }
 
-/// A JSON response.
-pub fn json<T>(status: u16, value: &T) -> ApiResponse
+/// Creates a response with `value` as its JSON body.
+pub fn json_response<T>(status: u16, value: &T) -> ApiResponse
 where
     T: Serialize,
 {
     match serde_json::to_vec(value) {
         Ok(body) => ApiResponse::json(status, body),
         Err(error) => {
-            log::error!("a response cannot be written: {error}");
+            log::error!("cannot serialize a response: {error}");
             ApiResponse::empty(500)
         }
     }
--- a/crates/daemon/src/cell/policy.rs
+++ b/crates/daemon/src/cell/policy.rs
@@ -1,18 +1,18 @@
-//! The policy file of a cell, and how a policy is shown.
+//! Reads the policy file of a cell and lists the values that differ from the defaults.
 
 use crate::error::{Error, Result};
 use serde_json::{Map, Value};
 use std::path::Path;
 use yuccalink_coordination::jobs::policy::Policy;
 
-/// Variable that names the file.
+/// Environment variable with the path of the policy file.
 pub const POLICY_FILE_VAR: &str = "YUCCALINK_POLICY";
 
-/// Reads a policy file: TOML with a section a mechanism; what it does not name stays as
-/// it ships.
+/// Reads a policy file: TOML with one section per mechanism. Values that the file does not set
+/// keep their defaults.
 ///
 /// # Errors
-/// [`Error::Setting`] naming the file, the place in it and the remedy.
+/// Returns [`Error::Setting`], which names the file, the place in it and the remedy.
 ///
 /// ```
 /// let folder = tempfile::tempdir()?;
@@ -23,18 +23,18 @@
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 pub fn read(path: &Path) -> Result<Policy> {
-    let bad = |what: String| Error::Setting { flag: "policy", what: what.into() };
-    let shown = path.display();
+    let invalid = |detail: String| Error::Setting { flag: "policy", detail: detail.into() };
+    let path_text = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
-        bad(format!("cannot read {shown}: {error}; check the path and its permissions"))
+        invalid(format!("cannot read {path_text}: {error}; check the path and its permissions"))
     })?;
     let policy: Policy = toml::from_str(&text)
-        .map_err(|error| bad(format!("{shown} is not understood; correct it: {error}")))?;
-    policy.check().map_err(|error| bad(format!("{shown}: {error}")))?;
+        .map_err(|error| invalid(format!("{path_text} is invalid; correct it: {error}")))?;
+    policy.check().map_err(|error| invalid(format!("{path_text}: {error}")))?;
     Ok(policy)
 }
 
-/// The figures that differ from what ships, as `section.name=value`.
+/// Lists the values that differ from the defaults, as `section.name=value`.
 ///
 /// ```
 /// use yuccalink_coordination::jobs::policy::{Policy, Switch};
@@ -43,11 +43,11 @@
 /// assert_eq!(yuccalink_daemon::cell::policy::changed(&policy), ["moving.mode=off".into()]);
 /// ```
 pub fn changed(policy: &Policy) -> Vec<Box<str>> {
-    let (shipped, used) = (sections(&Policy::default()), sections(policy));
+    let (defaults, current) = (sections(&Policy::default()), sections(policy));
     let mut changed = Vec::new();
-    for (section, figures) in &used {
-        for (name, value) in figures.as_object().into_iter().flatten() {
-            if shipped.get(section).and_then(|section| section.get(name)) != Some(value) {
+    for (section, values) in &current {
+        for (name, value) in values.as_object().into_iter().flatten() {
+            if defaults.get(section).and_then(|section| section.get(name)) != Some(value) {
                 let value = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
                 changed.push(format!("{section}.{name}={value}").into());
             }
@@ -60,7 +60,7 @@
     match serde_json::to_value(policy) {
         Ok(Value::Object(sections)) => sections,
         other => {
-            log::error!("a policy cannot be shown: {other:?}");
+            log::error!("cannot serialize a policy: {other:?}");
             Map::new()
         }
     }
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The last decisions of this daemon: each is one log line, kept for operators.
+//! The most recent decisions of this daemon. Each is logged as one line and kept in
+//! memory for operators.
 
 use crate::clock::unix_ms;
 use std::collections::VecDeque;
@@ -6,40 +7,40 @@
 use yuccalink_protocol::api::DecisionView;
 use yuccalink_state::id::Name;
 
-/// Decisions kept.
-pub(crate) const KEPT: usize = 1000;
-/// Log target of decisions, for filters.
+/// Number of decisions kept in memory.
+pub(crate) const MAX_DECISIONS: usize = 1000;
+/// Log target of decisions, so that log filters can select them.
 pub(crate) const TARGET: &str = "yuccalink::decision";
 
 #[derive(Debug)]
 pub(crate) struct Decisions {
     entry: Name,
-    ring: Mutex<VecDeque<(u64, Box<str>)>>,
+    recent: Mutex<VecDeque<(u64, Box<str>)>>,
 }
 
 impl Decisions {
     pub(crate) fn new(entry: Name) -> Self {
-        Self { entry, ring: Mutex::new(VecDeque::with_capacity(KEPT)) }
+        Self { entry, recent: Mutex::new(VecDeque::with_capacity(MAX_DECISIONS)) }
     }
 
     /// Logs a decision and keeps it.
     pub(crate) fn note(&self, line: String) {
         log::info!(target: TARGET, "{line}");
-        let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        if ring.len() == KEPT {
-            ring.pop_front();
+        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        if recent.len() == MAX_DECISIONS {
+            recent.pop_front();
         }
-        ring.push_back((unix_ms(), line.into()));
+        recent.push_back((unix_ms(), line.into()));
     }
 
-    /// Newest first.
+    /// Returns the decisions, newest first.
     pub(crate) fn list(&self) -> Vec<DecisionView> {
-        let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
+        let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let view = |(at_ms, line): &(u64, Box<str>)| DecisionView {
             at_ms: *at_ms,
             entry: self.entry.clone(),
             line: line.clone(),
         };
-        ring.iter().rev().map(view).collect()
+        recent.iter().rev().map(view).collect()
     }
 }
--- a/crates/daemon/src/leader.rs
+++ b/crates/daemon/src/leader.rs
@@ -1,5 +1,5 @@
-//! The leader: decides what entries ask, proposes commands to the log, and
-//! carries out what follows from committed ones. Knows nothing of sockets.
+//! The leader: handles the requests of entries, proposes commands to the log and
+//! acts on committed ones. It does no network I/O.
 
 mod entries;
 mod orders;
@@ -7,7 +7,7 @@
 mod time;
 
 use crate::clock::{Clock, millis, unix_ms};
-use crate::shared::{Shared, no_leader};
+use crate::shared::{Shared, no_leader_problem};
 use crate::views;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -41,38 +41,48 @@
 use yuccalink_state::worker::WorkerPhase;
 use yuccalink_state::{Resources, StateMachine};
 
-/// Commands waiting for the log; more are refused as "not run".
-const QUEUE_MAX: usize = 16 * 1024;
-/// Longest wait of a caller that asks whether a revision is in force.
-const FORCE_WAIT: Duration = Duration::from_millis(2_000);
-/// Tasks listed at once.
-const PAGE_MAX: u32 = 1000;
-/// How often all unconfirmed orders are looked through.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Limit of commands that wait for the log; further requests are refused as "not run".
+const PROPOSAL_QUEUE_MAX: usize = 16 * 1024;
+/// Longest time that a request waits until a revision is in force at all entries.
+const IN_FORCE_WAIT_MAX: Duration = Duration::from_millis(2_000);
+/// Largest number of tasks in one list response.
+const TASK_LIST_MAX: u32 = 1000;
+/// Interval at which all workers with tasks are checked for unconfirmed orders.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 type Reply = oneshot::Sender<LeaderResponse>;
 
-/// What to do with the outcome of a command.
-enum Then {
-    Applied { service: Name, version: u64, reply: Reply },
+/// Action to take with the outcome of a committed command.
+enum OnCommit {
+    Applied {
+        service: Name,
+        version: u64,
+        reply: Reply,
+    },
     Submitted(Reply),
-    Cancelled { tasks: Vec<TaskId>, reply: Reply },
+    Cancelled {
+        tasks: Vec<TaskId>,
+        reply: Reply,
+    },
     Placed(Vec<Decision>),
     Announced(Reply),
+    /// Task reports, with the heartbeat to answer, if any, and whether the response asks for
+    /// the worker's list of tasks.
     Reported(Option<(Reply, bool)>),
     Request(Reply),
     Done(Reply),
     WorkerGone(Name),
-    FormerRunGone(Name),
+    PreviousIncarnationGone(Name),
 }
 
-struct ForceWaiter {
+/// A request that waits until a revision is in force at all entries.
+struct InForceWaiter {
     revision: Revision,
-    until: Moment,
+    deadline: Moment,
     reply: Reply,
 }
 
-/// Orders for one worker, ready to be sent.
+/// Orders to send to one worker in one message.
 pub(crate) struct OrderBatch {
     pub(crate) worker: WorkerKey,
     pub(crate) name: Name,
@@ -92,26 +102,32 @@
     entries: EntryTable,
     dispatch: Dispatch,
     reconcile: Reconcile,
-    proposed: VecDeque<(Command, Then)>,
-    /// Waits for its index in the log.
-    batch: VecDeque<Then>,
-    committing: VecDeque<(u64, Then)>,
-    placing: bool,
+    proposal_queue: VecDeque<(Command, OnCommit)>,
+    /// Actions of the batch that was taken for the log and has no log index yet.
+    awaiting_index: VecDeque<OnCommit>,
+    /// Log index and action of each command that is not committed yet.
+    awaiting_commit: VecDeque<(u64, OnCommit)>,
+    /// Whether a placement was proposed and is not committed yet.
+    placement_pending: bool,
+    /// Whether waiting tasks may have become placeable since the last plan.
     plan_due: bool,
-    going: BTreeSet<Name>,
-    dirty: BTreeSet<WorkerKey>,
-    /// Tasks that workers hold and should not, to be stopped.
-    strays: BTreeMap<WorkerKey, Vec<(TaskId, Epoch)>>,
+    /// Workers whose removal was proposed and is not committed yet.
+    removals_pending: BTreeSet<Name>,
+    /// Workers that may have new orders.
+    dirty_workers: BTreeSet<WorkerKey>,
+    /// Tasks that a worker reports but that are not assigned to it; they are to be stopped.
+    stray_tasks: BTreeMap<WorkerKey, Vec<(TaskId, Epoch)>>,
     pressure: Pressure,
-    /// Tasks to be slowed, by worker.
+    /// Throttle orders to send, by worker.
     throttles: BTreeMap<WorkerKey, Vec<Throttle>>,
-    swept: Moment,
-    force: Vec<ForceWaiter>,
-    /// Whether the directory is complete; see [`EntryUpdate::runner_table_complete`].
-    settled: bool,
+    last_sweep: Moment,
+    in_force_waiters: Vec<InForceWaiter>,
+    /// Whether the directory lists all runners; see [`EntryUpdate::runner_table_complete`].
+    runner_table_complete: bool,
     /// Wakes the task that sends orders.
-    orders: Arc<Notify>,
-    news: watch::Sender<u64>,
+    order_wake: Arc<Notify>,
+    /// Counter that is incremented when an entry update may be due.
+    update_signal: watch::Sender<u64>,
 }
 
 impl Leader {
@@ -119,7 +135,7 @@
         shared: Arc<Shared>,
         term: u64,
         state: StateMachine,
-        orders: Arc<Notify>,
+        order_wake: Arc<Notify>,
     ) -> Self {
         let clock = shared.clock;
         let started = clock.now();
@@ -133,21 +149,21 @@
             entries: EntryTable::new(started),
             dispatch: Dispatch::new(),
             reconcile: Reconcile::default(),
-            proposed: VecDeque::new(),
-            batch: VecDeque::new(),
-            committing: VecDeque::new(),
-            placing: false,
+            proposal_queue: VecDeque::new(),
+            awaiting_index: VecDeque::new(),
+            awaiting_commit: VecDeque::new(),
+            placement_pending: false,
             plan_due: true,
-            going: BTreeSet::new(),
-            dirty: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            removals_pending: BTreeSet::new(),
+            dirty_workers: BTreeSet::new(),
+            stray_tasks: BTreeMap::new(),
             pressure: Pressure::default(),
             throttles: BTreeMap::new(),
-            swept: started,
-            force: Vec::new(),
-            settled: false,
-            orders,
-            news: watch::Sender::new(0),
+            last_sweep: started,
+            in_force_waiters: Vec::new(),
+            runner_table_complete: false,
+            order_wake,
+            update_signal: watch::Sender::new(0),
         }
     }
 
@@ -155,121 +171,123 @@
         &self.state
     }
 
-    /// The state, for a replica that no longer leads. Whoever waits for an answer
-    /// is told that there is no leader: what it asked may yet be decided.
+    /// Returns the state to a replica that no longer leads. Pending requests get the
+    /// response that there is no leader: their commands may still be committed.
     pub(crate) fn into_state(self) -> StateMachine {
         self.state
     }
 
-    /// Tells when there may be news for entries.
-    pub(crate) fn watch(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    /// Returns a receiver that is notified when an entry update may be due.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
+        self.update_signal.subscribe()
     }
 
-    fn bump(&self) {
-        self.news.send_modify(|count| *count += 1);
+    fn signal_update(&self) {
+        self.update_signal.send_modify(|count| *count += 1);
     }
 
-    // ---- the log ----
+    // ---- log ----
 
-    fn propose_for<F>(&mut self, command: Command, then: F, reply: Reply)
+    /// Proposes a command for a request, or refuses the request when the queue is full.
+    fn propose_request<F>(&mut self, command: Command, on_commit: F, reply: Reply)
     where
-        F: FnOnce(Reply) -> Then,
+        F: FnOnce(Reply) -> OnCommit,
     {
-        if self.proposed.len() >= QUEUE_MAX {
-            let what = "the log has too much to write; send it again later";
-            let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, what)
+        if self.proposal_queue.len() >= PROPOSAL_QUEUE_MAX {
+            let message = "too many commands wait for the log; send the request again later";
+            let problem = Problem::new(ProblemKind::Overloaded, ExecutionStatus::NotRun, message)
                 .retry_after(1000);
             let _ = reply.send(LeaderResponse::Problem(problem));
             return;
         }
-        self.propose(command, then(reply));
+        self.propose(command, on_commit(reply));
     }
 
-    fn propose(&mut self, command: Command, then: Then) {
-        self.proposed.push_back((command, then));
+    fn propose(&mut self, command: Command, on_commit: OnCommit) {
+        self.proposal_queue.push_back((command, on_commit));
     }
 
-    /// The next batch for the log, if none is under way.
-    pub(crate) fn next_batch(&mut self, most: usize) -> Vec<Command> {
+    /// Takes the next batch of commands for the log; empty while another batch is not committed.
+    pub(crate) fn next_batch(&mut self, max_len: usize) -> Vec<Command> {
         self.plan();
-        if !self.committing.is_empty() {
+        if !self.awaiting_commit.is_empty() {
             return Vec::new();
         }
-        let count = self.proposed.len().min(most);
-        let batch: Vec<_> = self.proposed.drain(..count).collect();
+        let count = self.proposal_queue.len().min(max_len);
+        let batch: Vec<_> = self.proposal_queue.drain(..count).collect();
         let mut commands = Vec::with_capacity(batch.len());
-        for (command, then) in batch {
+        for (command, on_commit) in batch {
             commands.push(command);
-            self.batch.push_back(then);
+            self.awaiting_index.push_back(on_commit);
         }
         commands
     }
 
-    /// The batch stands in the log from index `first` on.
-    pub(crate) fn proposed(&mut self, first: u64) {
-        self.committing.extend((first..).zip(self.batch.drain(..)));
+    /// Records that the batch was appended to the log from index `first` on.
+    pub(crate) fn record_batch_index(&mut self, first: u64) {
+        self.awaiting_commit.extend((first..).zip(self.awaiting_index.drain(..)));
     }
 
-    /// The batch did not get into the log; whoever waits is told that there is no leader.
-    pub(crate) fn not_proposed(&mut self) {
-        self.batch.clear();
-        self.placing = false;
+    /// Drops the batch, which was not appended to the log. Its requests get the response that
+    /// there is no leader.
+    pub(crate) fn drop_batch(&mut self) {
+        self.awaiting_index.clear();
+        self.placement_pending = false;
     }
 
-    /// A command is agreed on: applies it and answers.
-    pub(crate) fn committed(&mut self, index: u64, command: Command) {
+    /// Applies a committed command and responds to its request.
+    pub(crate) fn apply_committed(&mut self, index: u64, command: Command) {
         let outcome = self.state.apply(command);
-        if self.committing.front().is_some_and(|(at, _)| *at == index)
-            && let Some((_, then)) = self.committing.pop_front()
+        if self.awaiting_commit.front().is_some_and(|(at, _)| *at == index)
+            && let Some((_, on_commit)) = self.awaiting_commit.pop_front()
         {
-            self.finish(then, outcome);
+            self.handle_outcome(on_commit, outcome);
         }
     }
 
-    fn finish(&mut self, then: Then, outcome: Outcome) {
-        match then {
-            Then::Applied { service, version, reply } => {
+    fn handle_outcome(&mut self, on_commit: OnCommit, outcome: Outcome) {
+        match on_commit {
+            OnCommit::Applied { service, version, reply } => {
                 self.finish_apply(service, version, outcome, reply);
             }
-            Then::Submitted(reply) => {
+            OnCommit::Submitted(reply) => {
                 self.plan_due = true;
-                let _ = reply.send(submitted(outcome));
+                let _ = reply.send(submission_response(outcome));
             }
-            Then::Cancelled { tasks, reply } => self.finish_cancel(&tasks, outcome, reply),
-            Then::Placed(decisions) => self.finish_place(&decisions, &outcome),
-            Then::Announced(reply) => self.finish_announce(&outcome, reply),
-            Then::Reported(reply) => {
+            OnCommit::Cancelled { tasks, reply } => self.finish_cancel(&tasks, outcome, reply),
+            OnCommit::Placed(decisions) => self.finish_place(&decisions, &outcome),
+            OnCommit::Announced(reply) => self.finish_announce(&outcome, reply),
+            OnCommit::Reported(reply) => {
                 self.plan_due = true;
                 if let Some((reply, send_held)) = reply {
-                    let _ = reply.send(LeaderResponse::Welcome(worker_welcome(send_held)));
+                    let _ = reply.send(LeaderResponse::Welcome(worker_heartbeat_reply(send_held)));
                 }
             }
-            Then::Request(reply) => {
-                let answer = match outcome {
+            OnCommit::Request(reply) => {
+                let response = match outcome {
                     Outcome::Request(verdict) => LeaderResponse::Request(verdict),
-                    other => unexpected(&other),
+                    other => unexpected_outcome(&other),
                 };
-                let _ = reply.send(answer);
+                let _ = reply.send(response);
             }
-            Then::Done(reply) => {
+            OnCommit::Done(reply) => {
                 let _ = reply.send(LeaderResponse::Done);
             }
-            Then::WorkerGone(name) => {
+            OnCommit::WorkerGone(name) => {
                 self.directory.drop_worker(&name);
-                self.finish_gone(&name, &outcome);
+                self.finish_worker_removal(&name, &outcome);
             }
-            Then::FormerRunGone(name) => self.finish_gone(&name, &outcome),
+            OnCommit::PreviousIncarnationGone(name) => self.finish_worker_removal(&name, &outcome),
         }
     }
 
     fn finish_apply(&mut self, service: Name, version: u64, outcome: Outcome, reply: Reply) {
-        let answer = match outcome {
+        let response = match outcome {
             Outcome::Accepted { revision, resent } => {
                 if !resent {
                     log::info!("accepted {service} version {version} as revision {revision}");
                     self.plan_due = true;
-                    self.bump();
+                    self.signal_update();
                 }
                 LeaderResponse::Applied(Applied {
                     service,
@@ -281,7 +299,7 @@
                 })
             }
             Outcome::Conflict { version: winner, author, revision } => {
-                let what = format!(
+                let message = format!(
                     "{service} version {winner} by {author} is in force (revision {revision}); get \
                      it, merge your change and apply it as version {}",
                     winner + 1
@@ -289,41 +307,41 @@
                 LeaderResponse::Problem(Problem::new(
                     ProblemKind::Conflict,
                     ExecutionStatus::NotRun,
-                    what,
+                    message,
                 ))
             }
-            other => unexpected(&other),
+            other => unexpected_outcome(&other),
         };
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 
     fn finish_cancel(&mut self, tasks: &[TaskId], outcome: Outcome, reply: Reply) {
         let Outcome::Cancelled(outcomes) = outcome else {
-            let _ = reply.send(unexpected(&outcome));
+            let _ = reply.send(unexpected_outcome(&outcome));
             return;
         };
         for id in tasks {
             if let Some(key) = self.state.task(*id).and_then(Task::worker) {
-                self.dirty.insert(key);
+                self.dirty_workers.insert(key);
             }
         }
-        self.orders.notify_one();
+        self.order_wake.notify_one();
         let done =
             tasks.iter().zip(outcomes).map(|(task, outcome)| Cancelled { task: *task, outcome });
         let _ = reply.send(LeaderResponse::Cancelled(done.collect()));
     }
 
     fn finish_place(&mut self, decisions: &[Decision], outcome: &Outcome) {
-        self.placing = false;
+        self.placement_pending = false;
         let Outcome::Placed(committed) = outcome else { return };
         for placed in committed {
-            self.dirty.insert(placed.worker);
-            let passed = decisions.iter().find(|d| d.task == placed.task);
-            self.log_placement(placed, passed.map_or(0, |d| d.passed_over));
+            self.dirty_workers.insert(placed.worker);
+            let decision = decisions.iter().find(|d| d.task == placed.task);
+            self.log_placement(placed, decision.map_or(0, |d| d.passed_over));
         }
         self.shared.metrics.count("placements", committed.len() as u64);
         self.plan_due |= decisions.len() >= PLAN_MAX;
-        self.orders.notify_one();
+        self.order_wake.notify_one();
     }
 
     fn log_placement(&self, placed: &yuccalink_state::command::Committed, passed_over: usize) {
@@ -344,71 +362,74 @@
 
     fn finish_announce(&mut self, outcome: &Outcome, reply: Reply) {
         self.plan_due = true;
-        let answer = match outcome {
-            Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_welcome(true)),
+        let response = match outcome {
+            Outcome::WorkerUp(_) => LeaderResponse::Welcome(worker_heartbeat_reply(true)),
             Outcome::WorkerBusy => {
-                let what = "tasks of an earlier run are not given up yet; announce again";
-                let problem = Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what);
+                let message =
+                    "tasks of its previous incarnation are not released yet; announce again";
+                let problem =
+                    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, message);
                 LeaderResponse::Problem(problem.retry_after(1000))
             }
-            other => unexpected(other),
+            other => unexpected_outcome(other),
         };
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 
-    fn finish_gone(&mut self, name: &Name, outcome: &Outcome) {
-        self.going.remove(name);
+    fn finish_worker_removal(&mut self, name: &Name, outcome: &Outcome) {
+        self.removals_pending.remove(name);
         self.plan_due = true;
         if let Outcome::Freed(tasks) = outcome {
             let count = tasks.len();
             self.shared.decisions.note(format!(
-                "gave up worker {name}: its lease has ended; {count} tasks wait for a new place"
+                "gave up worker {name}: its lease has ended; {count} tasks wait to be placed again"
             ));
         }
     }
 
+    /// Plans placements of the waiting tasks and proposes them.
     fn plan(&mut self) {
-        if !self.plan_due || self.placing || self.state.waiting_len() == 0 {
+        if !self.plan_due || self.placement_pending || self.state.waiting_len() == 0 {
             return;
         }
         self.plan_due = false;
         let plan = placement::plan(&self.state);
         if plan.no_room > 0 {
-            log::debug!("{} tasks wait for room", plan.no_room);
+            log::debug!("{} tasks wait for free capacity", plan.no_room);
         }
         if plan.decisions.is_empty() {
             return;
         }
-        self.placing = true;
+        self.placement_pending = true;
         let command = Command::Place(plan.placements());
-        self.propose(command, Then::Placed(plan.decisions));
+        self.propose(command, OnCommit::Placed(plan.decisions));
     }
 }
 
-fn runner_welcome() -> HeartbeatReply {
+fn runner_heartbeat_reply() -> HeartbeatReply {
     HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms: None, send_held: false }
 }
 
-fn worker_welcome(send_held: bool) -> HeartbeatReply {
+fn worker_heartbeat_reply(send_held: bool) -> HeartbeatReply {
     let lease_ms = Some(millis(WORKER_LEASE));
     HeartbeatReply { heartbeat_ms: millis(HEARTBEAT_INTERVAL), lease_ms, send_held }
 }
 
-fn busy_problem(target: &TargetSpec, wait: Duration) -> Problem {
-    let what = format!(
-        "another run of {} may still be alive; announce again when its lease has ended",
+fn previous_incarnation_problem(target: &TargetSpec, wait: Duration) -> Problem {
+    let message = format!(
+        "another incarnation of {} may still be alive; announce again when its lease has ended",
         target.name()
     );
-    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, what)
+    Problem::new(ProblemKind::InProgress, ExecutionStatus::NotRun, message)
         .retry_after(millis(wait).max(1))
 }
 
-fn not_found(what: String) -> LeaderResponse {
-    LeaderResponse::Problem(Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, what))
+fn not_found(message: String) -> LeaderResponse {
+    LeaderResponse::Problem(Problem::new(ProblemKind::NotFound, ExecutionStatus::NotRun, message))
 }
 
-fn unexpected(outcome: &Outcome) -> LeaderResponse {
-    log::error!("a command came to {outcome:?}, which it never should; please report this");
+fn unexpected_outcome(outcome: &Outcome) -> LeaderResponse {
+    log::error!("unexpected outcome of a command: {outcome:?}; please report this");
     LeaderResponse::Problem(Problem::new(
         ProblemKind::NotServing,
         ExecutionStatus::Unknown,
@@ -416,7 +437,7 @@
     ))
 }
 
-fn submitted(outcome: Outcome) -> LeaderResponse {
+fn submission_response(outcome: Outcome) -> LeaderResponse {
     match outcome {
         Outcome::Submitted { first, count, resent } => {
             LeaderResponse::Submitted(Submitted { first, count, resent })
@@ -427,15 +448,15 @@
         Outcome::Unknown(Missing::Kind(name)) => not_found(format!(
             "the document has no kind of task {name}; add a [[task]] with that name"
         )),
-        other => unexpected(&other),
+        other => unexpected_outcome(&other),
     }
 }
 
-/// The problem of a document with faults.
+/// Builds the response to a document that fails validation.
 pub(crate) fn unacceptable_document(
     faults: &yuccalink_protocol::fields::ValidationErrors,
 ) -> Problem {
-    let what = "the document has faults; correct them and apply it again";
-    Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, what)
+    let message = "the document has faults; correct them and apply it again";
+    Problem::new(ProblemKind::Unacceptable, ExecutionStatus::NotRun, message)
         .with_faults(faults.0.iter().map(|fault| fault.to_string().into()).collect())
 }
--- a/crates/daemon/src/replica.rs
+++ b/crates/daemon/src/replica.rs
@@ -1,13 +1,13 @@
-//! One voter: its part in the consensus, the state machine, and the leader's
-//! part while it leads. Carries out what the consensus asks for.
+//! One Raft replica: connects Raft to the disk, the network, the state machine and, while
+//! this replica leads, the leader.
 
 mod disk;
 mod repair;
 
 use crate::clock::millis;
-use crate::journal::{DiskEvent, Journal, from_hard, to_entry};
+use crate::journal::{DiskEvent, Journal, decode_hard_state, decode_log_entry};
 use crate::leader::Leader;
-use crate::shared::{Shared, no_leader};
+use crate::shared::{Shared, no_leader_problem};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,20 +25,21 @@
 use yuccalink_state::store::Recovered;
 use yuccalink_state::{StateMachine, store};
 
-/// Messages that may wait for one other voter; the oldest are dropped.
+/// Limit of messages queued for one other voter; beyond it the oldest are dropped.
 const OUTBOX_MAX: usize = 1024;
-/// Records after which a snapshot is taken.
-const SNAPSHOT_RECORDS: u64 = 20_000;
-/// Bytes of log after which a snapshot is taken.
-const SNAPSHOT_BYTES: u64 = 64 * 1024 * 1024;
-/// Silence of a voter's former disk before a new one may take its seat.
-const REPLACE_AFTER: Duration = Duration::from_secs(3);
-/// Time after which a replica that asked to join is no longer waited for.
-const JOIN_FORGET: Duration = Duration::from_secs(30);
-/// Most commands in one proposal.
-const BATCH_MAX: usize = 1024;
-
-/// What the disk is to do next.
+/// Log records after which a snapshot is taken.
+const SNAPSHOT_AFTER_RECORDS: u64 = 20_000;
+/// Log bytes after which a snapshot is taken.
+const SNAPSHOT_AFTER_BYTES: u64 = 64 * 1024 * 1024;
+/// Time without a message from a voter's old disk after which a replica with a new disk may
+/// replace it.
+const OLD_DISK_SILENCE_MIN: Duration = Duration::from_secs(3);
+/// Time after which a request to join expires if it is not repeated.
+const JOIN_REQUEST_EXPIRY: Duration = Duration::from_secs(30);
+/// Largest number of commands in one proposal.
+const PROPOSAL_MAX_COMMANDS: usize = 1024;
+
+/// A task for the disk thread.
 pub(crate) enum DiskTask {
     Write(Vec<LogWrite>),
     Install { index: u64, bytes: Vec<u8> },
@@ -47,33 +48,38 @@
 
 type Reply = oneshot::Sender<LeaderResponse>;
 
-struct Joining {
+/// A replica that asked to join, and when it last asked.
+struct JoinRequest {
     member: Member,
-    asked: Moment,
+    requested_at: Moment,
 }
 
 pub(crate) struct Replica {
     shared: Arc<Shared>,
     raft: Raft,
-    /// The state, but while this replica leads: then the leader has it.
+    /// The state machine; `None` while this replica leads, as the leader then owns it.
     state: Option<StateMachine>,
     leader: Option<Leader>,
-    applied: u64,
-    writes: Vec<LogWrite>,
-    install: Option<(SnapshotMeta, Vec<u8>)>,
-    held: VecDeque<(u64, Envelope)>,
-    written: u64,
+    applied_index: u64,
+    pending_writes: Vec<LogWrite>,
+    pending_install: Option<(SnapshotMeta, Vec<u8>)>,
+    /// Messages that wait until the write with their sequence number is on disk.
+    held_messages: VecDeque<(u64, Envelope)>,
+    /// Sequence number of the last write that is on disk.
+    persisted_seq: u64,
     outboxes: BTreeMap<ReplicaId, VecDeque<Envelope>>,
-    joining: BTreeMap<ReplicaId, Joining>,
-    names: BTreeMap<ReplicaId, Name>,
-    counts: LogCounters,
-    snapshot_at: LogCounters,
-    /// Wakes the task that feeds the disk.
-    pub(crate) work: Arc<Notify>,
+    join_requests: BTreeMap<ReplicaId, JoinRequest>,
+    /// Daemon name of each replica that sent a message, as stated in the message.
+    sender_names: BTreeMap<ReplicaId, Name>,
+    log_counters: LogCounters,
+    /// Value of `log_counters` when the last snapshot was taken.
+    counters_at_snapshot: LogCounters,
+    /// Wakes the task that passes disk tasks to the disk thread.
+    pub(crate) disk_wake: Arc<Notify>,
     /// Wakes the task that sends messages to other voters.
-    pub(crate) sends: Arc<Notify>,
+    pub(crate) message_wake: Arc<Notify>,
     /// Wakes the task that sends orders to workers.
-    pub(crate) orders: Arc<Notify>,
+    pub(crate) order_wake: Arc<Notify>,
 }
 
 impl Replica {
@@ -85,9 +91,9 @@
         let Recovered { replica, meta, state, records, hard } = recovered;
         let members =
             if meta.members.is_empty() { Members::default() } else { peer::decode(&meta.members)? };
-        let entries = records.iter().map(to_entry).collect::<Result<Vec<LogEntry>, _>>()?;
+        let entries = records.iter().map(decode_log_entry).collect::<Result<Vec<LogEntry>, _>>()?;
         let restored = Restored {
-            hard: from_hard(hard),
+            hard: decode_hard_state(hard),
             snapshot: SnapshotMeta { index: meta.index, term: meta.term, members },
             entries,
         };
@@ -97,19 +103,19 @@
             raft,
             state: Some(state),
             leader: None,
-            applied: meta.index,
-            writes: Vec::new(),
-            install: None,
-            held: VecDeque::new(),
-            written: 0,
+            applied_index: meta.index,
+            pending_writes: Vec::new(),
+            pending_install: None,
+            held_messages: VecDeque::new(),
+            persisted_seq: 0,
             outboxes: BTreeMap::new(),
-            joining: BTreeMap::new(),
-            names: BTreeMap::new(),
-            counts: LogCounters::default(),
-            snapshot_at: LogCounters::default(),
-            work: Arc::default(),
-            sends: Arc::default(),
-            orders: Arc::default(),
+            join_requests: BTreeMap::new(),
+            sender_names: BTreeMap::new(),
+            log_counters: LogCounters::default(),
+            counters_at_snapshot: LogCounters::default(),
+            disk_wake: Arc::default(),
+            message_wake: Arc::default(),
+            order_wake: Arc::default(),
         })
     }
 
@@ -121,22 +127,22 @@
         self.raft.is_empty()
     }
 
-    /// Whether this replica's disk is among the voters.
+    /// Whether the replica on this disk is a voter.
     pub(crate) fn is_voter(&self) -> bool {
         self.raft.members().is_voter(self.raft.id())
     }
 
-    /// Founds a new system; see [`Raft::bootstrap`].
+    /// Bootstraps a new Raft group; see [`Raft::bootstrap`].
     pub(crate) fn bootstrap(&mut self, voters: Vec<Member>) {
         let names: Vec<String> = voters.iter().map(|voter| voter.name.to_string()).collect();
-        log::info!("founding a new system of {}", names.join(", "));
+        log::info!("bootstrapping a new Raft group with voters {}", names.join(", "));
         let members = Members { voters, learners: Vec::new() };
         self.raft.bootstrap(members, self.shared.clock.now());
-        self.pump();
+        self.process_raft_output();
     }
 
-    /// The leader's part, if this replica leads and no other can: only then may
-    /// anything be granted or read.
+    /// Returns the leader while this replica holds the leader lease, so that no other
+    /// replica can lead. Leases may be granted and state read only then.
     pub(crate) fn leader(&mut self) -> Option<&mut Leader> {
         let now = self.shared.clock.now();
         if !self.raft.has_lease(now) {
@@ -145,59 +151,61 @@
         self.leader.as_mut()
     }
 
-    /// The name of the daemon that leads, as far as is known.
+    /// Returns the name of the daemon that leads, if known.
     pub(crate) fn leader_name(&self) -> Option<Name> {
         let id = self.raft.leader()?;
         self.raft.members().get(id).map(|member| member.name.clone())
     }
 
-    /// Asks the leader's part; gives the ask back when this replica does not lead.
-    pub(crate) fn ask(
+    /// Hands a request to the leader; returns it if this replica does not lead.
+    pub(crate) fn handle_request(
         &mut self,
-        ask: LeaderRequest,
+        request: LeaderRequest,
         reply: Reply,
     ) -> Result<(), (LeaderRequest, Reply)> {
-        let Some(leader) = self.leader() else { return Err((ask, reply)) };
-        match ask {
-            LeaderRequest::Snapshot => drop(reply.send(self.saved())),
-            LeaderRequest::Status => drop(reply.send(self.status())),
-            ask => leader.ask(ask, reply),
+        let Some(leader) = self.leader() else { return Err((request, reply)) };
+        match request {
+            LeaderRequest::Snapshot => drop(reply.send(self.snapshot_response())),
+            LeaderRequest::Status => drop(reply.send(self.status_response())),
+            request => leader.handle_request(request, reply),
         }
         self.propose();
         Ok(())
     }
 
-    fn status(&self) -> LeaderResponse {
-        let Some(leader) = &self.leader else { return LeaderResponse::Problem(no_leader()) };
+    fn status_response(&self) -> LeaderResponse {
+        let Some(leader) = &self.leader else {
+            return LeaderResponse::Problem(no_leader_problem());
+        };
         let status: Status = leader.status(self.log_view(), self.member_views());
         LeaderResponse::Status(Box::new(status))
     }
 
-    /// Takes in an entry's word; false when this replica does not lead.
-    pub(crate) fn hear(&mut self, state: &EntryState) -> bool {
+    /// Processes an entry's report; returns false if this replica does not lead.
+    pub(crate) fn handle_entry_report(&mut self, state: &EntryState) -> bool {
         let Some(leader) = self.leader() else { return false };
-        leader.hear(state);
+        leader.handle_entry_report(state);
         self.propose();
         true
     }
 
-    pub(crate) fn news_for(&mut self, state: &EntryState) -> Option<(EntryUpdate, bool)> {
-        self.leader().map(|leader| leader.news_for(state))
+    pub(crate) fn entry_update(&mut self, state: &EntryState) -> Option<(EntryUpdate, bool)> {
+        self.leader().map(|leader| leader.entry_update(state))
     }
 
-    fn saved(&self) -> LeaderResponse {
+    fn snapshot_response(&self) -> LeaderResponse {
         match self.encode_snapshot() {
             Some((_, bytes)) => LeaderResponse::Snapshot(bytes.into()),
-            None => LeaderResponse::Problem(no_leader()),
+            None => LeaderResponse::Problem(no_leader_problem()),
         }
     }
 
     fn log_view(&self) -> LogView {
         LogView {
             last: self.raft.last(),
-            syncs: self.counts.syncs,
-            records: self.counts.records,
-            bytes: self.counts.bytes,
+            syncs: self.log_counters.syncs,
+            records: self.log_counters.records,
+            bytes: self.log_counters.bytes,
         }
     }
 
@@ -221,14 +229,14 @@
         voters.chain(members.learners.iter().map(|member| view(member, false))).collect()
     }
 
-    // ---- the consensus ----
+    // ---- consensus ----
 
     pub(crate) fn step(&mut self, from: &Name, envelope: Envelope) {
-        if self.names.get(&envelope.from) != Some(from) {
-            self.names.insert(envelope.from, from.clone());
+        if self.sender_names.get(&envelope.from) != Some(from) {
+            self.sender_names.insert(envelope.from, from.clone());
         }
         self.raft.step(self.shared.clock.now(), envelope);
-        self.pump();
+        self.process_raft_output();
     }
 
     pub(crate) fn tick(&mut self) {
@@ -237,44 +245,44 @@
         if let Some(leader) = self.leader() {
             leader.tick();
         }
-        self.repair(now);
+        self.advance_joins(now);
         self.propose();
     }
 
-    /// Gives what the leader has decided to the log. One batch at a time: what
-    /// comes meanwhile shares the next sync.
+    /// Appends the leader's queued commands to the log, one batch at a time. Commands that
+    /// arrive meanwhile share the next sync.
     pub(crate) fn propose(&mut self) {
         if let Some(leader) = &mut self.leader {
-            let commands = leader.next_batch(BATCH_MAX);
+            let commands = leader.next_batch(PROPOSAL_MAX_COMMANDS);
             if !commands.is_empty() {
                 let encoded: Result<Vec<Arc<[u8]>>, _> =
                     commands.iter().map(|c| store::encode(c).map(Into::into)).collect();
                 let now = self.shared.clock.now();
                 match encoded.map(|bytes| self.raft.propose(now, bytes)) {
-                    Ok(Ok(first)) => leader.proposed(first),
-                    Ok(Err(why)) => {
-                        log::debug!("nothing was proposed: {why}");
-                        leader.not_proposed();
+                    Ok(Ok(first)) => leader.record_batch_index(first),
+                    Ok(Err(error)) => {
+                        log::debug!("no command was proposed: {error}");
+                        leader.drop_batch();
                     }
                     Err(error) => {
-                        log::error!("a command cannot be encoded: {error}");
-                        leader.not_proposed();
+                        log::error!("cannot encode commands: {error}");
+                        leader.drop_batch();
                     }
                 }
             }
         }
-        self.pump();
+        self.process_raft_output();
     }
 
-    /// Carries out what the consensus asks for.
-    fn pump(&mut self) {
+    /// Processes the output of Raft: writes, messages, committed entries, role changes.
+    fn process_raft_output(&mut self) {
         loop {
             let output = self.raft.take();
             let committed = !output.committed.is_empty();
-            self.writes.extend(output.persist);
-            self.held.extend(output.messages);
+            self.pending_writes.extend(output.persist);
+            self.held_messages.extend(output.messages);
             if output.install.is_some() {
-                self.install = output.install;
+                self.pending_install = output.install;
             }
             for (index, entry) in output.committed {
                 self.apply(index, &entry);
@@ -287,26 +295,26 @@
                 break;
             }
         }
-        self.release();
-        if !self.writes.is_empty() || self.install.is_some() {
-            self.work.notify_one();
+        self.release_messages();
+        if !self.pending_writes.is_empty() || self.pending_install.is_some() {
+            self.disk_wake.notify_one();
         }
     }
 
     fn apply(&mut self, index: u64, entry: &LogEntry) {
-        self.applied = index;
+        self.applied_index = index;
         let Payload::Command(bytes) = &entry.payload else { return };
         let command = match store::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
-                // Going on without it would let this replica's state part from
-                // the others' for ever.
-                log::error!("record {index} cannot be applied: {error}");
+                // Skipping the record would make this replica's state diverge from the
+                // others for good.
+                log::error!("cannot decode record {index}; aborting: {error}");
                 std::process::abort();
             }
         };
         if let Some(leader) = &mut self.leader {
-            leader.committed(index, command);
+            leader.apply_committed(index, command);
         } else if let Some(state) = &mut self.state {
             state.apply(command);
         }
@@ -322,19 +330,19 @@
             && self.leader.is_none()
             && let Some(state) = self.state.take()
         {
-            log::info!("leading in term {} from record {}", self.raft.term(), self.applied);
+            log::info!("leading in term {} from record {}", self.raft.term(), self.applied_index);
             let shared = self.shared.clone();
-            let leader = Leader::new(shared, self.raft.term(), state, self.orders.clone());
+            let leader = Leader::new(shared, self.raft.term(), state, self.order_wake.clone());
             self.leader = Some(leader);
         }
     }
 
-    /// Passes on the messages whose writes the disk has confirmed.
-    fn release(&mut self) {
+    /// Moves messages whose writes are on disk to the outboxes.
+    fn release_messages(&mut self) {
         let mut any = false;
         let mut later = VecDeque::new();
-        for (seq, envelope) in std::mem::take(&mut self.held) {
-            if seq > self.written {
+        for (seq, envelope) in std::mem::take(&mut self.held_messages) {
+            if seq > self.persisted_seq {
                 later.push_back((seq, envelope));
                 continue;
             }
@@ -345,36 +353,36 @@
             }
             outbox.push_back(envelope);
         }
-        self.held = later;
+        self.held_messages = later;
         if any {
-            self.sends.notify_one();
+            self.message_wake.notify_one();
         }
     }
 
-    /// Messages to send now, by replica.
-    pub(crate) fn outgoing(&mut self) -> Vec<(ReplicaId, Vec<Envelope>)> {
+    /// Takes the messages to send now, by replica.
+    pub(crate) fn take_messages(&mut self) -> Vec<(ReplicaId, Vec<Envelope>)> {
         let all = std::mem::take(&mut self.outboxes);
         all.into_iter().map(|(to, messages)| (to, messages.into())).collect()
     }
 
-    /// The daemon of a replica: by the members, or by its own word.
-    pub(crate) fn name_of(&self, id: ReplicaId) -> Option<Name> {
+    /// Returns the daemon name of a replica, from the members or else from its own messages.
+    pub(crate) fn daemon_name(&self, id: ReplicaId) -> Option<Name> {
         let known = self.raft.members().get(id).map(|member| member.name.clone());
-        known.or_else(|| self.names.get(&id).cloned())
+        known.or_else(|| self.sender_names.get(&id).cloned())
     }
 }
 
-/// Feeds the disk thread until told to stop.
-pub(crate) async fn feed(
+/// Passes disk tasks to the disk thread until the disk fails or the daemon stops.
+pub(crate) async fn run_disk_tasks(
     replica: std::rc::Rc<std::cell::RefCell<Replica>>,
     mut journal: Journal,
     mut stop: tokio::sync::watch::Receiver<bool>,
     failed: oneshot::Sender<yuccalink_state::Error>,
 ) {
-    let wake = replica.borrow().work.clone();
+    let wake = replica.borrow().disk_wake.clone();
     loop {
-        let work = replica.borrow_mut().next_work();
-        match work {
+        let task = replica.borrow_mut().next_disk_task();
+        match task {
             Some(DiskTask::Write(writes)) => journal.write(writes),
             Some(DiskTask::Install { index, bytes }) => journal.install(index, bytes),
             Some(DiskTask::Compact { index, bytes }) => journal.compact(index, bytes),
@@ -385,14 +393,14 @@
                 }
             }
         }
-        match journal.done().await {
+        match journal.next_event().await {
             Some(DiskEvent::Failed(error)) => {
-                // What reached the disk is not known, so nothing more may be
-                // promised: the daemon stops and recovers from the disk.
+                // It is unknown which writes reached the disk, so no more may be
+                // acknowledged: the daemon stops and recovers from the disk.
                 let _ = failed.send(error);
                 return;
             }
-            Some(done) => replica.borrow_mut().did(&done),
+            Some(event) => replica.borrow_mut().handle_disk_event(&event),
             None => return,
         }
     }
--- a/crates/daemon/src/replica/disk.rs
+++ b/crates/daemon/src/replica/disk.rs
@@ -1,45 +1,45 @@
-//! What a replica asks of its disk, and what it makes of the answers.
+//! Disk tasks of a replica: writes, snapshots and their completion. Also leadership transfer.
 
 use super::*;
 
 impl Replica {
-    /// What the disk is to do next, writes first.
-    pub(crate) fn next_work(&mut self) -> Option<DiskTask> {
-        if !self.writes.is_empty() {
-            return Some(DiskTask::Write(std::mem::take(&mut self.writes)));
+    /// Returns the next disk task; writes come first.
+    pub(crate) fn next_disk_task(&mut self) -> Option<DiskTask> {
+        if !self.pending_writes.is_empty() {
+            return Some(DiskTask::Write(std::mem::take(&mut self.pending_writes)));
         }
-        if let Some((meta, bytes)) = &self.install {
+        if let Some((meta, bytes)) = &self.pending_install {
             return Some(DiskTask::Install { index: meta.index, bytes: bytes.clone() });
         }
         self.snapshot_due()
     }
 
-    /// The disk has done something.
-    pub(crate) fn did(&mut self, done: &DiskEvent) {
-        match done {
+    /// Handles the completion of a disk task.
+    pub(crate) fn handle_disk_event(&mut self, event: &DiskEvent) {
+        match event {
             DiskEvent::Written { seq, counts } => {
-                self.written = *seq;
-                self.counts = *counts;
+                self.persisted_seq = *seq;
+                self.log_counters = *counts;
                 self.raft.persisted(*seq, self.shared.clock.now());
             }
             DiskEvent::Compacted { index } => self.raft.compact(*index, RETAINED_LOG_ENTRIES),
-            DiskEvent::Installed => self.installed(),
+            DiskEvent::Installed => self.finish_install(),
             DiskEvent::Failed(_) => {}
         }
         self.propose();
     }
 
-    pub(super) fn installed(&mut self) {
-        let Some((meta, bytes)) = self.install.take() else { return };
+    pub(super) fn finish_install(&mut self) {
+        let Some((meta, bytes)) = self.pending_install.take() else { return };
         match snapshot::decode(&bytes, "a snapshot of the leader") {
             Ok(found) => {
-                log::info!("took over the leader's state up to record {}", meta.index);
+                log::info!("installed the leader's snapshot up to record {}", meta.index);
                 self.state = Some(found.state);
-                self.applied = meta.index;
+                self.applied_index = meta.index;
                 self.raft.installed(Some(meta));
             }
             Err(error) => {
-                log::error!("the leader's snapshot cannot be read: {error}");
+                log::error!("cannot decode the leader's snapshot: {error}");
                 self.raft.installed(None);
             }
         }
@@ -50,7 +50,7 @@
             Some(leader) => leader.state(),
             None => self.state.as_ref()?,
         };
-        let index = self.applied;
+        let index = self.applied_index;
         let term = self.raft.term_at(index)?;
         let members = self.raft.members_at(index);
         let encoded = peer::encode(&members).ok()?;
@@ -58,36 +58,36 @@
         match snapshot::encode(&meta, state) {
             Ok(bytes) => Some((SnapshotMeta { index, term, members }, bytes)),
             Err(error) => {
-                log::error!("no snapshot: {error}");
+                log::error!("cannot encode a snapshot: {error}");
                 None
             }
         }
     }
 
     pub(super) fn snapshot_due(&mut self) -> Option<DiskTask> {
-        let records = self.counts.records - self.snapshot_at.records;
-        let bytes = self.counts.bytes - self.snapshot_at.bytes;
-        if records < SNAPSHOT_RECORDS && bytes < SNAPSHOT_BYTES {
+        let records = self.log_counters.records - self.counters_at_snapshot.records;
+        let bytes = self.log_counters.bytes - self.counters_at_snapshot.bytes;
+        if records < SNAPSHOT_AFTER_RECORDS && bytes < SNAPSHOT_AFTER_BYTES {
             return None;
         }
-        self.snapshot_at = self.counts;
+        self.counters_at_snapshot = self.log_counters;
         let (meta, bytes) = self.encode_snapshot()?;
         Some(DiskTask::Compact { index: meta.index, bytes })
     }
 
     pub(super) fn offer_snapshot(&mut self, to: ReplicaId) {
         if let Some((meta, bytes)) = self.encode_snapshot() {
-            log::info!("sending replica {to} the state up to record {}", meta.index);
+            log::info!("sending replica {to} a snapshot up to record {}", meta.index);
             self.raft.offer_snapshot(self.shared.clock.now(), to, meta, bytes.into());
-            self.pump();
+            self.process_raft_output();
         }
     }
 
-    /// Before a planned stop: lets another voter lead at once.
+    /// Asks another voter to take over the leadership before a planned stop.
     pub(crate) fn transfer_leadership(&mut self) -> bool {
-        let asked = self.raft.transfer_leadership();
-        self.pump();
-        asked
+        let started = self.raft.transfer_leadership();
+        self.process_raft_output();
+        started
     }
 
     /// Whether this replica is the leader, with or without a lease.
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -1,11 +1,12 @@
-//! A small runner: answers requests as their headers ask it to.
+//! A small runner whose responses are controlled by request headers.
 //!
-//! `fake-delay-ms` waits, `fake-size` sends that many bytes, `fake-status` sets
-//! the status, `fake-cut` breaks off after half, `fake-chunked` hides the length,
-//! `fake-refuse` refuses before starting. The answer repeats the request's
-//! `fake-tag` header, or else its body.
+//! `fake-delay-ms` delays the response, `fake-size` sets the size of its body in bytes,
+//! `fake-status` sets its status, `fake-cut` ends the body after half, `fake-chunked` omits the
+//! content length, `fake-chunk-delay-ms` adds a delay after each chunk, and `fake-refuse` refuses
+//! the request before it starts. The response repeats the request's `fake-tag` header, or else
+//! its body.
 
-use crate::target::{AnnounceOutcome, Announcer, incarnation};
+use crate::target::{AnnounceOutcome, Announcer, random_incarnation};
 use bytes::Bytes;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -25,44 +26,44 @@
 use yuccalink_transport::reply;
 use yuccalink_transport::server::{Handler, Server, ServerLimits, read_body};
 
-const BODY_MAX: usize = 64 * 1024 * 1024;
-const CHUNK: usize = 64 * 1024;
-/// Pause after an announcement that was not taken.
-const AGAIN: Duration = Duration::from_millis(200);
+const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
+/// Pause after a message that no entry accepted.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What a runner is.
+/// Settings of a fake runner.
 #[derive(Clone, Debug)]
 pub struct RunnerSettings {
-    /// Its name.
+    /// Name of the runner.
     pub name: Name,
-    /// The service it answers for.
+    /// Service whose requests it answers.
     pub service: Name,
-    /// Its availability zone.
+    /// Availability zone of the runner.
     pub zone: Name,
-    /// Requests at once.
+    /// Number of concurrent requests.
     pub slots: u32,
-    /// Connections at once.
+    /// Number of concurrent connections.
     pub connections: u32,
-    /// Where it listens; port 0 takes any.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where entries take announcements.
+    /// Addresses of the entries that accept announcements.
     pub entries: Vec<SocketAddr>,
-    /// Threads that answer.
+    /// Number of server threads.
     pub threads: usize,
 }
 
 #[derive(Default)]
 struct State {
     busy: AtomicU32,
-    most: AtomicU32,
+    peak: AtomicU32,
     served: AtomicU64,
     leaving: AtomicBool,
     stop: AtomicBool,
-    frozen: AtomicBool,
+    heartbeats_stopped: AtomicBool,
     checker: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
 }
 
-/// A running runner.
+/// A fake runner that has been started.
 pub struct FakeRunner {
     address: SocketAddr,
     state: Arc<State>,
@@ -71,60 +72,62 @@
 }
 
 impl FakeRunner {
-    /// Listens, and announces itself until it is taken.
+    /// Starts to listen, and announces the runner until an entry accepts it.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// If the runner cannot listen.
     pub fn start(settings: RunnerSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
         let state = Arc::new(State::default());
-        let answers = state.clone();
+        let handler_state = state.clone();
         let (name, slots) = (settings.name.clone(), settings.slots);
         let limits = ServerLimits { threads: settings.threads, ..ServerLimits::default() };
-        let server = Server::start(listener, limits, move || Answers {
-            state: answers.clone(),
+        let server = Server::start(listener, limits, move || RequestHandler {
+            state: handler_state.clone(),
             name: name.clone(),
             slots,
         })?;
-        let announces = state.clone();
+        let announce_state = state.clone();
         let thread = thread::Builder::new()
             .name("runner-announce".into())
-            .spawn(move || run_local(announce(settings, address, announces)))?;
+            .spawn(move || run_local(announce(settings, address, announce_state)))?;
         Ok(Self { address, state, server: Some(server), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the runner listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Most requests it ever held at once.
+    /// Returns the highest number of concurrent requests so far.
     pub fn peak_requests(&self) -> u32 {
-        self.state.most.load(Ordering::SeqCst)
+        self.state.peak.load(Ordering::SeqCst)
     }
 
-    /// Requests it has begun.
+    /// Returns the number of requests that have started.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::SeqCst)
     }
 
-    /// Reports what it does to `checker`; requests are named by `fake-name`.
+    /// Reports the start and end of each request to `checker`. The `fake-name` header names
+    /// the request.
     pub fn set_checker(&self, checker: Arc<Mutex<RequestChecker>>) {
         *self.state.checker.lock().unwrap_or_else(PoisonError::into_inner) = Some(checker);
     }
 
-    /// Says that it leaves; goes on answering.
+    /// Sends leave notices instead of heartbeats; the runner continues to answer requests.
     pub fn leave(&self) {
         self.state.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Stops its heartbeats, as a cut-off runner's would be; goes on answering.
+    /// Stops the heartbeats, as a network partition would; the runner continues to answer
+    /// requests.
     pub fn stop_heartbeats(&self) {
-        self.state.frozen.store(true, Ordering::SeqCst);
+        self.state.heartbeats_stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Stops it.
+    /// Stops the runner.
     pub fn stop(&mut self) {
         self.state.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -136,29 +139,29 @@
     }
 }
 
-/// Runs a future on a runtime of this thread.
+/// Runs a future on a new single-threaded runtime on the current thread.
 pub(crate) fn run_local<F>(work: F)
 where
     F: Future<Output = ()>,
 {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => LocalSet::new().block_on(&runtime, work),
-        Err(error) => log::error!("no runtime: {error}"),
+        Err(error) => log::error!("cannot create the runtime: {error}"),
     }
 }
 
 async fn announce(settings: RunnerSettings, address: SocketAddr, state: Arc<State>) {
     let mut entries = Announcer::new(settings.entries.clone());
-    let run = Incarnation(incarnation());
+    let run = Incarnation(random_incarnation());
     let path = format!("/v1/targets/{}", settings.name);
-    let mut known = false;
+    let mut registered = false;
     while !state.stop.load(Ordering::SeqCst) {
-        if state.frozen.load(Ordering::SeqCst) {
-            sleep(AGAIN).await;
+        if state.heartbeats_stopped.load(Ordering::SeqCst) {
+            sleep(RETRY_PAUSE).await;
             continue;
         }
         let busy = state.busy.load(Ordering::SeqCst);
-        let told = if !known {
+        let outcome = if !registered {
             let spec = RunnerSpec {
                 name: settings.name.clone(),
                 incarnation: run,
@@ -168,69 +171,69 @@
                 connections: settings.connections,
                 zone: settings.zone.clone(),
             };
-            entries.tell("/v1/targets", &Announce::Runner { spec, busy }).await
+            entries.send("/v1/targets", &Announce::Runner { spec, busy }).await
         } else if state.leaving.load(Ordering::SeqCst) {
-            entries.tell(&format!("{path}/leave"), &Leave { incarnation: run }).await
+            entries.send(&format!("{path}/leave"), &Leave { incarnation: run }).await
         } else {
-            let beat = Heartbeat { incarnation: run, busy, ..Heartbeat::default() };
-            entries.tell(&format!("{path}/heartbeat"), &beat).await
+            let heartbeat = Heartbeat { incarnation: run, busy, ..Heartbeat::default() };
+            entries.send(&format!("{path}/heartbeat"), &heartbeat).await
         };
-        let pause = match told {
-            AnnounceOutcome::Welcome(welcome) => {
-                known = true;
-                Duration::from_millis(welcome.heartbeat_ms)
+        let pause = match outcome {
+            AnnounceOutcome::Accepted(reply) => {
+                registered = true;
+                Duration::from_millis(reply.heartbeat_ms)
             }
-            AnnounceOutcome::Announce => {
-                known = false;
+            AnnounceOutcome::UnknownTarget => {
+                registered = false;
                 Duration::ZERO
             }
-            AnnounceOutcome::Failed(why) => {
-                log::debug!("runner {}: {why}", settings.name);
-                AGAIN
+            AnnounceOutcome::Failed(error) => {
+                log::debug!("runner {}: {error}", settings.name);
+                RETRY_PAUSE
             }
         };
-        pause_unless(&state, pause).await;
+        sleep_unless_leaving(&state, pause).await;
     }
 }
 
-/// Sleeps in short steps, so that a stop or a leave is said at once.
-async fn pause_unless(state: &State, pause: Duration) {
-    const STEP: Duration = Duration::from_millis(20);
+/// Sleeps for `pause` in short steps, and returns early when the runner stops or leaves.
+async fn sleep_unless_leaving(state: &State, pause: Duration) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let leaving = state.leaving.load(Ordering::SeqCst);
     let until = tokio::time::Instant::now() + pause;
     while tokio::time::Instant::now() < until {
         if state.stop.load(Ordering::SeqCst) || state.leaving.load(Ordering::SeqCst) != leaving {
             return;
         }
-        sleep(STEP.min(until - tokio::time::Instant::now())).await;
+        sleep(POLL_INTERVAL.min(until - tokio::time::Instant::now())).await;
     }
 }
 
-struct Answers {
+struct RequestHandler {
     state: Arc<State>,
     name: Name,
     slots: u32,
 }
 
-/// Counts a request while it is held.
-struct Busy<'a>(&'a Answers);
+/// Counts a request as busy until the guard is dropped.
+struct BusyGuard<'a>(&'a RequestHandler);
 
-impl<'a> Busy<'a> {
-    fn new(answers: &'a Answers, headers: &HeaderMap) -> Self {
-        let state = &answers.state;
+impl<'a> BusyGuard<'a> {
+    fn new(handler: &'a RequestHandler, headers: &HeaderMap) -> Self {
+        let state = &handler.state;
         state.served.fetch_add(1, Ordering::SeqCst);
         let now = state.busy.fetch_add(1, Ordering::SeqCst) + 1;
-        state.most.fetch_max(now, Ordering::SeqCst);
+        state.peak.fetch_max(now, Ordering::SeqCst);
         if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
-            let request = text(headers, "fake-name").unwrap_or_default();
+            let request = header_text(headers, "fake-name").unwrap_or_default();
             let mut checker = checker.lock().unwrap_or_else(PoisonError::into_inner);
-            checker.ran(request, answers.name.as_str(), answers.slots);
+            checker.ran(request, handler.name.as_str(), handler.slots);
         }
-        Self(answers)
+        Self(handler)
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         let state = &self.0.state;
         if let Some(checker) = &*state.checker.lock().unwrap_or_else(PoisonError::into_inner) {
@@ -240,15 +243,15 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
-    text(headers, name).and_then(|value| value.parse().ok())
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
+    header_text(headers, name).and_then(|value| value.parse().ok())
 }
 
-impl Handler for Answers {
+impl Handler for RequestHandler {
     async fn handle(&self, req: WebRequest) -> WebResponse {
         let (head, ext) = req.into_parts();
         let (_, body) = ext.replace_body(());
@@ -257,18 +260,23 @@
             refused.headers_mut().insert("yuccalink-not-run", "1".parse().expect("a constant"));
             return refused;
         }
-        let busy = Busy::new(self, &head.headers);
-        let body = read_body(body, BODY_MAX, Duration::from_secs(30)).await.unwrap_or_default();
-        if let Some(ms) = number(&head.headers, "fake-delay-ms") {
+        let busy = BusyGuard::new(self, &head.headers);
+        let body =
+            read_body(body, BODY_MAX_BYTES, Duration::from_secs(30)).await.unwrap_or_default();
+        if let Some(ms) = header_number(&head.headers, "fake-delay-ms") {
             sleep(Duration::from_millis(ms)).await;
         }
-        let content = match (number(&head.headers, "fake-size"), text(&head.headers, "fake-tag")) {
-            (Some(size), _) => return large(&head.headers, size),
+        let content = match (
+            header_number(&head.headers, "fake-size"),
+            header_text(&head.headers, "fake-tag"),
+        ) {
+            (Some(size), _) => return streamed_response(&head.headers, size),
             (None, Some(tag)) => Bytes::copy_from_slice(tag.as_bytes()),
             (None, None) => body,
         };
         drop(busy);
-        let status = number(&head.headers, "fake-status").and_then(|s| u16::try_from(s).ok());
+        let status =
+            header_number(&head.headers, "fake-status").and_then(|s| u16::try_from(s).ok());
         let mut response = WebResponse::new(ResponseBody::bytes(content));
         *response.status_mut() =
             status.and_then(|s| StatusCode::from_u16(s).ok()).unwrap_or(StatusCode::OK);
@@ -276,19 +284,20 @@
     }
 }
 
-/// An answer of `size` bytes, sent in chunks and broken off if asked to.
-fn large(headers: &HeaderMap, size: u64) -> WebResponse {
+/// Returns a response whose body of `size` bytes is sent in chunks, and which ends after half
+/// of them if the request has the header `fake-cut`.
+fn streamed_response(headers: &HeaderMap, size: u64) -> WebResponse {
     let cut = headers.contains_key("fake-cut");
     let announced = (!headers.contains_key("fake-chunked")).then_some(size);
-    let delay = number(headers, "fake-chunk-delay-ms");
+    let delay = header_number(headers, "fake-chunk-delay-ms");
     let (tx, body) = streamed_body(announced);
     tokio::task::spawn_local(async move {
         let until = if cut { size / 2 } else { size };
         let mut sent = 0;
-        let chunk = Bytes::from(vec![b'y'; CHUNK]);
+        let chunk = Bytes::from(vec![b'y'; CHUNK_BYTES]);
         while sent < until {
-            let count = (until - sent).min(CHUNK as u64);
-            let piece = chunk.slice(..usize::try_from(count).unwrap_or(CHUNK));
+            let count = (until - sent).min(CHUNK_BYTES as u64);
+            let piece = chunk.slice(..usize::try_from(count).unwrap_or(CHUNK_BYTES));
             if tx.send(BodyChunk::Data(piece)).await.is_err() {
                 return;
             }
--- a/crates/operator/src/saved.rs
+++ b/crates/operator/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Saving the state of a system, checking it, and founding a system anew from it.
+//! Saves and verifies snapshots, and creates a data folder to bootstrap a system from one.
 
 use crate::client::Client;
 use crate::command::Output;
@@ -15,33 +15,35 @@
 use yuccalink_state::snapshot::{self, Meta, Snapshot};
 use yuccalink_state::store::Store;
 
-/// Saves the state that the leader has agreed on. The file is whole or not there.
+/// Saves the committed state of the leader. The file is renamed into place after it is
+/// written and synced, so that it is never partial.
 pub(crate) async fn save(client: &Client, file: &str) -> Result<Output> {
     let bytes = client.snapshot().await?;
-    let found = snapshot::decode(&bytes, file).map_err(Error::State)?;
+    let snapshot = snapshot::decode(&bytes, file).map_err(Error::State)?;
     let fail = |source| Error::Write { path: file.into(), source };
-    let draft = format!("{file}.draft");
-    let mut out = File::create(&draft).map_err(fail)?;
+    let temporary = format!("{file}.draft");
+    let mut out = File::create(&temporary).map_err(fail)?;
     out.write_all(&bytes).and_then(|()| out.sync_all()).map_err(fail)?;
-    fs::rename(&draft, file).map_err(fail)?;
-    Ok(described(file, &found))
+    fs::rename(&temporary, file).map_err(fail)?;
+    Ok(summarize(file, &snapshot))
 }
 
-/// Reads a saved state whole and says what is in it.
+/// Reads and checks a snapshot file and returns a summary of its contents.
 pub(crate) fn verify(file: &str) -> Result<Output> {
-    Ok(described(file, &read(file)?))
+    Ok(summarize(file, &read_snapshot(file)?))
 }
 
-/// Makes the data folder of one voter, which then founds the system anew; the
-/// other voters start with empty disks and join it.
+/// Creates the data folder of one voter, which then bootstraps the system from the snapshot.
+/// The other voters start with empty disks and join it.
 pub(crate) fn restore(file: &str, data: &str, name: &Name, address: SocketAddr) -> Result<Output> {
-    let Snapshot { meta, mut state } = read(file)?;
-    let replica = drawn();
+    let Snapshot { meta, mut state } = read_snapshot(file)?;
+    let replica = random_replica_id();
     let address = address.to_string().into();
     let voters = vec![Member { id: ReplicaId(replica), name: name.clone(), address }];
     let members = Members { voters, learners: Vec::new() };
-    let members = peer::encode(&members).map_err(|e| Error::Answer(e.to_string().into()))?;
-    // Terms that the lost system may have reached must not outdo the new one's.
+    let members =
+        peer::encode(&members).map_err(|e| Error::InvalidResponse(e.to_string().into()))?;
+    // The new system must start at a higher term than any that the lost one may have reached.
     let term = meta.term + RESTORE_JUMP;
     let meta = Meta { index: meta.index, term, members: members.into() };
     state.restore_jump();
@@ -54,13 +56,13 @@
     Ok(Output { text, json: json!({ "data": data, "record": meta.index, "name": name }) })
 }
 
-fn read(file: &str) -> Result<Snapshot> {
+fn read_snapshot(file: &str) -> Result<Snapshot> {
     let bytes = fs::read(file).map_err(|source| Error::Read { path: file.into(), source })?;
     snapshot::decode(&bytes, file).map_err(Error::State)
 }
 
-fn described(file: &str, found: &Snapshot) -> Output {
-    let Snapshot { meta, state } = found;
+fn summarize(file: &str, snapshot: &Snapshot) -> Output {
+    let Snapshot { meta, state } = snapshot;
     let services = state.services().count();
     let tasks = state.tasks().count();
     let requests = state.ledger().len();
@@ -81,8 +83,8 @@
     Output { text, json }
 }
 
-/// The identity of the new disk.
-fn drawn() -> u64 {
+/// Returns a random replica id for the new disk. It is odd, so it is never 0.
+fn random_replica_id() -> u64 {
     use rand::TryRng as _;
     rand::rngs::SysRng.try_next_u64().unwrap_or(1) | 1
 }
--- a/crates/protocol/tests/document.rs
+++ b/crates/protocol/tests/document.rs
@@ -1,30 +1,30 @@
-//! Documents: faults with places and remedies, and texts of any kind.
+//! Parsing of service documents: errors with position and remedy, and arbitrary input.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use yuccalink_protocol::document::read;
 use yuccalink_protocol::{peer, request};
 
-const GOOD: &str = include_str!("../../../examples/quotes.toml");
+const VALID: &str = include_str!("../../../examples/quotes.toml");
 
 #[test]
-fn the_examples_are_good() {
-    for text in [GOOD, include_str!("../../../examples/duty-desk.toml")] {
-        read(text).expect("a good document");
+fn the_examples_are_valid() {
+    for text in [VALID, include_str!("../../../examples/duty-desk.toml")] {
+        read(text).expect("a valid document");
     }
 }
 
-/// A team sends a document with many faults. All are reported at once, each with
-/// its place and what to do, so that nobody mends them one by one.
+/// A document with many errors gets all of them reported at once, each with its position and
+/// remedy, so that its author need not fix and resubmit one at a time.
 #[test]
-fn all_faults_are_reported_at_once_with_their_places() {
+fn all_errors_are_reported_at_once_with_their_positions() {
     let text = "service = \"Quotes\"\nversoin = 1\n\n[peak]\ntime-zone = \"Europe/Brno\"\n\
                 start = \"8:30\"\nend = \"17:30\"\n\n[[request]]\nname = \"draft\"\n\
                 path = \"drafts\"\nidempotent = \"yes\"\ndeadline = \"2 seconds\"\n\n\
                 [[task]]\nname = \"cut\"\nprocessors = 0\nmemory = \"512MB\"\n\
                 duration = \"5m\"\nspread = \"rows\"\n\n[gives-up]\nevictions = 3\n";
-    let faults = read(text).expect_err("it has faults");
-    let found: Vec<(usize, &str)> = faults.0.iter().map(|f| (f.line, &*f.field)).collect();
+    let errors = read(text).expect_err("it has errors");
+    let found: Vec<(usize, &str)> = errors.0.iter().map(|f| (f.line, &*f.field)).collect();
     let want = [
         (1, "team"),
         (1, "version"),
@@ -40,8 +40,8 @@
         (20, "task[0].spread"),
         (23, "gives-up.evictions"),
     ];
-    assert_eq!(found, want, "{faults}");
-    let shown = faults.to_string();
+    assert_eq!(found, want, "{errors}");
+    let shown = errors.to_string();
     assert!(
         shown.contains("line 5, column 13: peak.time-zone: `Europe/Brno` is no IANA time zone")
     );
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_contradicts_itself_is_a_fault() {
+fn contradictions_are_rejected() {
     let base = "service='s'\nteam='t'\nversion=1\n";
     let request = |name: &str, path: &str| {
         format!("[[request]]\nname='{name}'\npath='{path}'\nidempotent=true\ndeadline='1s'\n")
@@ -68,8 +68,8 @@
         ("service = ".into(), "not TOML"),
         (format!("{base}# {}", "x".repeat(70_000)), "shorten it"),
     ] {
-        let faults = read(&text).expect_err(what);
-        assert!(faults.to_string().contains(what), "{what}: {faults}");
+        let errors = read(&text).expect_err(what);
+        assert!(errors.to_string().contains(what), "{what}: {errors}");
     }
 }
 
@@ -81,39 +81,39 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,300}") {
+    fn any_text_is_parsed_or_rejected(text in "\\PC{0,300}") {
         let _ = read(&text);
     }
 
-    /// A good document with one place overwritten is read or refused with a
-    /// place within the text.
+    /// A valid document with a few characters overwritten is either parsed or rejected with at
+    /// least one error, each at a line of the text or the one after its last.
     #[test]
-    fn a_changed_document_is_read_or_refused(
+    fn a_changed_document_is_parsed_or_rejected(
         at in any::<prop::sample::Index>(),
         piece in "[\\[\\]=\"'a-z0-9.\\n{}-]{0,8}",
     ) {
-        let mut text = GOOD.to_string();
-        let places: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
-        let start = places[at.index(places.len())];
-        let end = places.iter().copied().find(|p| *p >= start + piece.len()).unwrap_or(text.len());
+        let mut text = VALID.to_string();
+        let offsets: Vec<usize> = text.char_indices().map(|(at, _)| at).collect();
+        let start = offsets[at.index(offsets.len())];
+        let end = offsets.iter().copied().find(|p| *p >= start + piece.len()).unwrap_or(text.len());
         text.replace_range(start..end, &piece);
-        if let Err(faults) = read(&text) {
-            prop_assert!(!faults.0.is_empty());
+        if let Err(errors) = read(&text) {
+            prop_assert!(!errors.0.is_empty());
             let lines = text.lines().count() + 1;
-            prop_assert!(faults.0.iter().all(|f| f.line >= 1 && f.line <= lines));
+            prop_assert!(errors.0.iter().all(|f| f.line >= 1 && f.line <= lines));
         }
     }
 
     #[test]
-    fn any_bytes_are_a_message_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = peer::decode::<peer::LeaderRequest>(&bytes);
         let _ = peer::decode::<peer::LeaderResponse>(&bytes);
         let _ = request::check_key(&bytes);
     }
 
     #[test]
-    fn any_path_is_mapped_or_not(path in "\\PC{0,60}") {
-        let document = read(GOOD).expect("a good document");
+    fn any_path_is_split_at_its_service_or_rejected(path in "\\PC{0,60}") {
+        let document = read(VALID).expect("a valid document");
         if let Some((service, inner)) = request::split(&path) {
             prop_assert!(!service.is_empty() && inner.starts_with('/'));
             let _ = request::kind(&document, "POST", inner);
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn kinds_are_matched_in_order() {
-    let document = read(GOOD).expect("a good document");
+fn request_kinds_are_matched_in_order() {
+    let document = read(VALID).expect("a valid document");
     let kind = |method, path| request::kind(&document, method, path).map(|k| k.name.to_string());
     assert_eq!(kind("GET", "/prices/nets/40mm").as_deref(), Some("price-list"));
     assert_eq!(kind("GET", "/prices").as_deref(), Some("price-list"));
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots: the whole machine in one file, written beside the log and put
-//! in place by a rename, so that a crash leaves either the old or the new.
+//! Snapshots: the whole replicated state in one file next to the log. The file is
+//! put in place by a rename, so a crash leaves either the old or the new snapshot.
 
 use crate::error::{Error, Result};
 use crate::jobs::CellState;
@@ -11,27 +11,28 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-/// Version in the header of each snapshot.
+/// Format version in the header of each snapshot.
 pub const FORMAT: u32 = 2;
 
 const MAGIC: &[u8; 8] = b"YUCCASNP";
-const HEAD: usize = 8 + 4 + 4;
+/// Length of the header: magic, format version and CRC-32 of the body.
+const HEADER_LEN: usize = 8 + 4 + 4;
 const SUFFIX: &str = ".snapshot";
 
-/// What a snapshot stands for.
+/// Metadata of a snapshot: its position in the log, and the members at that position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Meta {
-    /// Index of the last record applied.
+    /// Index of the last applied record.
     pub index: u64,
-    /// That record's term.
+    /// Term of that record.
     pub term: u64,
-    /// The members after it, encoded by the layer above.
+    /// The members after that record, encoded by the coordination layer.
     pub members: Box<[u8]>,
 }
 
-/// State that snapshots can hold: that of services, or that of jobs.
+/// Replicated state that can be stored in a snapshot: that of services or of a job cell.
 pub trait Replicated: Default + Serialize + DeserializeOwned {
-    /// Rebuilds what is derived and so not written to snapshots.
+    /// Rebuilds the indexes, which are not written to snapshots.
     fn reindex(&mut self);
 }
 
@@ -47,19 +48,19 @@
     }
 }
 
-/// A machine and what it stands for.
+/// A replicated state and its metadata.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot<S = StateMachine> {
-    /// The last record applied, and the members.
+    /// The log position and the members.
     pub meta: Meta,
-    /// The state after it.
+    /// The state after the last applied record.
     pub state: S,
 }
 
-/// Encodes a snapshot: header, CRC-32 and state.
+/// Encodes a snapshot: the header, then the metadata and the state as its body.
 ///
 /// # Errors
-/// [`Error::Decode`] when the codec refuses, which it has no cause to.
+/// [`Error::Decode`] if the codec fails, which is not expected for these types.
 ///
 /// ```
 /// # use yuccalink_state::{snapshot::{self, Meta}, StateMachine};
@@ -74,7 +75,7 @@
 {
     let body = postcard::to_stdvec(&(meta, state))
         .map_err(|source| Error::Decode { what: "a snapshot", source })?;
-    let mut buf = Vec::with_capacity(body.len() + HEAD);
+    let mut buf = Vec::with_capacity(body.len() + HEADER_LEN);
     buf.extend_from_slice(MAGIC);
     buf.extend_from_slice(&FORMAT.to_le_bytes());
     buf.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -82,34 +83,35 @@
     Ok(buf)
 }
 
-/// Reads a snapshot back; `shown` names it in errors.
+/// Decodes a snapshot; `shown` is its name in errors.
 ///
 /// # Errors
-/// [`Error::DamagedMiddle`] when it is not whole, [`Error::Version`] when
-/// another release wrote it.
+/// [`Error::DamagedMiddle`] if the snapshot is damaged or incomplete,
+/// [`Error::Version`] if it has the format of another release, and [`Error::Decode`] if its
+/// body is not a state of this type.
 pub fn decode(buf: &[u8], shown: &str) -> Result<Snapshot> {
     decode_as(buf, shown)
 }
 
-/// As [`decode`], for any state.
+/// Same as [`decode`], for any replicated state.
 ///
 /// # Errors
-/// As [`decode`].
+/// The same as for [`decode`].
 pub fn decode_as<S>(buf: &[u8], shown: &str) -> Result<Snapshot<S>>
 where
     S: Replicated,
 {
     let damaged = || Error::DamagedMiddle { path: shown.into(), offset: 0 };
-    if buf.len() < HEAD || &buf[..8] != MAGIC {
+    if buf.len() < HEADER_LEN || &buf[..8] != MAGIC {
         return Err(damaged());
     }
-    let number = |at: usize| buf[at..at + 4].try_into().map_or(0, u32::from_le_bytes);
-    let found = number(8);
+    let read_u32 = |at: usize| buf[at..at + 4].try_into().map_or(0, u32::from_le_bytes);
+    let found = read_u32(8);
     if found != FORMAT {
         return Err(Error::Version { path: shown.into(), found, known: FORMAT });
     }
-    let body = &buf[HEAD..];
-    if crc32fast::hash(body) != number(12) {
+    let body = &buf[HEADER_LEN..];
+    if crc32fast::hash(body) != read_u32(12) {
         return Err(damaged());
     }
     let (meta, mut state): (Meta, S) = postcard::from_bytes(body)
@@ -121,21 +123,23 @@
 /// Writes `bytes` as the snapshot of record `index`; it is durable on return.
 ///
 /// # Errors
-/// [`Error::Io`]; the snapshots there before are untouched.
+/// [`Error::Io`]; existing snapshots are not changed.
 pub fn write(folder: &Path, index: u64, bytes: &[u8]) -> Result<()> {
     let path = folder.join(format!("{index:020}{SUFFIX}"));
-    let draft = folder.join(format!("{index:020}.draft"));
-    let mut f = File::create(&draft).map_err(|e| Error::io("create", &draft, e))?;
-    f.write_all(bytes).map_err(|e| Error::io("write", &draft, e))?;
-    f.sync_all().map_err(|e| Error::io("sync", &draft, e))?;
-    fs::rename(&draft, &path).map_err(|e| Error::io("rename", &draft, e))?;
+    let temporary = folder.join(format!("{index:020}.draft"));
+    let mut f = File::create(&temporary).map_err(|e| Error::io("create", &temporary, e))?;
+    f.write_all(bytes).map_err(|e| Error::io("write", &temporary, e))?;
+    f.sync_all().map_err(|e| Error::io("sync", &temporary, e))?;
+    fs::rename(&temporary, &path).map_err(|e| Error::io("rename", &temporary, e))?;
     sync_folder(folder)
 }
 
-/// The newest intact snapshot, if there is any file at all.
+/// The newest intact snapshot, or `None` if there is no snapshot file.
 ///
 /// # Errors
-/// [`Error::NoSnapshot`] when files are there but none is intact.
+/// [`Error::NoSnapshot`] if there are snapshot files but none is intact, and
+/// [`Error::Version`] if a snapshot in the format of another release is newer than all intact
+/// ones; [`Error::Io`] if the folder or a snapshot file cannot be read.
 pub fn newest<S>(folder: &Path) -> Result<Option<Snapshot<S>>>
 where
     S: Replicated,
@@ -161,16 +165,17 @@
 /// Keeps the `keep` newest snapshots and returns the index of the oldest kept.
 ///
 /// # Errors
-/// [`Error::Io`] when a file cannot be removed.
+/// [`Error::Io`] if a file cannot be removed.
 pub(crate) fn prune(folder: &Path, keep: usize) -> Result<Option<u64>> {
     let found = list(folder)?;
-    let drop = found.len().saturating_sub(keep);
-    for (_, path) in &found[..drop] {
+    let excess = found.len().saturating_sub(keep);
+    for (_, path) in &found[..excess] {
         fs::remove_file(path).map_err(|e| Error::io("remove", path, e))?;
     }
-    Ok(found.get(drop).map(|(index, _)| *index))
+    Ok(found.get(excess).map(|(index, _)| *index))
 }
 
+/// The snapshot files with the indexes in their names, the oldest first.
 fn list(folder: &Path) -> Result<Vec<(u64, PathBuf)>> {
     let mut found = Vec::new();
     let entries = fs::read_dir(folder).map_err(|e| Error::io("list", folder, e))?;
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -1,8 +1,8 @@
-//! The table of jobs: what each command may and may not change.
+//! Tests of the state of a job cell: what each command may and may not change.
 
 use proptest::prelude::*;
 use yuccalink_state::Resources;
-use yuccalink_state::jobs::change::BadChange;
+use yuccalink_state::jobs::change::InvalidChangeSet;
 use yuccalink_state::jobs::*;
 use yuccalink_state::snapshot::{self, Meta};
 
@@ -50,7 +50,7 @@
 }
 
 fn phase(jobs: &CellState) -> JobPhase {
-    jobs.job(JobId(1)).expect("it is there").phase
+    jobs.job(JobId(1)).expect("a job").phase
 }
 
 #[test]
@@ -59,7 +59,7 @@
     assert!(start(&mut jobs, key(0, 0), 1, 0));
     assert!(!start(&mut jobs, key(0, 0), 2, 1), "it may be running");
     end(&mut jobs, key(0, 0), 1, 0, RunOutcome::Stopped);
-    assert!(!start(&mut jobs, key(0, 0), 1, 1), "a run that was there before");
+    assert!(!start(&mut jobs, key(0, 0), 1, 1), "a run number that was used before");
     assert!(start(&mut jobs, key(0, 0), 2, 1));
     assert_eq!(&*jobs.task(key(0, 0)).expect("a task").checkpoint, "s");
 }
@@ -73,7 +73,7 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
     end(&mut jobs, key(0, 0), 3, 0, RunOutcome::Done);
     assert_eq!(phase(&jobs), JobPhase::Completed);
-    assert!(!start(&mut jobs, key(0, 0), 4, 0), "it is done");
+    assert!(!start(&mut jobs, key(0, 0), 4, 0), "the task is done");
 }
 
 #[test]
@@ -116,12 +116,12 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-const SEEN: [LossEvidence; 3] =
+const EVIDENCE: [LossEvidence; 3] =
     [LossEvidence::Nothing, LossEvidence::Ordered, LossEvidence::Working];
 
-/// Another life of the runner that life `of` is one of.
-fn reborn(jobs: &mut CellState, of: u32) -> IncarnationKey {
-    let known = jobs.incarnation(IncarnationKey(of)).expect("a life").clone();
+/// Registers a later incarnation of the runner that incarnation `of` belongs to.
+fn restart_runner(jobs: &mut CellState, of: u32) -> IncarnationKey {
+    let known = jobs.incarnation(IncarnationKey(of)).expect("an incarnation").clone();
     let incarnation = RunnerIncarnation { started_ms: known.started_ms + 1, ..known };
     match jobs.apply(JobCommand::Meet(incarnation)) {
         JobOutcome::Met(key) => key,
@@ -129,24 +129,25 @@
     }
 }
 
-/// Crashes under a task were forgotten with each run.
+/// Guards against crashes under a task being forgotten when its next run starts.
 #[test]
 fn a_task_under_which_too_many_runners_crashed_fails_its_job() {
-    for (seen, most) in
+    for (evidence, most) in
         [(LossEvidence::Ordered, 3), (LossEvidence::Working, 4), (LossEvidence::Nothing, 4)]
     {
         let mut jobs = table(vec![step(1)]);
         for run in 1..=most {
-            assert_eq!(phase(&jobs), JobPhase::Active, "{seen} run {run}");
+            assert_eq!(phase(&jobs), JobPhase::Active, "{evidence} run {run}");
             assert!(start(&mut jobs, key(0, 0), run, run % 3));
-            end(&mut jobs, key(0, 0), run, run % 3, RunOutcome::Crashed(seen));
+            end(&mut jobs, key(0, 0), run, run % 3, RunOutcome::Crashed(evidence));
         }
-        assert_eq!(phase(&jobs), JobPhase::Failed, "{seen}");
+        assert_eq!(phase(&jobs), JobPhase::Failed, "{evidence}");
         assert!(!start(&mut jobs, key(0, 0), most + 1, 0));
     }
 }
 
-/// Runs that failed between crashes let a task be started three times after the third.
+/// Guards against unlimited starts after the third crash: runs that ended otherwise than by a
+/// crash let a task be started a third time after it.
 #[test]
 fn runs_that_end_otherwise_after_three_crashes_are_bounded() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
@@ -162,42 +163,44 @@
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
 
-/// A lease that ended and the next life after it were two marks for one crash.
+/// Guards against counting a crash twice: once for the expired lease, and again for the
+/// runner's next incarnation.
 #[test]
 fn one_crash_counts_once_however_it_is_learnt() {
-    for seen in SEEN {
+    for evidence in EVIDENCE {
         let mut jobs = table(vec![step(1)]);
         for run in 1..=2 {
             assert!(start(&mut jobs, key(0, 0), run, run));
-            end(&mut jobs, key(0, 0), run, run, RunOutcome::Silent(seen));
-            end(&mut jobs, key(0, 0), run, run, RunOutcome::Crashed(seen));
-            reborn(&mut jobs, run);
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Silent(evidence));
+            end(&mut jobs, key(0, 0), run, run, RunOutcome::Crashed(evidence));
+            restart_runner(&mut jobs, run);
         }
         let losses = jobs.losses().of(key(0, 0));
-        assert_eq!(losses.len(), 2, "{seen}");
+        assert_eq!(losses.len(), 2, "{evidence}");
         assert!(losses.iter().all(|loss| loss.fate == RunnerFate::Crashed));
         assert_eq!(phase(&jobs), JobPhase::Active);
     }
 }
 
-/// News of three crashed runners that came after the task was started elsewhere was lost.
+/// Guards against the loss of crashes that become known only after the task was started
+/// elsewhere.
 #[test]
-fn late_news_of_crashed_runners_counts_against_the_task() {
+fn crashes_that_become_known_late_count_against_the_task() {
     let mut jobs = table(vec![step(1)]);
     for run in 1..=3 {
         assert!(start(&mut jobs, key(0, 0), run, run - 1));
         end(&mut jobs, key(0, 0), run, run - 1, RunOutcome::Silent(LossEvidence::Ordered));
     }
-    assert_eq!(phase(&jobs), JobPhase::Active, "they may be cut off");
+    assert_eq!(phase(&jobs), JobPhase::Active, "the runners may be partitioned");
     for incarnation in 0..3 {
-        reborn(&mut jobs, incarnation);
+        restart_runner(&mut jobs, incarnation);
     }
     assert_eq!(phase(&jobs), JobPhase::Failed);
 }
 
-/// Tasks on runners that were cut off, and reported again, were taken for guilty.
+/// Guards against suspecting tasks whose runners were only partitioned and report again.
 #[test]
-fn a_runner_that_reports_again_is_no_mark() {
+fn losses_of_a_runner_that_reports_again_are_removed() {
     let mut jobs = table(vec![step(1)]);
     for run in 1..=9 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
@@ -208,21 +211,21 @@
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-/// A task that lasts and loses a runner now and then would be given up in the end.
+/// Guards against failing a long-running task that loses a runner from time to time.
 #[test]
-fn a_long_run_clears_a_task_of_what_was_before() {
+fn a_long_run_clears_earlier_losses() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
     for run in 1..=20 {
         assert!(start(&mut jobs, key(0, 0), run, 1));
-        let seen = if run % 3 == 0 { LossEvidence::Proven } else { LossEvidence::Ordered };
-        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Crashed(seen));
+        let evidence = if run % 3 == 0 { LossEvidence::Proven } else { LossEvidence::Ordered };
+        end(&mut jobs, key(0, 0), run, 1, RunOutcome::Crashed(evidence));
     }
     assert_eq!(phase(&jobs), JobPhase::Active);
 }
 
-/// Runners that are never heard of again left no bound on the starts of a task.
+/// Guards against unlimited starts of a task whose runners are lost and never report again.
 #[test]
-fn runners_that_never_return_bound_the_starts_as_well() {
+fn runners_that_never_return_limit_the_starts() {
     let mut jobs = table(vec![step(1)]);
     let mut starts = 0;
     while start(&mut jobs, key(0, 0), starts + 1, starts % 3) {
@@ -238,7 +241,7 @@
     assert_eq!(starts, 5);
 }
 
-/// A state written before losses were kept could not be read.
+/// Guards against failing to read a state of an earlier release, which has no losses.
 #[test]
 fn a_state_without_losses_is_read_as_one_with_none() {
     let jobs = table(vec![step(1)]);
@@ -251,7 +254,7 @@
     assert_eq!(back.state, jobs);
 }
 
-/// A long-running task fails as often as it likes; it is started again.
+/// A long-running task is started again however often it fails.
 #[test]
 fn long_running_tasks_never_fail_their_job() {
     let mut jobs = table(vec![StepSpec { long_running: true, ..step(1) }]);
@@ -269,7 +272,7 @@
 }
 
 #[test]
-fn one_end_of_a_gang_stands_for_all() {
+fn a_gang_is_done_when_one_member_is_done() {
     let mut jobs = table(vec![StepSpec { gang: true, ..step(3) }]);
     for index in 0..3 {
         assert!(start(&mut jobs, key(index, 0), 1, 0));
@@ -306,7 +309,7 @@
     assert!(jobs.job(JobId(1)).is_none());
 }
 
-/// The same number is the same job, whatever the resend says.
+/// A submission with a known job number is a resend, whatever else it contains.
 #[test]
 fn a_resent_submission_adds_nothing() {
     let mut jobs = table(vec![step(1)]);
@@ -317,11 +320,11 @@
         jobs.apply(JobCommand::Submit(Box::new(again))),
         JobOutcome::Accepted { new: false }
     );
-    assert_eq!(&*jobs.job(JobId(1)).expect("it").spec.payload, "p");
+    assert_eq!(&*jobs.job(JobId(1)).expect("a job").spec.payload, "p");
 }
 
-/// Of two texts with one version the first committed stays; a lower one never
-/// comes back.
+/// Of two texts with the same version, the first committed one stays; a lower version
+/// never replaces a higher one.
 #[test]
 fn the_highest_version_stays_in_force() {
     let mut jobs = CellState::new();
@@ -332,11 +335,11 @@
     assert_eq!(jobs.apply(change(5, "a")), JobOutcome::Changed(true));
     assert_eq!(jobs.apply(change(5, "b")), JobOutcome::Changed(false));
     assert_eq!(jobs.apply(change(4, "c")), JobOutcome::Changed(false));
-    assert_eq!(&*jobs.change_set().expect("one").text, b"a");
+    assert_eq!(&*jobs.change_set().expect("a change set").text, b"a");
 }
 
 #[test]
-fn changes_with_faults_are_told() {
+fn invalid_change_sets_are_refused() {
     let queue = |name: &str, prefix: &str| Queue {
         name: name.into(),
         prefix: prefix.into(),
@@ -350,32 +353,32 @@
     assert_eq!(good.check(), Ok(()));
     let mut bad = good.clone();
     bad.queues.push(queue("b", "/a/"));
-    assert_eq!(bad.check(), Err(BadChange::SamePlace("".into(), "/a/".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::SamePlace("".into(), "/a/".into())));
     let mut bad = good.clone();
     bad.queues[0].timeout_ms = 0;
-    assert_eq!(bad.check(), Err(BadChange::NoTimeout("a".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::NoTimeout("a".into())));
     let mut bad = good;
     bad.pools.clear();
-    assert_eq!(bad.check(), Err(BadChange::UnknownPool("a".into(), "p".into())));
+    assert_eq!(bad.check(), Err(InvalidChangeSet::UnknownPool("a".into(), "p".into())));
 }
 
 proptest! {
-    /// Whatever happened, a snapshot brings back the same state, derived parts too.
+    /// After any history, a snapshot restores the same state, including the indexes.
     #[test]
-    fn a_snapshot_brings_everything_back(moves in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
+    fn a_snapshot_restores_everything(actions in prop::collection::vec((0u16..4, 0u32..3, 0u8..9), 0..60)) {
         let mut jobs = table(vec![step(2), StepSpec { depends_on: vec![0], ..step(2) }]);
-        for (at, incarnation, what) in moves {
-            let how_lost = SEEN[usize::from(at) % SEEN.len()];
+        for (at, incarnation, action) in actions {
+            let evidence = EVIDENCE[usize::from(at) % EVIDENCE.len()];
             let task = key(at % 2, at / 2);
             let last = jobs.task(task).map_or(0, |task| task.last_run);
-            match what {
+            match action {
                 0 | 1 => { start(&mut jobs, task, last + 1, incarnation); }
                 2 => end(&mut jobs, task, last, incarnation, RunOutcome::Done),
                 3 => end(&mut jobs, task, last, incarnation, RunOutcome::Stopped),
                 4 => end(&mut jobs, task, last, incarnation, RunOutcome::Failed),
-                5 => end(&mut jobs, task, last, incarnation, RunOutcome::Silent(how_lost)),
-                6 => end(&mut jobs, task, last, incarnation, RunOutcome::Crashed(how_lost)),
-                7 => { reborn(&mut jobs, incarnation); }
+                5 => end(&mut jobs, task, last, incarnation, RunOutcome::Silent(evidence)),
+                6 => end(&mut jobs, task, last, incarnation, RunOutcome::Crashed(evidence)),
+                7 => { restart_runner(&mut jobs, incarnation); }
                 _ => end(&mut jobs, task, last, incarnation, RunOutcome::Lapsed),
             }
         }
@@ -385,15 +388,15 @@
     }
 
     #[test]
-    fn names_of_tasks_are_read_back(job in any::<u64>(), occurrence in any::<u32>(), step in any::<u16>(), index in any::<u16>()) {
+    fn task_keys_are_parsed_back(job in any::<u64>(), occurrence in any::<u32>(), step in any::<u16>(), index in any::<u16>()) {
         let key = TaskKey { job: JobId(job), occurrence, step, index };
         prop_assert_eq!(TaskKey::parse(&key.to_string()), Some(key));
     }
 
     #[test]
-    fn other_texts_are_no_names_of_tasks(text in "[0-9a-fA-F.]{0,30}") {
+    fn other_texts_are_no_task_keys(text in "[0-9a-fA-F.]{0,30}") {
         if let Some(key) = TaskKey::parse(&text) {
-            // Only leading zeros may differ.
+            // Accepted texts may differ from the printed form in leading zeros.
             prop_assert_eq!(TaskKey::parse(&key.to_string()), Some(key));
         }
     }
