--- a/crates/fakes/src/caller.rs
+++ b/crates/fakes/src/caller.rs
@@ -1,5 +1,5 @@
-//! A small caller that blocks: one request at a time, over HTTP/1.1, with
-//! connections kept open.
+//! A small HTTP/1.1 caller: [`Caller::send`] blocks until the response is complete,
+//! [`Caller::send_on`] is the asynchronous variant on a shared connection pool.
 
 use crate::runner::run_local;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 
 const ANSWER_MAX: usize = 256 * 1024 * 1024;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct CallerResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete response body.
     pub body: Vec<u8>,
 }
 
 impl CallerResponse {
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as a problem document, if it is one.
+    /// Returns the body as a problem document, if it is one.
     pub fn problem(&self) -> Option<Problem> {
         serde_json::from_slice(&self.body).ok()
     }
@@ -43,24 +43,24 @@
 }
 
 impl Caller {
-    /// A caller of `to`.
+    /// Creates a caller that sends its requests to `to`.
     pub fn new(to: SocketAddr) -> Self {
         Self { to, headers: Vec::new(), timeout: Duration::from_secs(20) }
     }
 
-    /// The same, with one more header on each request.
+    /// Adds a header to every request.
     #[must_use]
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.into(), value.into()));
         self
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
-    /// Why there was no whole answer, in words.
+    /// The reason why there was no complete response.
     pub fn send(&self, method: &str, path: &str, body: &[u8]) -> Result<CallerResponse, String> {
-        let mut result = Err("it was not sent".to_string());
+        let mut result = Err("the request was not sent".to_string());
         run_local(async {
             let pool = Pool::new(PoolSettings::default());
             result = self.send_on(&pool, method, path, body).await;
@@ -68,10 +68,10 @@
         result
     }
 
-    /// The same on connections of `pool`, for callers that are futures already.
+    /// Sends a request on a connection of `pool`; for asynchronous callers.
     ///
     /// # Errors
-    /// Why there was no whole answer, in words.
+    /// The reason why there was no complete response.
     pub async fn send_on(
         &self,
         pool: &Pool,
@@ -79,7 +79,7 @@
         path: &str,
         body: &[u8],
     ) -> Result<CallerResponse, String> {
-        let method: Method = method.parse().map_err(|_| "not a method".to_string())?;
+        let method: Method = method.parse().map_err(|_| "invalid HTTP method".to_string())?;
         let mut req =
             Request::builder().method(method).uri(path).header(header::HOST, self.to.to_string());
         for (name, value) in &self.headers {
@@ -90,14 +90,14 @@
         let mut answer = pool.send(self.to, req, deadline).await.map_err(|e| e.to_string())?;
         let whole = tokio::time::timeout_at(deadline, answer.collect_body(ANSWER_MAX)).await;
         let body = whole
-            .map_err(|_| "the answer came too slowly".to_string())?
-            .map_err(|e| format!("the answer broke off: {e}"))?
-            .ok_or("the answer is too large")?;
+            .map_err(|_| "the response was not complete before the deadline".to_string())?
+            .map_err(|e| format!("the response ended early: {e}"))?
+            .ok_or("the response body is too large")?;
         let status = answer.head.status.as_u16();
         Ok(CallerResponse { status, headers: answer.head.headers, body: body.to_vec() })
     }
 
-    /// `GET path`.
+    /// Sends `GET path`.
     ///
     /// # Errors
     /// As [`Caller::send`].
@@ -105,7 +105,7 @@
         self.send("GET", path, b"")
     }
 
-    /// `POST path`.
+    /// Sends `POST path`.
     ///
     /// # Errors
     /// As [`Caller::send`].
@@ -113,7 +113,7 @@
         self.send("POST", path, body)
     }
 
-    /// `PUT path`.
+    /// Sends `PUT path`.
     ///
     /// # Errors
     /// As [`Caller::send`].
--- a/crates/fakes/src/emulator.rs
+++ b/crates/fakes/src/emulator.rs
@@ -1,6 +1,6 @@
-//! A runner of a job cell, emulated without a network: it obeys orders, keeps leases,
-//! ends tasks, and reports. Time and truth come from outside, so that a whole day of
-//! many runners plays in a moment, the same each time.
+//! Emulates a runner of a job cell without a network: it applies orders, observes leases,
+//! ends tasks and sends reports. The caller supplies the time and the behavior of the tasks,
+//! so that a whole day of many runners is simulated quickly and deterministically.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,35 +11,37 @@
 use yuccalink_state::Resources;
 use yuccalink_state::jobs::{RunOutcome, TaskKey};
 
-/// Ends listed in one report.
+/// Largest number of finished runs in one report.
 const LISTED_MAX: usize = 500;
-/// How long a stop takes.
+/// Time from the order to stop a run until its end.
 const STOP_TIME: Duration = Duration::from_millis(100);
-/// A room that has shrunk may still be filled for this long: nobody is in touch for the first
-/// part, and the rest is one report.
+/// Time after a reduction of the capacity during which the leader may still start tasks up to
+/// the former capacity: no process may be reachable for the first part of it, and the rest is
+/// the interval of one report.
 const SHRINKS_WITHIN: Duration = Duration::from_millis(4_500);
-/// A response later than this is dropped.
+/// A response that arrives later than this after its report was sent is ignored.
 const DROP_AFTER: Duration = Duration::from_secs(1);
 
-/// How many times as long a slow runner takes.
+/// Factor by which tasks on a slow runner take longer.
 const SLOW_FACTOR: u32 = 5;
 
 /// A task that makes its runner crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// How long after its start.
+    /// Time from the start of the run to the crash.
     pub after: Duration,
-    /// In how many of a thousand runs.
+    /// Number of runs in a thousand that crash their runner.
     pub per_mille: u16,
 }
 
 impl Crash {
-    /// Each run crashes its runner that long after its start.
+    /// Every run crashes its runner `after` its start.
     pub const fn each(after: Duration) -> Self {
         Self { after, per_mille: 1_000 }
     }
 
-    /// Whether this run does, the same each time it is asked.
+    /// Returns whether this run crashes its runner; the result is a fixed function of the task
+    /// and the run.
     fn strikes(self, task: TaskKey, run: u32) -> bool {
         const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
         let seed = task.job.0 ^ (u64::from(task.index) << 20) ^ (u64::from(run) << 40);
@@ -47,47 +49,47 @@
     }
 }
 
-/// What is true of one task, whatever was declared.
+/// Actual behavior of a task, whatever was declared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TaskBehavior {
-    /// Work on a sound runner.
+    /// Run time on a healthy runner.
     pub run_time: Duration,
-    /// It fails at the end of its work.
+    /// The task fails at the end of its run time.
     pub fails: bool,
-    /// It runs until it is stopped.
+    /// The task runs until it is stopped.
     pub long_running: bool,
-    /// What it takes of a runner.
+    /// Resources that the task actually uses.
     pub actual_usage: Resources,
-    /// It crashes its runner.
+    /// When and how often the task crashes its runner, if it does.
     pub crash: Option<Crash>,
 }
 
-/// What happened on a runner, for whoever checks.
+/// An event on an emulated runner, for invariant checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunnerEvent {
-    /// A run began.
+    /// A run started.
     Started {
-        /// Whose.
+        /// Task of the run.
         task: TaskKey,
-        /// Which.
+        /// Number of the run.
         run: u32,
-        /// When.
+        /// Time of the start.
         at: Moment,
     },
     /// A run ended.
     Ended {
-        /// Whose.
+        /// Task of the run.
         task: TaskKey,
-        /// Which.
+        /// Number of the run.
         run: u32,
-        /// How.
+        /// How the run ended.
         outcome: RunOutcome,
-        /// When.
+        /// Time of the end.
         at: Moment,
     },
-    /// The cell has noted ends up to this number.
+    /// The leader has acknowledged the finished runs up to this number.
     EndsAcknowledged(u64),
-    /// The lease ran out.
+    /// The lease expired at this time.
     LeaseExpired(Moment),
 }
 
@@ -104,35 +106,35 @@
 /// How an emulated runner misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RunnerFault {
-    /// It does not.
+    /// The runner works correctly.
     #[default]
     None,
-    /// It fails all that it runs, at once.
+    /// Every task fails immediately.
     FailsAll,
-    /// Its tasks stand still.
+    /// Tasks make no progress.
     TasksStall,
-    /// It takes five times as long.
+    /// Tasks take five times as long.
     Slow,
 }
 
-/// One life of an emulated runner.
+/// One incarnation of an emulated runner.
 #[derive(Clone, Debug)]
 pub struct EmulatedRunner {
-    /// Its name.
+    /// Name of the runner.
     pub id: Box<str>,
-    /// Where it listens.
+    /// Address that the runner reports.
     pub address: Box<str>,
-    /// When its life began.
+    /// Start of this incarnation, in ms.
     pub started_ms: u64,
-    /// How it misbehaves.
+    /// How the runner misbehaves.
     pub fault: RunnerFault,
-    /// Whether it takes new tasks.
+    /// State in the reports, which says whether the runner accepts new tasks.
     pub state: RunnerState,
-    /// When it leaves, where it says so.
+    /// Announced time at which the runner terminates, if any.
     pub terminates_at: Option<Moment>,
-    /// All that it has.
+    /// Total resources of the runner.
     pub capacity: Resources,
-    /// Its clock runs this much slow, in parts per million.
+    /// How much the clock of the runner is slow, in parts per million.
     pub slow_ppm: u64,
     rack: Box<str>,
     sequence: u64,
@@ -145,13 +147,13 @@
     highest: BTreeMap<TaskKey, u32>,
     at: Moment,
     events: Vec<RunnerEvent>,
-    /// Rooms that it had before it shrank, and until when they count.
+    /// Capacities before a reduction, each with the time until which it may still be in use.
     former: Vec<(Moment, Resources)>,
     crashed_by: Option<TaskKey>,
 }
 
 impl EmulatedRunner {
-    /// A new life, with nothing running.
+    /// Creates an incarnation without running tasks.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -186,33 +188,33 @@
         }
     }
 
-    /// The task that has crashed this runner. Nothing is left of its life.
+    /// Returns the task that has crashed this runner, if any. The incarnation is then over.
     pub fn crashed_by(&self) -> Option<TaskKey> {
         self.crashed_by
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<RunnerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether a task runs here.
+    /// Returns whether `task` runs on this runner.
     pub fn is_running(&self, task: TaskKey) -> bool {
         self.runs.contains_key(&task)
     }
 
-    /// All that runs here.
+    /// Returns the running tasks.
     pub fn running(&self) -> impl Iterator<Item = TaskKey> {
         self.runs.keys().copied()
     }
 
-    /// What all that runs takes.
+    /// Returns the resources that the running tasks actually use.
     pub fn resources_in_use(&self) -> Resources {
         let all = self.runs.values().map(|run| run.behavior.actual_usage);
         all.fold(Resources::ZERO, |sum, need| sum.plus(need).unwrap_or(sum))
     }
 
-    /// Gives it more or less room.
+    /// Changes the capacity of the runner.
     ///
     /// ```
     /// use yuccalink_coordination::Moment;
@@ -229,7 +231,8 @@
         }
     }
 
-    /// Whether all that runs fits its room, or one that it had until lately.
+    /// Returns whether the running tasks fit the current capacity, or one that was reduced
+    /// so recently that the leader may not know.
     pub fn is_within_capacity(&mut self, now: Moment) -> bool {
         self.former.retain(|(until, _)| now < *until);
         let mut rooms = self.former.iter().map(|(_, room)| *room).chain([self.capacity]);
@@ -237,7 +240,7 @@
         rooms.any(|room| room.covers(taken))
     }
 
-    /// Lets time pass: tasks work and end, leases run out.
+    /// Advances the time to `now`: tasks progress and end, and the lease may expire.
     pub fn advance(&mut self, now: Moment) {
         let passed = now.since(self.at);
         self.at = now;
@@ -299,7 +302,7 @@
         self.events.push(RunnerEvent::Ended { task, run: run.run, outcome, at: self.at });
     }
 
-    /// The next report.
+    /// Advances the time to `now` and returns the next report.
     pub fn report(&mut self, now: Moment) -> RunnerReport {
         self.advance(now);
         self.sequence += 1;
@@ -327,7 +330,7 @@
         }
     }
 
-    /// Obeys the answer to a report that was sent at `sent`.
+    /// Applies the orders in the response to the report that was sent at `sent`.
     pub fn apply_orders<F>(&mut self, now: Moment, sent: Moment, orders: &RunnerOrders, behavior: F)
     where
         F: Fn(TaskKey) -> Option<TaskBehavior>,
@@ -350,7 +353,7 @@
         if orders.lease_ms == 0 {
             return;
         }
-        // A slow clock takes longer to count the same span.
+        // A slow clock takes longer to measure the lease.
         let span = Duration::from_millis(orders.lease_ms);
         let slow = Duration::from_micros(orders.lease_ms * self.slow_ppm / 1_000);
         self.lease_end = self.lease_end.max(sent + span + slow);
@@ -396,7 +399,8 @@
     }
 }
 
-/// The checkpoint of a run names its task, so that a mix-up shows.
+/// Returns the checkpoint of a run. It names its task, so that a checkpoint that is passed to
+/// the wrong task is detected.
 pub fn checkpoint_text(task: TaskKey, run: u32) -> Box<str> {
     format!("{task}/{run}").into()
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what is outside: a runner, a worker, a caller and a slow link, each
-//! written against the public protocol only. The examples are thin wraps of
-//! them, and tests watch through them what really happens to requests and tasks.
+//! Fakes of the external parties: a runner, a worker, a caller and a slow network link. Each
+//! uses only the public protocol. The examples are thin wrappers around them, and tests use
+//! them to observe what happens to requests and tasks.
 
 pub mod caller;
 pub mod emulator;
--- a/crates/fakes/src/runner.rs
+++ b/crates/fakes/src/runner.rs
@@ -1,9 +1,10 @@
-//! A small runner: answers requests as their headers ask it to.
+//! A small runner whose responses are controlled by request headers.
 //!
-//! `fake-delay-ms` waits, `fake-size` sends that many bytes, `fake-status` sets
-//! the status, `fake-cut` breaks off after half, `fake-chunked` hides the length,
-//! `fake-refuse` refuses before starting. The answer repeats the request's
-//! `fake-tag` header, or else its body.
+//! `fake-delay-ms` delays the response, `fake-size` sets the size of its body in bytes,
+//! `fake-status` sets its status, `fake-cut` ends the body after half, `fake-chunked` omits the
+//! content length, `fake-chunk-delay-ms` adds a delay after each chunk, and `fake-refuse` refuses
+//! the request before it starts. The response repeats the request's `fake-tag` header, or else
+//! its body.
 
 use crate::target::{AnnounceOutcome, Announcer, incarnation};
 use bytes::Bytes;
@@ -27,27 +28,27 @@
 
 const BODY_MAX: usize = 64 * 1024 * 1024;
 const CHUNK: usize = 64 * 1024;
-/// Pause after an announcement that was not taken.
+/// Pause after a message that no entry accepted.
 const AGAIN: Duration = Duration::from_millis(200);
 
-/// What a runner is.
+/// Settings of a fake runner.
 #[derive(Clone, Debug)]
 pub struct RunnerSettings {
-    /// Its name.
+    /// Name of the runner.
     pub name: Name,
-    /// The service it answers for.
+    /// Service whose requests it answers.
     pub service: Name,
-    /// Its availability zone.
+    /// Availability zone of the runner.
     pub zone: Name,
-    /// Requests at once.
+    /// Number of concurrent requests.
     pub slots: u32,
-    /// Connections at once.
+    /// Number of concurrent connections.
     pub connections: u32,
-    /// Where it listens; port 0 takes any.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where entries take announcements.
+    /// Addresses of the entries that accept announcements.
     pub entries: Vec<SocketAddr>,
-    /// Threads that answer.
+    /// Number of server threads.
     pub threads: usize,
 }
 
@@ -62,7 +63,7 @@
     checker: Mutex<Option<Arc<Mutex<RequestChecker>>>>,
 }
 
-/// A running runner.
+/// A fake runner that has been started.
 pub struct FakeRunner {
     address: SocketAddr,
     state: Arc<State>,
@@ -71,10 +72,10 @@
 }
 
 impl FakeRunner {
-    /// Listens, and announces itself until it is taken.
+    /// Starts to listen, and announces the runner until an entry accepts it.
     ///
     /// # Errors
-    /// When it cannot listen.
+    /// If the runner cannot listen.
     pub fn start(settings: RunnerSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
@@ -94,37 +95,39 @@
         Ok(Self { address, state, server: Some(server), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the runner listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Most requests it ever held at once.
+    /// Returns the highest number of concurrent requests so far.
     pub fn peak_requests(&self) -> u32 {
         self.state.most.load(Ordering::SeqCst)
     }
 
-    /// Requests it has begun.
+    /// Returns the number of requests that have started.
     pub fn served(&self) -> u64 {
         self.state.served.load(Ordering::SeqCst)
     }
 
-    /// Reports what it does to `checker`; requests are named by `fake-name`.
+    /// Reports the start and end of each request to `checker`. The `fake-name` header names
+    /// the request.
     pub fn set_checker(&self, checker: Arc<Mutex<RequestChecker>>) {
         *self.state.checker.lock().unwrap_or_else(PoisonError::into_inner) = Some(checker);
     }
 
-    /// Says that it leaves; goes on answering.
+    /// Sends leave notices instead of heartbeats; the runner continues to answer requests.
     pub fn leave(&self) {
         self.state.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Stops its heartbeats, as a cut-off runner's would be; goes on answering.
+    /// Stops the heartbeats, as a network partition would; the runner continues to answer
+    /// requests.
     pub fn stop_heartbeats(&self) {
         self.state.frozen.store(true, Ordering::SeqCst);
     }
 
-    /// Stops it.
+    /// Stops the runner.
     pub fn stop(&mut self) {
         self.state.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -136,14 +139,14 @@
     }
 }
 
-/// Runs a future on a runtime of this thread.
+/// Runs a future on a new single-threaded runtime on the current thread.
 pub(crate) fn run_local<F>(work: F)
 where
     F: Future<Output = ()>,
 {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => LocalSet::new().block_on(&runtime, work),
-        Err(error) => log::error!("no runtime: {error}"),
+        Err(error) => log::error!("cannot create the runtime: {error}"),
     }
 }
 
@@ -193,7 +196,7 @@
     }
 }
 
-/// Sleeps in short steps, so that a stop or a leave is said at once.
+/// Sleeps for `pause` in short steps, and returns early when the runner stops or leaves.
 async fn pause_unless(state: &State, pause: Duration) {
     const STEP: Duration = Duration::from_millis(20);
     let leaving = state.leaving.load(Ordering::SeqCst);
@@ -212,7 +215,7 @@
     slots: u32,
 }
 
-/// Counts a request while it is held.
+/// Counts a request as busy until it is dropped.
 struct Busy<'a>(&'a Answers);
 
 impl<'a> Busy<'a> {
@@ -276,7 +279,8 @@
     }
 }
 
-/// An answer of `size` bytes, sent in chunks and broken off if asked to.
+/// Returns a response whose body of `size` bytes is sent in chunks, and which ends after half
+/// of them if the request has the header `fake-cut`.
 fn large(headers: &HeaderMap, size: u64) -> WebResponse {
     let cut = headers.contains_key("fake-cut");
     let announced = (!headers.contains_key("fake-chunked")).then_some(size);
--- a/crates/fakes/src/slow_link.rs
+++ b/crates/fakes/src/slow_link.rs
@@ -1,18 +1,18 @@
-//! A link that carries little: a forwarder between two processes.
+//! A TCP forwarder that limits the throughput between two processes.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-/// Bytes that pass at once.
+/// Largest number of bytes forwarded at once.
 const PIECE: usize = 1_000;
 
-/// Forwards connections at `at` to `to`, each direction of each at `rate` bytes a second,
-/// until the process ends.
+/// Forwards connections from `at` to `to` until the process exits. Each direction of each
+/// connection carries `rate` bytes per second.
 ///
 /// # Errors
-/// When `at` is taken.
+/// If `at` cannot be bound, for example because it is in use.
 ///
 /// ```
 /// use std::io::{Read, Write};
@@ -55,7 +55,7 @@
             break;
         }
     }
-    // Either may be closed already.
+    // Either socket may be closed already.
     let _ = into.shutdown(Shutdown::Both);
     let _ = from.shutdown(Shutdown::Both);
 }
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -1,4 +1,5 @@
-//! What runners and workers share: announcing, heartbeats, and a last word.
+//! Messages that runners and workers send to the entries: announcements, heartbeats and leave
+//! notices.
 
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -8,24 +9,24 @@
 use yuccalink_transport::http::{Request, header};
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
-/// Longest wait for an answer.
+/// Deadline for a complete response.
 const TIMEOUT: Duration = Duration::from_secs(2);
 const ANSWER_MAX: usize = 1024 * 1024;
 
-/// Talks to the entries, one after the other, as the balancer would have it.
+/// Sends messages to the entries in round-robin order, as a load balancer would.
 pub(crate) struct Announcer {
     entries: Vec<SocketAddr>,
     next: usize,
     pool: Pool,
 }
 
-/// What a message to an entry came to.
+/// Result of a message to an entry.
 pub(crate) enum AnnounceOutcome {
-    /// It was taken.
+    /// The entry accepted the message.
     Welcome(HeartbeatReply),
-    /// The target is not known: it must announce itself.
+    /// The entry does not know the target, which must announce itself.
     Announce,
-    /// Something else; try again.
+    /// Any other result; the message must be sent again.
     Failed(String),
 }
 
@@ -39,7 +40,7 @@
         T: Serialize,
     {
         let Some(entry) = self.entries.get(self.next % self.entries.len().max(1)).copied() else {
-            return AnnounceOutcome::Failed("no entry is set".into());
+            return AnnounceOutcome::Failed("no entry address is configured".into());
         };
         self.next += 1;
         match self.post(entry, path, message).await {
@@ -83,7 +84,7 @@
     }
 }
 
-/// A number for this run of the program.
+/// Draws a random incarnation number for this run of the process.
 pub(crate) fn incarnation() -> u64 {
     use rand::TryRng as _;
     rand::rngs::SysRng.try_next_u64().unwrap_or(1) >> 1
--- a/crates/soak/examples/soak.rs
+++ b/crates/soak/examples/soak.rs
@@ -1,6 +1,6 @@
-//! Runs seeds by hand: `cargo run --release -p yuccalink-soak --example soak -- PROGRAM
-//! [--from SEED] [--seeds N] [--seconds N] [--nodes N] [--disks N] [--runners N] [--crashes]`.
-//! Folders of seeds that broke a promise are kept and named.
+//! Runs soaks from the command line: `cargo run --release -p yuccalink-soak --example soak --
+//! PROGRAM [--from SEED] [--seeds N] [--seconds N] [--nodes N] [--disks N] [--runners N]
+//! [--crashes]`. If a seed violates a guarantee, its folder is kept and its path printed.
 
 use lexopt::{Arg, Parser, ValueExt};
 use std::process::ExitCode;
@@ -36,7 +36,8 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let program: std::path::PathBuf = program.ok_or("name the program yuccalinkd")?;
+    let program: std::path::PathBuf =
+        program.ok_or("the path of the program yuccalinkd is missing")?;
     let mut red = 0;
     for seed in from..from + seeds {
         let folder = tempfile::tempdir()?;
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and an operator, who send again whatever got no clear answer.
+//! Callers and an operator that retry each request until it gets a definite response.
 
 use crate::watch::Watch;
 use rand::{RngExt as _, SeedableRng as _};
@@ -20,10 +20,10 @@
 const AGAIN: Duration = Duration::from_millis(200);
 const REDIRECTS_MAX: usize = 2;
 const CHANGE: &str = "/v1/change";
-/// Queues of a large version: about 350 KB of text.
+/// Additional queues of a large change set, about 350 KB of JSON.
 const MANY_QUEUES: usize = 2_400;
 
-/// Who asks, and whom.
+/// Sends requests to the processes in round-robin order.
 pub(crate) struct Asker {
     pool: Pool,
     nodes: Vec<SocketAddr>,
@@ -35,7 +35,7 @@
         Self { pool: Pool::new(PoolSettings::default()), nodes, next: first }
     }
 
-    /// One try, at the next process and where it redirects to.
+    /// Sends a request once to the next process, and follows its redirects.
     async fn ask(&mut self, method: Method, path: &str, body: Vec<u8>) -> Option<(u16, Vec<u8>)> {
         self.next += 1;
         let mut to = self.nodes[self.next % self.nodes.len()];
@@ -57,7 +57,7 @@
         None
     }
 
-    /// The version of the change set in force, as the next process tells it.
+    /// Reads the version of the change set in force from the next process.
     pub(crate) async fn read_version(&mut self) -> Option<u64> {
         match self.ask(Method::GET, CHANGE, Vec::new()).await? {
             (200, body) => serde_json::from_slice::<Value>(&body).ok()?["version"].as_u64(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Hands in a job every `gap` until the time is up.
+/// Submits jobs until the time `until`, with a pause of `gap` after each.
 pub(crate) async fn submit(
     mut asker: Asker,
     watch: Rc<RefCell<Watch>>,
@@ -91,7 +91,7 @@
                     watch.borrow_mut().accepted(id, count);
                     break;
                 }
-                // Truly not taken, so that it need not be asked for either.
+                // The job was refused, so its state need not be checked.
                 Some((429 | 404 | 400, _)) => break,
                 _ if Instant::now() > until => break,
                 _ => tokio::time::sleep(AGAIN).await,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Asks for the states of open jobs, over and over.
+/// Polls the states of the open jobs.
 pub(crate) async fn ask_states(mut asker: Asker, watch: Rc<RefCell<Watch>>) {
     loop {
         let open = watch.borrow().open();
@@ -125,8 +125,8 @@
     }
 }
 
-/// Puts versions in force, each until it is acknowledged, and reads them back, until
-/// `closing` and the acknowledgement after it.
+/// Applies one change set after the other, each retried until it is acknowledged, and reads the
+/// version in force in between. Once `closing` is set, applies one last change set and returns.
 pub(crate) async fn operate(
     mut asker: Asker,
     watch: Rc<RefCell<Watch>>,
--- a/crates/soak/src/closing.rs
+++ b/crates/soak/src/closing.rs
@@ -1,5 +1,5 @@
-//! The end of a soak: processes and disks are lost right after a change was acknowledged,
-//! and it must be read back at every process.
+//! The end of a soak: processes and disks are lost right after a change set was acknowledged,
+//! and the change set must be read back at every process.
 
 use crate::callers::Asker;
 use crate::plan::Closing;
@@ -9,14 +9,14 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// How long processes stay down.
+/// Time from the final fault until the processes are started again.
 const DOWN: Duration = Duration::from_millis(700);
-/// Longest time from when all processes are started again until each answers a read: the
-/// shortest that the users' platform asks.
+/// Limit on the time from the restart of all processes until each has answered a read: the
+/// strictest limit that the users' platform sets.
 const READ_BACK_MAX: Duration = Duration::from_secs(12);
 const AGAIN: Duration = Duration::from_millis(100);
 
-/// Strikes, starts everything again, and reads the change set back.
+/// Injects the final fault, starts all processes again, and reads the change set back.
 pub(crate) async fn close(
     closing: Closing,
     system: &SharedSystem,
@@ -63,15 +63,15 @@
     wiped.map_or(Ok(()), |at| system.wipe(at))
 }
 
-/// How long after `began` the process answered a read; what is wrong where it did not, or
-/// told of an older version.
+/// Returns the time from `began` until the process answered a read. Fails if it did not answer
+/// in time, or answered with a version older than `version`.
 async fn read_back(mut asker: Asker, version: u64, began: Instant) -> Result<Duration, String> {
     while began.elapsed() < READ_BACK_MAX {
         match asker.read_version().await {
             Some(told) if told >= version => return Ok(began.elapsed()),
-            Some(told) => return Err(format!("it tells of version {told}")),
+            Some(told) => return Err(format!("the process returned version {told}")),
             None => tokio::time::sleep(AGAIN).await,
         }
     }
-    Err(format!("no answer within {READ_BACK_MAX:?}"))
+    Err(format!("no response within {READ_BACK_MAX:?}"))
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! A soak of real programs: the processes of a job cell on loopback addresses, with
-//! proxies between them that delay, reset, silence or cut one way, and signals that
-//! stop, pause, kill and restart them in series that overlap. Emulated runners and
-//! callers check the promises while it runs, by what they see from outside. At the end
-//! processes and disks are lost right after a change was acknowledged, and it is read
-//! back at every process.
+//! Soak test of real programs. It runs the processes of a job cell on loopback addresses.
+//! Proxies between them delay, reset or silence connections, or block one direction; signals
+//! stop, pause, kill and restart processes; faults may overlap. Meanwhile emulated runners and
+//! callers check the guarantees of the cell by what they observe from outside. At the end,
+//! processes and disks are lost right after a change set was acknowledged, and the change set
+//! must be read back at every process.
 //!
-//! Which faults come, when and where is drawn from a seed. The processes themselves
-//! run in real time, so a seed gives the same series of faults, not the same
-//! interleaving. Only processes that a soak started are ever signalled, by their ids.
+//! The kind, time and place of each fault are drawn from a seed. The processes run in real
+//! time, so a seed gives the same series of faults, but not the same interleaving. A soak
+//! signals only processes that it started, by their ids.
 
 mod callers;
 mod closing;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,68 +1,68 @@
-//! Which faults come, when and where: drawn from a seed.
+//! Series of faults, drawn from a seed.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Shortest and longest time between two faults.
+/// Shortest and longest time between two faults, in ms.
 const GAP_MS: std::ops::Range<u64> = 300..2_500;
-/// Least time between two losses of a disk: the one before must have been replaced.
+/// Shortest time between two losses of a disk: the disk lost first must have been replaced.
 const WIPE_GAP: Duration = Duration::from_secs(16);
 
-/// One fault.
+/// A fault that is injected into a process or its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Killed, and started again after a while.
+    /// The process is killed, and started again after this time.
     Kill(Duration),
-    /// Stands still for a while.
+    /// The process is paused for this time.
     Pause(Duration),
-    /// Asked to stop, and started again once it has.
+    /// The process is asked to stop, and started again when it has ended.
     Restart,
-    /// Killed, its disk lost, and started again after a while.
+    /// The process is killed and its disk lost; it is started again after this time.
     Wipe(Duration),
-    /// All traffic to it is late.
+    /// All traffic through the proxy of the process is delayed: by how much, and for how long.
     Delay(Duration, Duration),
-    /// Connections to it go silent, without a reset.
+    /// Connections to the process carry nothing for this time, but are not reset.
     Silence(Duration),
-    /// Only what it sends back is lost.
+    /// Connections to the process carry nothing that it sends back, for this time.
     OneWay(Duration),
-    /// Connections to it are reset.
+    /// Connections to the process are reset.
     Reset,
-    /// All processes with a disk are killed at once.
+    /// All processes with a disk are killed at once, and started again after this time.
     KillDisks(Duration),
 }
 
-/// A fault at a time, on a process.
+/// A fault with its time and process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// From the start of traffic.
+    /// Time of the fault after the start of the traffic.
     pub at: Duration,
-    /// Which process.
+    /// Index of the process.
     pub node: usize,
-    /// What.
+    /// Fault to inject.
     pub fault: InjectedFault,
 }
 
-/// What happens at the end, right after a change was acknowledged.
+/// The final fault, right after a change set was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
     /// All processes are killed at once.
     KillAll,
-    /// The same, and one of them comes back without its disk.
+    /// All processes are killed at once, and this one loses its disk.
     KillAllAndWipe(usize),
-    /// One process with a disk is killed and loses it.
+    /// This process is killed and loses its disk.
     Wipe(usize),
 }
 
 impl Closing {
-    /// Draws the one for `seed`.
+    /// Draws the final fault for `seed`.
     ///
     /// ```
     /// use yuccalink_soak::Closing;
     /// assert_eq!(Closing::draw(7, 3), Closing::draw(7, 3));
     /// ```
     pub fn draw(seed: u64, disks: usize) -> Self {
-        // Apart from the series of faults, which stays as it is for a seed.
+        // A separate random stream, so that the series of faults of a seed stays the same.
         const STREAM: u64 = 0x636c_6f73;
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ STREAM);
         let disk = rng.random_range(0..disks);
@@ -79,7 +79,7 @@
 pub struct Plan(pub Vec<Step>);
 
 impl Plan {
-    /// Draws the series for `seed`.
+    /// Draws the series of faults for `seed`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -118,8 +118,8 @@
                 18 => InjectedFault::Reset,
                 _ => InjectedFault::KillDisks(short),
             };
-            // A disk that is lost must not take with it what only one other holds, so
-            // no other disk is touched while its successor catches up.
+            // While the replacement of a lost disk catches up, some entries may be on one other
+            // disk only. No process with a disk gets a fault during this time.
             let near_wipe = wiped.is_some_and(|last| at > last && at - last < WIPE_GAP / 2);
             let touches_disk = node < disks || matches!(fault, InjectedFault::KillDisks(_));
             if !near_wipe || !touches_disk {
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A forwarder in front of one process that can be told to misbehave.
+//! A TCP proxy in front of one process that can delay, block and reset connections.
 
 use std::cell::Cell;
 use std::io;
@@ -9,36 +9,36 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const BUF: usize = 16 * 1024;
-/// How often a held connection looks whether it may go on.
+/// Time between two checks whether a blocked connection may continue.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// What the link of a process without a disk carries, in bytes a second: 2 Mbit/s.
+/// Throughput of the link of a process without a disk, in bytes per second (2 Mbit/s).
 const SLOW: u64 = 250_000;
 
-/// How a proxy treats its connections now.
+/// The faults that a proxy currently applies to its connections.
 #[derive(Debug, Default)]
 pub(crate) struct Mood {
     pub(crate) delay: Cell<Duration>,
-    /// Nothing passes, either way.
+    /// Nothing is forwarded in either direction.
     pub(crate) silent: Cell<bool>,
-    /// Nothing passes back.
+    /// Nothing that the process sends back is forwarded.
     pub(crate) one_way: Cell<bool>,
-    /// Connections of an older count are closed.
+    /// Number of resets; each increment closes all connections that are open then.
     pub(crate) resets: Cell<u64>,
 }
 
-/// One forwarder: where it listens, where to, and whose links are fast.
+/// A proxy that forwards connections from `at` to `to`.
 #[derive(Clone)]
 pub(crate) struct Proxy {
     pub(crate) at: SocketAddr,
     pub(crate) to: SocketAddr,
     pub(crate) mood: Rc<Mood>,
-    /// Names of processes whose connections are fast.
+    /// Names of the processes whose connections are not limited to [`SLOW`].
     pub(crate) fast: Rc<[Box<str>]>,
 }
 
 impl Proxy {
-    /// Forwards connections until the soak ends.
+    /// Starts to forward connections, until the soak ends.
     pub(crate) async fn serve(self) -> io::Result<()> {
         let listener = TcpListener::bind(self.at).await?;
         tokio::task::spawn_local(async move {
@@ -59,7 +59,7 @@
     let Ok(into) = TcpStream::connect(proxy.to).await else { return };
     let (from_rx, from_tx) = from.into_split();
     let (into_rx, into_tx) = into.into_split();
-    // A process says its name with each greeting; until then its connection is slow.
+    // A process sends its name when it greets its peer; until then its connection is slow.
     let fast = Cell::new(false);
     tokio::select! {
         () = pump(from_rx, into_tx, &proxy, &fast, Way::There) => {}
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One soak: traffic, faults, calm, a final fault, and what it came to.
+//! The phases of a soak: traffic with faults, recovery, and a final fault.
 
 use crate::callers::{self, Asker};
 use crate::closing;
@@ -14,46 +14,48 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::Instant;
 
-/// How a soak is run.
+/// Settings of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakSettings {
-    /// The program `yuccalinkd`.
+    /// Path of the program `yuccalinkd`.
     pub program: PathBuf,
-    /// Where state and logs go; kept by the caller where something was broken.
+    /// Folder for state and logs; the caller keeps it if a guarantee was violated.
     pub folder: PathBuf,
-    /// Decides the faults and the traffic.
+    /// Seed of the faults and the traffic.
     pub seed: u64,
-    /// Processes of the cell.
+    /// Number of processes of the cell.
     pub nodes: usize,
-    /// Those of them with a disk.
+    /// Number of processes with a disk; these come first.
     pub disks: usize,
-    /// Emulated runners.
+    /// Number of emulated runners.
     pub runners: usize,
-    /// How long faults come.
+    /// Time during which faults are injected.
     pub span: Duration,
-    /// Whether some tasks crash their runners, and rooms shrink and grow.
+    /// Whether some tasks crash their runners, and the capacity of runners changes.
     pub crashes: bool,
 }
 
-/// Longest wait for the first version to be in force.
+/// Longest wait until the first change set is acknowledged.
 const START_MAX: Duration = Duration::from_secs(30);
-/// Longest wait, after the last fault, for all jobs to be completed.
+/// Longest wait after the last fault until all jobs have ended.
 const CALM_MAX: Duration = Duration::from_secs(40);
-/// The same, where each crashing task takes several runners for some seconds each.
+/// Longest wait after the last fault if crashes are enabled: each crashing task takes down
+/// several runners for some seconds each.
 const CALM_AFTER_CRASHES_MAX: Duration = Duration::from_secs(90);
-/// After the last fault, for a disk that was lost to be replaced.
+/// Time after the last fault in which a lost disk is replaced.
 const CATCH_UP: Duration = Duration::from_secs(6);
-/// Between two jobs of the caller, and between two versions of the operator.
+/// Pause of a caller after each job.
 const JOB_GAP: Duration = Duration::from_millis(150);
+/// Pause of the operator after each change set.
 const CHANGE_GAP: Duration = Duration::from_millis(1_500);
 const POLL: Duration = Duration::from_millis(50);
-/// Longest time that a process may take to stop when asked.
+/// Longest wait for a process to stop after it was asked to; it is killed afterwards.
 const STOP_MAX: Duration = Duration::from_secs(6);
 
 /// Runs one soak.
 ///
 /// # Errors
-/// When processes cannot be started or files cannot be made.
+/// If processes cannot be started or files cannot be created.
 pub fn run(settings: &SoakSettings) -> io::Result<SoakReport> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, soak(settings))
@@ -76,7 +78,11 @@
     }
     while watch.borrow().version.is_none() {
         if began.elapsed() > START_MAX {
-            watch.borrow_mut().report.broken.push("no version is ever acknowledged".into());
+            watch
+                .borrow_mut()
+                .report
+                .broken
+                .push("no change set was acknowledged at the start".into());
             return Ok(watch.borrow().report.clone());
         }
         tokio::time::sleep(POLL).await;
@@ -112,7 +118,11 @@
         tokio::time::sleep_until(began + step.at).await;
         let fallen = system.borrow_mut().fallen();
         if !fallen.is_empty() {
-            watch.borrow_mut().report.broken.push(format!("{fallen:?} ended by themselves"));
+            watch
+                .borrow_mut()
+                .report
+                .broken
+                .push(format!("processes {fallen:?} ended unexpectedly"));
         }
         watch.borrow_mut().report.faults += 1;
         strikes.spawn_local(strike(*step, system.clone(), watch.clone()));
@@ -165,7 +175,7 @@
         InjectedFault::KillDisks(down) => kill_disks(down, &system).await,
     };
     if let Err(error) = result {
-        watch.borrow_mut().report.broken.push(format!("the soak itself failed: {error}"));
+        watch.borrow_mut().report.broken.push(format!("a fault could not be injected: {error}"));
     }
 }
 
@@ -181,8 +191,8 @@
     Ok(())
 }
 
-/// Asks a process to stop; it must do so in time and with success, unless another
-/// fault takes it meanwhile.
+/// Asks a process to stop, and starts it again. An exit code other than 0 is reported. A process
+/// that another fault pauses may not stop in time and is killed.
 async fn restart(node: usize, system: &SharedSystem, watch: &SharedWatch) -> io::Result<()> {
     system.borrow_mut().stop(node)?;
     let until = Instant::now() + STOP_MAX;
@@ -191,10 +201,14 @@
         match ended {
             Some(true) => break,
             Some(false) => {
-                watch.borrow_mut().report.broken.push(format!("{node} stops with an error"));
+                watch
+                    .borrow_mut()
+                    .report
+                    .broken
+                    .push(format!("process {node} stopped with an error"));
                 break;
             }
-            // It may stand still by another fault.
+            // Another fault may have paused the process.
             None if Instant::now() > until => {
                 system.borrow_mut().kill(node);
                 break;
@@ -205,7 +219,7 @@
     system.borrow_mut().launch(node, false)
 }
 
-/// Ends all faults and waits until every acknowledged job is completed.
+/// Starts the processes that are down and waits until every acknowledged job has ended.
 async fn settle(system: &SharedSystem, watch: &SharedWatch, calm: Duration) {
     let until = Instant::now() + calm;
     while Instant::now() < until && !watch.borrow().open().is_empty() {
@@ -220,7 +234,7 @@
     }
     let open = watch.borrow().open();
     if !open.is_empty() {
-        let what = format!("{} jobs were acknowledged and never completed: {open:?}", open.len());
+        let what = format!("{} acknowledged jobs did not end: {open:?}", open.len());
         watch.borrow_mut().report.broken.push(what);
     }
 }
--- a/crates/soak/src/runners.rs
+++ b/crates/soak/src/runners.rs
@@ -1,4 +1,4 @@
-//! Emulated runners that report over HTTP, to whichever process answers.
+//! Emulated runners that send their reports over HTTP to any process that responds.
 
 use crate::watch::Watch;
 use rand::{RngExt as _, SeedableRng as _};
@@ -17,25 +17,26 @@
 use yuccalink_transport::pool::{Pool, PoolSettings};
 
 const CAPACITY: Resources = Resources { millicores: 8_000, memory_mib: 16_000, accelerators: 0 };
-/// Longest wait for an answer, as on the users' platform.
+/// Deadline for a complete response, as on the users' platform.
 const ANSWER_MAX: Duration = Duration::from_secs(1);
-/// Added to the work of tasks that crash their runner, so that they do.
+/// Added to the run time of tasks that crash their runner, so that they do not end before.
 const WORK_MORE: Duration = Duration::from_millis(500);
 const BODY_MAX: usize = 4 * 1024 * 1024;
-/// Pause after a report that got no answer.
+/// Pause after a report that got no response.
 const AGAIN: Duration = Duration::from_millis(150);
 /// Longest pause between reports.
 const PAUSE_MAX: Duration = Duration::from_millis(1_000);
 
-/// One job in this many crashes runners, where that is asked for.
+/// One job in this many crashes runners, if crashes are enabled.
 const CRASHING_ONE_IN: u64 = 24;
-/// When a crashing task strikes after its start, by its job's number.
+/// Time from the start of a crashing task to the crash, in ms; selected by the job's id.
 const CRASH_AFTER_MS: [u64; 3] = [10, 10, 400];
-/// Shortest and longest time from a crash to the next life.
+/// Shortest and longest time from a crash to the next incarnation, in ms.
 const AWAY_MS: std::ops::Range<u64> = 500..7_000;
-/// Shortest and longest time that a room stays as it is.
+/// Shortest and longest time between two changes of a runner's capacity, in ms.
 const ROOM_STAYS_MS: std::ops::Range<u64> = 500..6_000;
-/// What is true of every task: its work is drawn from its key.
+
+/// Returns the actual behavior of a task; its run time is derived from its key.
 fn behavior(task: TaskKey, crashes: bool) -> TaskBehavior {
     let work = Duration::from_millis(100 + (task.job.0 ^ u64::from(task.index)) % 900);
     let need = Resources { millicores: 1_000, memory_mib: 100, accelerators: 0 };
@@ -50,7 +51,7 @@
     }
 }
 
-/// How a runner's room shrinks and grows.
+/// Changes the capacity of a runner at random times.
 struct Room {
     rng: Pcg64Mcg,
     changes_at: Moment,
@@ -61,7 +62,7 @@
         Self { rng: Pcg64Mcg::seed_from_u64(at as u64), changes_at: now }
     }
 
-    /// Shrinks or grows the room when it is time.
+    /// Draws a new capacity for the runner if the next change is due.
     fn change(&mut self, runner: &mut EmulatedRunner, now: Moment) {
         if now < self.changes_at {
             return;
@@ -72,7 +73,7 @@
     }
 }
 
-/// Runs one runner, life after life, until the soak ends.
+/// Runs the incarnations of one runner, one after the other, until the soak ends.
 pub(crate) async fn run(
     at: usize,
     nodes: Vec<SocketAddr>,
@@ -94,7 +95,7 @@
     }
 }
 
-/// Runs one life until a task makes it crash.
+/// Runs one incarnation until a task crashes it, and returns that task.
 async fn live<F>(
     at: usize,
     mut runner: EmulatedRunner,
@@ -147,7 +148,7 @@
     }
 }
 
-/// Lets time pass; an end cuts the pause short.
+/// Advances the runner for `pause`, and returns early after an event or a crash.
 async fn sleep<F>(
     runner: &mut EmulatedRunner,
     at: usize,
--- a/crates/soak/src/system.rs
+++ b/crates/soak/src/system.rs
@@ -1,4 +1,4 @@
-//! The processes of one cell.
+//! The processes of the cell under test.
 
 use crate::proxy::{Mood, Proxy};
 use std::fs::OpenOptions;
@@ -22,7 +22,7 @@
     nodes: usize,
     disks: usize,
     children: Vec<Option<Child>>,
-    /// Processes that were asked to stop: they end by our word, not by themselves.
+    /// Processes that were asked to stop, so that their end is expected.
     stopping: Vec<bool>,
     pub(crate) moods: Vec<Rc<Mood>>,
 }
@@ -82,7 +82,7 @@
         self.children[at].is_none()
     }
 
-    /// Starts a process, with an empty disk where it has none.
+    /// Starts a process unless it is running; `found` lets it bootstrap a new cell.
     pub(crate) fn launch(&mut self, at: usize, found: bool) -> io::Result<()> {
         if self.children[at].is_some() {
             return Ok(());
@@ -144,7 +144,8 @@
         self.signal(at, "-TERM")
     }
 
-    /// Whether a process that was asked to stop has; its exit code must be 0.
+    /// Returns whether a process that was asked to stop ended with exit code 0, or `None` if
+    /// it is still running. A process that is down for another reason counts as ended.
     pub(crate) fn has_ended(&mut self, at: usize) -> io::Result<Option<bool>> {
         let Some(child) = &mut self.children[at] else { return Ok(Some(true)) };
         let Some(status) = child.try_wait()? else { return Ok(None) };
@@ -152,8 +153,8 @@
         Ok(Some(status.success()))
     }
 
-    /// Processes that have ended by themselves. One that was asked to stop is judged by
-    /// [`Self::has_ended`], which looks a moment later.
+    /// Returns the processes that ended unexpectedly. [`Self::has_ended`] checks those that
+    /// were asked to stop; it may do so only after their end.
     pub(crate) fn fallen(&mut self) -> Vec<usize> {
         let ended = |child: &mut Option<Child>| {
             child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
@@ -176,8 +177,8 @@
     format!("node-{node:03}")
 }
 
-/// Loopback addresses that no other soak of this machine uses, so that processes can
-/// be started again where they were.
+/// Selects a loopback network for this soak by the id of its process, so that soaks on one
+/// machine do not share addresses and a process can be restarted on its former address.
 fn network() -> [u8; 2] {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = std::process::id().wrapping_mul(16) + NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/soak/src/watch.rs
+++ b/crates/soak/src/watch.rs
@@ -1,4 +1,4 @@
-//! What runners and callers saw, checked against the promises while it comes in.
+//! Checks what runners and callers observe against the guarantees of the cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use yuccalink_fakes::emulator::RunnerEvent;
 use yuccalink_state::jobs::{JobId, RunOutcome, TaskKey};
 
-/// Time after an acknowledgement from which everybody must know of it.
+/// Time after the acknowledgement of a job from which every process must know it.
 const VISIBLE_AFTER: Duration = Duration::from_secs(3);
 
-/// What a soak came to.
+/// Result of a soak.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
-    /// Promises that were broken, in the order in which it showed.
+    /// Violated guarantees, in the order of their detection.
     pub broken: Vec<String>,
-    /// Jobs that were acknowledged.
+    /// Number of acknowledged jobs.
     pub accepted: usize,
-    /// Jobs that were seen completed.
+    /// Number of jobs that were reported as completed.
     pub completed: usize,
-    /// Jobs that were seen failed, since their tasks crash each runner.
+    /// Number of jobs that were reported as failed after runners had crashed under their tasks.
     pub given_up: usize,
-    /// Of these, jobs whose tasks crashed none.
+    /// Number of jobs in `given_up` whose own tasks crashed no runner.
     pub sound_given_up: usize,
-    /// Runners that crashed.
+    /// Number of runner crashes.
     pub crashes: usize,
-    /// Runs that began.
+    /// Number of runs that started.
     pub starts: usize,
-    /// Faults that were injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// From when all processes were started again at the end until each had answered a read
-    /// of the change set, shortest first.
+    /// Times from the restart of all processes after the final fault until each process had
+    /// answered a read of the change set, shortest first.
     pub read_back: Vec<Duration>,
 }
 
@@ -40,20 +40,20 @@
     done: bool,
     noted: bool,
     runs: BTreeSet<u32>,
-    /// Runners that it made crash.
+    /// Number of runners that the task crashed.
     crashes: usize,
-    /// Runners that crashed while it ran there.
+    /// Number of runners that crashed while the task ran there.
     lost_runners: usize,
-    /// Its starts since the third of them.
+    /// Number of starts after [`CRASHES_BORNE`] crashes.
     starts_after: usize,
 }
 
-/// Crashes of runners under a task after which it is hardly ever started again, and starts
-/// after them that are too many.
+/// Number of runner crashes by a task after which it should hardly ever be started again.
 const CRASHES_BORNE: usize = 3;
+/// Number of starts after [`CRASHES_BORNE`] crashes that counts as a violation.
 const STARTS_AFTER: usize = 3;
 
-/// One runner's listed ends that are not noted yet.
+/// Ends of runs on one runner that are not acknowledged yet, by their number.
 type Listed = BTreeMap<u64, (TaskKey, RunOutcome)>;
 
 #[derive(Default)]
@@ -83,18 +83,19 @@
         self.accepted.keys().filter(|id| !ended(id)).copied().collect()
     }
 
-    /// A caller asked at `asked` and was told a job's state, or that there is none.
+    /// Checks the response to a request for the state of a job that was sent at `asked`; `None`
+    /// stands for an unknown job.
     pub(crate) fn told(&mut self, id: JobId, asked: Instant, state: Option<JobState>) {
         let Some((at, tasks)) = self.accepted.get(&id).copied() else { return };
         match state {
             None if asked.duration_since(at) > VISIBLE_AFTER => {
-                self.broken(format!("{id} was acknowledged and is not known"));
+                self.broken(format!("{id} was acknowledged but is unknown"));
             }
             Some(JobState::Completed) => {
                 let key = |index| TaskKey { job: id, occurrence: 0, step: 0, index };
                 let missing = (0..tasks).find(|i| self.tasks.get(&key(*i)).is_none_or(|t| !t.done));
                 if let Some(index) = missing {
-                    self.broken(format!("{id} is completed and its task {index} is not done"));
+                    self.broken(format!("{id} is completed but its task {index} is not done"));
                 }
                 self.completed.insert(id);
                 self.report.completed = self.completed.len();
@@ -107,19 +108,21 @@
                 self.report.given_up = self.given_up.len();
             }
             Some(JobState::Failed | JobState::Cancelled) => {
-                self.broken(format!("{id} is {state:?} and nobody failed or cancelled it"));
+                self.broken(format!(
+                    "{id} is {state:?} although no task failed and nobody cancelled it"
+                ));
             }
             _ => {}
         }
     }
 
-    /// Most runners that crashed under one task of a job.
+    /// Returns the highest number of runners that crashed under one task of the job.
     fn lost_runners_of(&self, id: JobId) -> usize {
         let of_job = self.tasks.iter().filter(|(key, _)| key.job == id);
         of_job.map(|(_, task)| task.lost_runners).max().unwrap_or(0)
     }
 
-    /// A task made a runner crash: nothing is left of that life.
+    /// Records that the task `by` crashed a runner; the incarnation and its runs are lost.
     pub(crate) fn crashed(&mut self, runner: usize, by: TaskKey) {
         self.report.crashes += 1;
         self.listed.remove(&runner);
@@ -130,22 +133,24 @@
         self.tasks.entry(by).or_default().crashes += 1;
     }
 
-    /// A start brought a runner over its room.
+    /// Records that a start exceeded the capacity of a runner.
     pub(crate) fn overfull(&mut self, runner: usize) {
-        self.broken(format!("a start brings w{runner} over its room"));
+        self.broken(format!("a start exceeds the capacity of w{runner}"));
     }
 
-    /// An operator asked at `asked` and was told that this version is in force.
+    /// Checks the version in force that the operator received for a read sent at `asked`.
     pub(crate) fn in_force(&mut self, version: u64, asked: Instant) {
         if let Some((acknowledged, at)) = self.version
             && version < acknowledged
             && asked > at
         {
-            self.broken(format!("version {version} is told after {acknowledged} was acknowledged"));
+            self.broken(format!(
+                "version {version} is returned after {acknowledged} was acknowledged"
+            ));
         }
     }
 
-    /// What happened on a runner.
+    /// Checks the events of a runner.
     pub(crate) fn happened(&mut self, runner: usize, events: Vec<RunnerEvent>) {
         for event in events {
             match event {
@@ -169,16 +174,18 @@
         task.starts_after += usize::from(task.crashes >= CRASHES_BORNE);
         let too_often = task.starts_after >= STARTS_AFTER;
         if elsewhere {
-            self.broken(format!("{key} run {run} starts while it runs elsewhere"));
+            self.broken(format!("{key} run {run} starts while the task runs elsewhere"));
         }
         if again {
             self.broken(format!("{key} run {run} starts twice"));
         }
         if too_often {
-            self.broken(format!("{key} run {run} starts once more after three crashes"));
+            self.broken(format!("{key} run {run} starts too often after {CRASHES_BORNE} crashes"));
         }
         if noted {
-            self.broken(format!("{key} run {run} starts after its end was noted"));
+            self.broken(format!(
+                "{key} run {run} starts after the end of the task was acknowledged"
+            ));
         }
     }
 
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Embeds the coordination parts in a program of one's own: three replicas agree on
-//! a few words, with a `Vec` for a network and a counter for a clock.
+//! Embeds the Raft implementation of the coordination package in another program: three
+//! replicas commit a few words, with a `Vec` as the network and a counter as the clock.
 //!
 //! `cargo run -p yuccalink-coordination --example embed`
 
@@ -36,8 +36,8 @@
                 words.pop();
             }
             let output = replica.take();
-            // A real program writes and syncs here, and sends a message only once the
-            // write that it names is durable.
+            // A real program writes and syncs here, and sends each message only when the
+            // write on which it depends is durable.
             if let Some(write) = output.persist.last() {
                 replica.persisted(write.seq, now);
             }
--- a/examples/main-job.sh
+++ b/examples/main-job.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The main job on one machine: a daemon, a runner, a worker, a document, a request
-# answered and a task run to its end. Leaves nothing running.
+# Demonstrates the main functions on one machine: starts a daemon, a runner and a
+# worker, applies a document, sends a request and runs a task. Stops all processes
+# at the end.
 set -eu
 cd "$(dirname "$0")/.."
 cargo build --release --bins --examples
@@ -16,9 +17,9 @@
 "$bin/yuccalinkd" --data "$data" --drain-delay 0ms 2>"$data/daemon.log" & pids="$pids $!"
 "$bin/examples/runner" --service quotes & pids="$pids $!"
 "$bin/examples/worker" --cores 8 & pids="$pids $!"
-echo "== a document is put in force"
+echo "== apply a document"
 "$bin/yuccalink" apply examples/quotes.toml
-echo "== a request is answered by the runner, through the daemon"
+echo "== send a request through the daemon to the runner"
 tries=0
 until answer=$(curl -sf -d 'a net of 40 mm' http://127.0.0.1:8080/quotes/drafts); do
     tries=$((tries + 1))
@@ -26,7 +27,7 @@
     sleep 0.1
 done
 echo "$answer"
-echo "== a task runs to its end on the worker"
+echo "== run a task on the worker"
 "$bin/yuccalink" task submit quotes cut-plan --payload run=200ms --wait
-echo "== how it was decided"
+echo "== show the scheduling decisions"
 "$bin/yuccalink" decisions | head -4
--- a/examples/runner.rs
+++ b/examples/runner.rs
@@ -1,5 +1,5 @@
-//! A small runner. It announces itself to the entries and answers requests with
-//! their own bodies.
+//! A small runner that announces itself to the entries and answers each request with the
+//! body of the request.
 //!
 //! `cargo run --example runner -- --service quotes --name r1`
 
@@ -40,7 +40,7 @@
     }
     let name = settings.name.clone();
     let runner = FakeRunner::start(settings)?;
-    println!("runner {name} listens at {}", runner.address());
+    println!("runner {name} listens on {}", runner.address());
     loop {
         std::thread::park();
     }
--- a/examples/worker.rs
+++ b/examples/worker.rs
@@ -1,5 +1,5 @@
-//! A small worker. It announces itself to the entries and "runs" tasks for the
-//! time that their payload asks for, such as `run=200ms`.
+//! A small worker that announces itself to the entries and simulates each task for the time
+//! that its payload specifies, such as `run=200ms`.
 //!
 //! `cargo run --example worker -- --name w1 --cores 8`
 
@@ -43,7 +43,7 @@
     }
     let name = settings.name.clone();
     let worker = FakeWorker::start(settings)?;
-    println!("worker {name} takes orders at {}", worker.address());
+    println!("worker {name} receives orders on {}", worker.address());
     loop {
         std::thread::park();
     }
--- a/tools/pairs.py
+++ b/tools/pairs.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Plays the same days under several policies and compares them in pairs.
+"""Plays the same days under several policies and compares the results in pairs.
 
     tools/pairs.py --bench PROGRAM --site FILE --days DAY,... --seeds N[-M] \
         --why TEXT POLICY.toml [POLICY.toml ...]
 
-The first policy is what the others are compared with; `shipped` stands for the policy
-that ships, `NAME=REPO` for the build in another folder. Each policy is played in a
-scratch copy of this repository's deploy files and built programs, so build them first.
-One line a policy: mean difference of each figure with its 95 % interval, over how many
-pairs, and which days broke a rule. The journal's entries of all plays are copied to
-this repository, the outputs of the plays stay in the scratch folder.
+The other policies are compared with the first one. `shipped` selects the default policy,
+`NAME=REPO` the build in another repository folder. Each policy is played in a scratch copy
+of this repository's deploy files and release build, so build the programs first. For each
+policy the output shows the mean of each figure, its mean difference with the 95 % confidence
+interval and the number of pairs, and the days on which a rule was broken. The journal entries
+of all plays are copied to this repository; their outputs stay in the scratch folder.
 """
 
 import argparse
@@ -26,12 +26,13 @@
 REPO = pathlib.Path(__file__).resolve().parent.parent
 VARIABLE = "YUCCALINK_POLICY"
 FIGURES = ("worth", "whole day", "worst windows", "worst class")
-# The 97.5 % point of Student's t for a few degrees of freedom; the normal one beyond.
+# 97.5 % quantile of Student's t distribution by degrees of freedom. An entry also serves the
+# numbers of degrees below it; above the last entry the normal quantile 1.96 is used.
 STUDENT = {1: 12.7, 2: 4.3, 3: 3.18, 4: 2.78, 5: 2.57, 7: 2.36, 10: 2.23, 15: 2.13, 20: 2.09, 30: 2.04}
 
 
 class Play:
-    """One day under one policy, as its report says."""
+    """The figures of one day under one policy, parsed from the report of the bench."""
 
     def __init__(self, text):
         self.text = text
@@ -55,7 +56,7 @@
         return float(found[1]) if found else 0.0
 
     def short(self):
-        """What the day was short of, though no rule was broken."""
+        """Returns the lines on gates that the day missed without breaking a rule."""
         return re.findall(r"^short of the gate: .*$", self.text, re.M)
 
     def broken(self):
@@ -63,7 +64,7 @@
 
 
 def scratch(folder, policy):
-    """A copy of what the bench needs, with the policy in its deploy file."""
+    """Copies what the bench needs to `folder` and sets the policy in the deploy file."""
     repo = REPO
     if "=" in policy:
         name, path = policy.split("=", 1)
@@ -109,7 +110,7 @@
 
 
 def interval(differences):
-    """Mean, and half of its 95 % interval."""
+    """Returns the mean and the half-width of its 95 % confidence interval."""
     mean = statistics.fmean(differences)
     if len(differences) < 2:
         return mean, math.inf
@@ -119,7 +120,7 @@
 
 
 def compare(base, other):
-    """A text on the differences of all figures that both have."""
+    """Formats the mean differences of all figures that both policies have."""
     names = list(FIGURES)
     for p in other:
         names += [name for name in p.figures if name not in names]
@@ -144,8 +145,8 @@
     parser.add_argument("--seeds", required=True, help="N or N-M")
     parser.add_argument("--why", required=True)
     parser.add_argument("--jobs", type=int, default=5)
-    parser.add_argument("--small", action="store_true", help="play the small twins of large days")
-    parser.add_argument("--cpu", action="store_true", help="charge processor time")
+    parser.add_argument("--small", action="store_true", help="play the small variants of large days")
+    parser.add_argument("--cpu", action="store_true", help="account processor time")
     parser.add_argument("--keep", help="folder for outputs")
     parser.add_argument("policies", nargs="+")
     args = parser.parse_args()
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Plays the regression runs of deploy/regression.toml and prints a table.
+"""Plays the regression days of deploy/regression.toml and prints a table of the results.
 
     tools/regress.py --bench PROGRAM --sites FOLDER --why TEXT [--scores] [--jobs N]
 
-Without --scores only the single days are played. Exits with 1 if a gate failed, a rule was
-broken, or a day was short or not played.
+Without --scores only the single days are played. Exits with status 1 if a gate failed, a rule
+was broken, or a day missed a gate or was not played.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 
 def single(args, play, seed):
-    """One row: what was played, its worth, and what was wrong."""
+    """Plays one day and returns its table row: site, day, seed, worth and problems."""
     site = str(args.sites / play["site"])
     found = Play(run(args, ["run", site, play["day"], "--seed", str(seed)]))
     wrong = found.broken() + found.short()
