--- a/tools/pairs.py
+++ b/tools/pairs.py
@@ -24,11 +24,11 @@
 import tempfile
 
 REPO = pathlib.Path(__file__).resolve().parent.parent
-VARIABLE = "YUCCALINK_POLICY"
+POLICY_VARIABLE = "YUCCALINK_POLICY"
 FIGURES = ("worth", "whole day", "worst windows", "worst class")
 # 97.5 % quantile of Student's t distribution by degrees of freedom. An entry also serves the
 # numbers of degrees below it; above the last entry the normal quantile 1.96 is used.
-STUDENT = {1: 12.7, 2: 4.3, 3: 3.18, 4: 2.78, 5: 2.57, 7: 2.36, 10: 2.23, 15: 2.13, 20: 2.09, 30: 2.04}
+T_QUANTILES = {1: 12.7, 2: 4.3, 3: 3.18, 4: 2.78, 5: 2.57, 7: 2.36, 10: 2.23, 15: 2.13, 20: 2.09, 30: 2.04}
 
 
 class Play:
@@ -63,7 +63,7 @@
         return re.findall(r"^.*(?:BROKEN|broken rule|GATE failed|breaks|FAULT).*$", self.text, re.M)[:3]
 
 
-def scratch(folder, policy):
+def create_scratch_copy(folder, policy):
     """Copies what the bench needs to `folder` and sets the policy in the deploy file."""
     repo = REPO
     if "=" in policy:
@@ -84,7 +84,7 @@
     text = re.sub(r'^build = .*$', 'build = "true"', system.read_text(), flags=re.M)
     if policy != "shipped":
         shutil.copy(policy, copy / "deploy" / "policy.toml")
-        text += f'env = {{ {VARIABLE} = "deploy/policy.toml" }}\n'
+        text += f'env = {{ {POLICY_VARIABLE} = "deploy/policy.toml" }}\n'
     system.write_text(text)
     quiet = {"cwd": copy, "check": True, "stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL}
     (copy / ".gitignore").write_text("/target\n")
@@ -109,13 +109,13 @@
     return Play(text)
 
 
-def interval(differences):
+def confidence_interval(differences):
     """Returns the mean and the half-width of its 95 % confidence interval."""
     mean = statistics.fmean(differences)
     if len(differences) < 2:
         return mean, math.inf
     freedom = len(differences) - 1
-    factor = next((t for most, t in STUDENT.items() if freedom <= most), 1.96)
+    factor = next((t for limit, t in T_QUANTILES.items() if freedom <= limit), 1.96)
     return mean, factor * statistics.stdev(differences) / math.sqrt(len(differences))
 
 
@@ -130,10 +130,10 @@
                  if name in b.figures and name in o.figures]
         if not pairs:
             continue
-        mean, half = interval([o - b for b, o in pairs])
+        mean, half_width = confidence_interval([o - b for b, o in pairs])
         digits = 1 if "," in name else 4
         parts.append(f"  {name:24} {statistics.fmean(o for _, o in pairs):8.{digits}f}"
-                     f"  {mean:+.{digits}f} +- {half:.{digits}f}  ({len(pairs)} pairs)")
+                     f"  {mean:+.{digits}f} +- {half_width:.{digits}f}  ({len(pairs)} pairs)")
     return "\n".join(parts)
 
 
@@ -157,22 +157,22 @@
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
         sys.exit(f"{folder} is not empty; name a new folder with --keep")
-    copies = [scratch(folder, policy) for policy in args.policies]
+    copies = [create_scratch_copy(folder, policy) for policy in args.policies]
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         plays = {name: [pool.submit(play, args, name, copy, day, seed) for day, seed in days]
                  for name, copy in copies}
-        plays = {name: [one.result() for one in several] for name, several in plays.items()}
+        plays = {name: [one.result() for one in results] for name, results in plays.items()}
     for name, copy in copies:
         if (copy / "journal").is_dir():
             shutil.copytree(copy / "journal", REPO / "journal", dirs_exist_ok=True)
     base_name = copies[0][0]
-    for name, several in plays.items():
-        failed = [day for day, p in zip(days, several) if not p.figures]
-        broken = [(day, line) for day, p in zip(days, several) for line in p.broken()]
+    for name, results in plays.items():
+        failed = [day for day, p in zip(days, results) if not p.figures]
+        broken = [(day, line) for day, p in zip(days, results) for line in p.broken()]
         against = "itself" if name == base_name else base_name
         print(f"{name} against {against}, {pathlib.Path(args.site).stem}:")
-        print(compare(plays[base_name], several))
-        short = [(day, line) for day, p in zip(days, several) for line in p.short()]
+        print(compare(plays[base_name], results))
+        short = [(day, line) for day, p in zip(days, results) for line in p.short()]
         print(f"  short: {len(short)} of {len(days)} {short}")
         print(f"  broken rules: {broken or 'none'}; not played: {failed or 'none'}", flush=True)
     print(f"outputs in {folder}")
--- a/tools/regress.py
+++ b/tools/regress.py
@@ -17,25 +17,25 @@
 from pairs import REPO, Play
 
 
-def run(args, words):
+def run_bench(args, words):
     command = [args.bench, *words, "--why", args.why, "--jobs", str(args.jobs)]
     done = subprocess.run(command, cwd=REPO, capture_output=True, text=True)
     return done.stdout + done.stderr
 
 
-def single(args, play, seed):
+def play_day(args, play, seed):
     """Plays one day and returns its table row: site, day, seed, worth and problems."""
     site = str(args.sites / play["site"])
-    found = Play(run(args, ["run", site, play["day"], "--seed", str(seed)]))
-    wrong = found.broken() + found.short()
+    found = Play(run_bench(args, ["run", site, play["day"], "--seed", str(seed)]))
+    problems = found.broken() + found.short()
     if "worth" not in found.figures:
-        wrong.append("not played")
+        problems.append("not played")
     day = pathlib.Path(play["day"]).stem
-    return (pathlib.Path(play["site"]).stem, day, seed, found.figures.get("worth"), wrong)
+    return (pathlib.Path(play["site"]).stem, day, seed, found.figures.get("worth"), problems)
 
 
-def score(args, site):
-    text = run(args, ["score", str(args.sites / site)])
+def score_site(args, site):
+    text = run_bench(args, ["score", str(args.sites / site)])
     rows = re.findall(r"^(\S+) +\d+/\d+ +-?[\d.]+ +(-?[\d.]+) ", text, re.M)
     passed = "GATE passed" in text
     for day, worth in rows:
@@ -46,9 +46,9 @@
 def rows(args, listed):
     for play in listed["play"]:
         for seed in play["seeds"]:
-            yield single(args, play, seed)
+            yield play_day(args, play, seed)
     for site in listed["score"] if args.scores else []:
-        yield from score(args, site)
+        yield from score_site(args, site)
 
 
 def main():
@@ -60,14 +60,14 @@
     parser.add_argument("--jobs", type=int, default=4)
     args = parser.parse_args()
     listed = tomllib.loads((REPO / "deploy" / "regression.toml").read_text())
-    red = 0
+    failures = 0
     print(f"{'site':22} {'day':22} {'seed':>14}  worth  wrong")
-    for site, day, seed, worth, wrong in rows(args, listed):
+    for site, day, seed, worth, problems in rows(args, listed):
         shown = "    -" if worth is None else f"{worth:5.3f}"
-        print(f"{site:22} {day:22} {seed!s:>14}  {shown}  {'; '.join(wrong) or 'nothing'}", flush=True)
-        red += bool(wrong)
-    print(f"{red} red")
-    return 1 if red else 0
+        print(f"{site:22} {day:22} {seed!s:>14}  {shown}  {'; '.join(problems) or 'nothing'}", flush=True)
+        failures += bool(problems)
+    print(f"{failures} red")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
