--- a/crates/transport/src/auth.rs
+++ b/crates/transport/src/auth.rs
@@ -1,9 +1,10 @@
-//! Proof between daemons that both know a shared key, before anything else is
-//! said on a connection.
+//! Mutual authentication of daemons with a shared key, before any other message on a
+//! connection.
 //!
-//! The connecting side names a key by a short digest and sends a nonce; each side
-//! then shows an HMAC-SHA-256 over both nonces. A recorded exchange is of no use
-//! again. What follows is not encrypted: keep it on a network of the entry VMs.
+//! The connecting side identifies its key by a short digest and sends a nonce. Each side
+//! then sends an HMAC-SHA-256 over both nonces, so a recorded handshake cannot be
+//! replayed. The traffic that follows is not encrypted: use a network that only the entry
+//! VMs share.
 
 use hmac::{Hmac, Mac};
 use rand::TryRng as _;
@@ -16,29 +17,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Shortest accepted key, in characters.
+/// Minimum length of a key, in bytes.
 pub const KEY_MIN: usize = 32;
-/// Most keys in a file.
+/// Maximum number of keys in a file.
 pub const KEYS_MAX: usize = 16;
-/// Longest time for the exchange.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit of the handshake; after it the connection is given up.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 const MAGIC: &[u8; 6] = b"YUCCA1";
-const NONCE: usize = 32;
-const ID: usize = 8;
-const MAC: usize = 32;
-const NO_KEY: [u8; ID] = [0; ID];
-const TAKEN: u8 = 1;
+const NONCE_LEN: usize = 32;
+const KEY_ID_LEN: usize = 8;
+const MAC_LEN: usize = 32;
+const NO_KEY_ID: [u8; KEY_ID_LEN] = [0; KEY_ID_LEN];
+const ACCEPTED: u8 = 1;
 
-/// Why a connection between daemons is not trusted.
+/// Why the handshake between two daemons failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum AuthError {
     /// the connection failed: {0}
     Io(io::Error),
-    /// the other side did not finish the exchange in time
+    /// the other side did not finish the key handshake in time
     Timeout,
     /// the other side does not speak this protocol; check that its address is a daemon's --peer
     NotADaemon,
-    /// the other side has no key and this daemon has; give all daemons the same --peer-keys
+    /// the other side has no key, but this daemon requires one; give all daemons the same --peer-keys
     NoKey,
     /// the other side's key is not among this daemon's; put it into this daemon's --peer-keys
     UnknownKey,
@@ -54,50 +55,50 @@
     }
 }
 
-/// What is wrong with a file of keys.
+/// Why a key file cannot be used.
 #[derive(Debug, displaydoc::Display)]
-pub enum BadKeys {
+pub enum KeyFileError {
     /// cannot read {path}: {source}
     Read {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// {path} has no key; write one of at least 32 characters on a line of its own
     Empty {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
     },
     /// line {line} of {path} is too short for a key; use at least 32 characters, such as from `openssl rand -hex 32`
     Short {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
-        /// Counted from 1.
+        /// Line, counted from 1.
         line: usize,
     },
     /// {path} has more than 16 keys; remove those that no daemon uses any more
     Many {
-        /// The file.
+        /// Path of the key file.
         path: Box<str>,
     },
 }
 
-impl std::error::Error for BadKeys {}
+impl std::error::Error for KeyFileError {}
 
 #[derive(Clone)]
 struct Key {
-    id: [u8; ID],
+    id: [u8; KEY_ID_LEN],
     secret: Box<[u8]>,
 }
 
-/// The keys of one daemon: the first is shown, any is accepted. Read anew for
-/// each connection, so that keys are exchanged without a stop.
+/// The keys of one daemon. Outgoing connections use the first key, incoming ones may use any.
+/// The file is read again for each connection, so keys can be rotated without a restart.
 #[derive(Clone, Default)]
 pub struct Keys {
     file: Option<PathBuf>,
-    /// As they were when the file was last usable.
-    last: Arc<Mutex<Vec<Key>>>,
+    /// Keys from the last time that the file was valid.
+    loaded: Arc<Mutex<Vec<Key>>>,
 }
 
 impl std::fmt::Debug for Keys {
@@ -107,105 +108,113 @@
 }
 
 impl Keys {
-    /// Keys from `file`, or none at all.
+    /// Reads the keys from `file`; without a file, connections are not authenticated.
     ///
     /// # Errors
-    /// [`BadKeys`] when the file is not usable now.
+    /// [`KeyFileError`] if the file cannot be read or its content is invalid.
     ///
     /// ```
     /// # use yuccalink_transport::auth::Keys;
     /// assert!(Keys::open(None).is_ok());
     /// assert!(Keys::open(Some("/nowhere".into())).is_err());
     /// ```
-    pub fn open(file: Option<PathBuf>) -> Result<Self, BadKeys> {
-        let keys = file.as_deref().map(read).transpose()?.unwrap_or_default();
-        Ok(Self { file, last: Arc::new(Mutex::new(keys)) })
+    pub fn open(file: Option<PathBuf>) -> Result<Self, KeyFileError> {
+        let keys = file.as_deref().map(read_keys).transpose()?.unwrap_or_default();
+        Ok(Self { file, loaded: Arc::new(Mutex::new(keys)) })
     }
 
     fn load(&self) -> Option<Vec<Key>> {
         let file = self.file.as_ref()?;
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        match read(file) {
-            Ok(keys) => *last = keys,
-            // An editor may have emptied the file to write it anew: daemons must
-            // not lose each other for that moment.
+        let mut loaded = self.loaded.lock().unwrap_or_else(PoisonError::into_inner);
+        match read_keys(file) {
+            Ok(keys) => *loaded = keys,
+            // An editor may truncate the file before it writes the new content. Connections
+            // between daemons must not fail in that moment.
             Err(error) => log::error!("{error}; the keys read before stay in use"),
         }
-        Some(last.clone())
+        Some(loaded.clone())
     }
 
-    /// Proves itself to the daemon that was connected to, and checks its proof.
+    /// Runs the handshake on an outgoing connection: verifies the proof of the other daemon and
+    /// sends its own.
     ///
     /// # Errors
-    /// [`AuthError`]; the connection is then of no use.
-    pub async fn prove(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
-        timeout(TIMEOUT, self.prove_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
+    /// [`AuthError`] if the handshake fails; the connection must then be dropped.
+    pub async fn outgoing_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(HANDSHAKE_TIMEOUT, self.run_outgoing_handshake(stream))
+            .await
+            .unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn prove_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+    async fn run_outgoing_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
         let key = keys.as_ref().map(|keys| keys.first().ok_or(AuthError::NoKey)).transpose()?;
-        let nonce = nonce();
-        let id = key.map_or(NO_KEY, |key| key.id);
+        let nonce = random_nonce();
+        let id = key.map_or(NO_KEY_ID, |key| key.id);
         stream.write_all(&[MAGIC.as_slice(), &id, &nonce].concat()).await?;
-        let (their_id, their_nonce) = read_hello(stream).await?;
+        let (peer_key_id, peer_nonce) = read_hello(stream).await?;
         let Some(key) = key else {
-            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
+            return if peer_key_id == NO_KEY_ID { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
-        if their_id == NO_KEY {
+        if peer_key_id == NO_KEY_ID {
             return Err(AuthError::NoKey);
         }
-        let mut proof = [0; MAC];
+        let mut proof = [0; MAC_LEN];
         stream.read_exact(&mut proof).await?;
-        check(key, b"accepts", &nonce, &their_nonce, &proof)?;
+        verify_proof(key, b"accepts", &nonce, &peer_nonce, &proof)?;
         stream
-            .write_all(&mac(key, b"connects", &nonce, &their_nonce).finalize().into_bytes())
+            .write_all(&mac(key, b"connects", &nonce, &peer_nonce).finalize().into_bytes())
             .await?;
         match stream.read_u8().await? {
-            TAKEN => Ok(()),
+            ACCEPTED => Ok(()),
             _ => Err(AuthError::NotADaemon),
         }
     }
 
-    /// Checks the proof of a daemon that connects, and proves itself to it.
+    /// Runs the handshake on an incoming connection: sends its own proof and verifies the proof
+    /// of the other daemon.
     ///
     /// # Errors
-    /// [`AuthError`]; the connection is then of no use.
-    pub async fn check(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
-        timeout(TIMEOUT, self.check_now(stream)).await.unwrap_or(Err(AuthError::Timeout))
+    /// [`AuthError`] if the handshake fails; the connection must then be dropped.
+    pub async fn incoming_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+        timeout(HANDSHAKE_TIMEOUT, self.run_incoming_handshake(stream))
+            .await
+            .unwrap_or(Err(AuthError::Timeout))
     }
 
-    async fn check_now(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
+    async fn run_incoming_handshake(&self, stream: &mut TcpStream) -> Result<(), AuthError> {
         let keys = self.load();
-        let (their_id, their_nonce) = read_hello(stream).await?;
-        let nonce = nonce();
+        let (peer_key_id, peer_nonce) = read_hello(stream).await?;
+        let nonce = random_nonce();
         let Some(keys) = keys else {
-            stream.write_all(&[MAGIC.as_slice(), &NO_KEY, &nonce].concat()).await?;
-            return if their_id == NO_KEY { Ok(()) } else { Err(AuthError::UnknownKey) };
+            stream.write_all(&[MAGIC.as_slice(), &NO_KEY_ID, &nonce].concat()).await?;
+            return if peer_key_id == NO_KEY_ID { Ok(()) } else { Err(AuthError::UnknownKey) };
         };
-        if their_id == NO_KEY {
+        if peer_key_id == NO_KEY_ID {
             return Err(AuthError::NoKey);
         }
-        let key = keys.iter().find(|key| key.id == their_id).ok_or(AuthError::UnknownKey)?;
-        let own = mac(key, b"accepts", &their_nonce, &nonce).finalize().into_bytes();
-        stream.write_all(&[MAGIC.as_slice(), &key.id, &nonce, &own].concat()).await?;
-        let mut proof = [0; MAC];
+        let key = keys.iter().find(|key| key.id == peer_key_id).ok_or(AuthError::UnknownKey)?;
+        let own_proof = mac(key, b"accepts", &peer_nonce, &nonce).finalize().into_bytes();
+        stream.write_all(&[MAGIC.as_slice(), &key.id, &nonce, &own_proof].concat()).await?;
+        let mut proof = [0; MAC_LEN];
         stream.read_exact(&mut proof).await?;
-        check(key, b"connects", &their_nonce, &nonce, &proof)?;
-        stream.write_u8(TAKEN).await?;
+        verify_proof(key, b"connects", &peer_nonce, &nonce, &proof)?;
+        stream.write_u8(ACCEPTED).await?;
         Ok(())
     }
 }
 
-async fn read_hello(stream: &mut TcpStream) -> Result<([u8; ID], [u8; NONCE]), AuthError> {
+async fn read_hello(
+    stream: &mut TcpStream,
+) -> Result<([u8; KEY_ID_LEN], [u8; NONCE_LEN]), AuthError> {
     let mut magic = [0; MAGIC.len()];
     stream.read_exact(&mut magic).await?;
     if magic != *MAGIC {
         return Err(AuthError::NotADaemon);
     }
-    let mut id = [0; ID];
+    let mut id = [0; KEY_ID_LEN];
     stream.read_exact(&mut id).await?;
-    let mut nonce = [0; NONCE];
+    let mut nonce = [0; NONCE_LEN];
     stream.read_exact(&mut nonce).await?;
     Ok((id, nonce))
 }
@@ -213,14 +222,14 @@
 fn mac(key: &Key, role: &[u8], connecting: &[u8], accepting: &[u8]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret)
         .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
-    // The role keeps one side's proof from being sent back as the other's.
+    // The role prevents a reflection of one side's proof as the proof of the other.
     mac.update(role);
     mac.update(connecting);
     mac.update(accepting);
     mac
 }
 
-fn check(
+fn verify_proof(
     key: &Key,
     role: &[u8],
     connecting: &[u8],
@@ -230,34 +239,34 @@
     mac(key, role, connecting, accepting).verify_slice(proof).map_err(|_| AuthError::WrongProof)
 }
 
-fn nonce() -> [u8; NONCE] {
-    let mut nonce = [0; NONCE];
+fn random_nonce() -> [u8; NONCE_LEN] {
+    let mut nonce = [0; NONCE_LEN];
     if rand::rngs::SysRng.try_fill_bytes(&mut nonce).is_err() {
-        log::error!("the system gives no random numbers; connections between daemons fail");
+        log::error!("the system random number generator failed; connections between daemons fail");
     }
     nonce
 }
 
-fn read(file: &Path) -> Result<Vec<Key>, BadKeys> {
+fn read_keys(file: &Path) -> Result<Vec<Key>, KeyFileError> {
     let path: Box<str> = file.display().to_string().into();
-    let text =
-        fs::read_to_string(file).map_err(|source| BadKeys::Read { path: path.clone(), source })?;
+    let text = fs::read_to_string(file)
+        .map_err(|source| KeyFileError::Read { path: path.clone(), source })?;
     let mut keys = Vec::new();
-    for (at, line) in text.lines().map(str::trim).enumerate() {
+    for (index, line) in text.lines().map(str::trim).enumerate() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         if line.len() < KEY_MIN {
-            return Err(BadKeys::Short { path, line: at + 1 });
+            return Err(KeyFileError::Short { path, line: index + 1 });
         }
         let digest = Sha256::new().chain_update(b"yuccalink key ").chain_update(line).finalize();
-        let mut id = [0; ID];
-        id.copy_from_slice(&digest[..ID]);
+        let mut id = [0; KEY_ID_LEN];
+        id.copy_from_slice(&digest[..KEY_ID_LEN]);
         keys.push(Key { id, secret: line.as_bytes().into() });
     }
     match keys.len() {
-        0 => Err(BadKeys::Empty { path }),
-        count if count > KEYS_MAX => Err(BadKeys::Many { path }),
+        0 => Err(KeyFileError::Empty { path }),
+        count if count > KEYS_MAX => Err(KeyFileError::Many { path }),
         _ => Ok(keys),
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server on threads of its own, with limits on connections and time.
+//! An HTTP/1.1 server on its own threads, with connection limits and timeouts.
 
 use bytes::Bytes;
 use socket2::SockRef;
@@ -17,34 +17,35 @@
 use xitca_web::service::fn_build;
 use xitca_web::service::ready::ReadyService;
 
-/// Largest head of a request, in bytes; a larger one is answered 431.
+/// Maximum size of a request head, in bytes; a larger one gets status 431.
 pub const HEAD_MAX: usize = 32 * 1024;
-/// Most headers in one request; more are answered 431.
+/// Maximum number of headers in a request; more get status 431.
 pub const HEADERS_MAX: usize = 64;
-/// Bytes of an answer buffered per connection.
-const WRITE_BUFFER: usize = 256 * 1024;
-/// Longest wait for the threads of a server that was told to stop at once.
-const FORCED_WAIT: Duration = Duration::from_secs(1);
-
-/// What answers requests on one thread. Made anew for each thread, so it may
-/// hold connections and caches that threads do not share.
+/// Maximum size of the write buffer of a connection, in bytes.
+const WRITE_BUFFER_BYTES: usize = 256 * 1024;
+/// Time to wait for the server's threads after a forced stop; after that they are left
+/// running.
+const FORCED_STOP_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Request handler of one thread. Each thread creates its own, so a handler may hold
+/// connections and caches that are not shared between threads.
 pub trait Handler: 'static {
-    /// Answers one request; a panic or a dropped future closes the connection.
+    /// Handles one request. A panic or a dropped future closes the connection.
     fn handle(&self, req: WebRequest) -> impl Future<Output = WebResponse>;
 }
 
-/// Limits of one server.
+/// Limits of an HTTP server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Threads that answer.
+    /// Number of threads that handle requests.
     pub threads: usize,
-    /// Connections at once; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// Time in which the head of a request must come.
+    /// Time limit for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time that a connection may stay without a request.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
-    /// Time that a caller may leave sent bytes untaken; then its connection is closed.
+    /// Time after which a connection is closed if its caller does not accept the bytes sent to it.
     pub stall_timeout: Duration,
 }
 
@@ -63,8 +64,9 @@
 /// A running server.
 pub struct Server {
     address: SocketAddr,
-    /// Tells the server to stop; the library does not export its handle's type.
-    tell_stop: Box<dyn Fn(bool) + Send + Sync>,
+    /// Stops the server, gracefully if the argument is true. A closure, because the library does
+    /// not export the type of its handle.
+    stop_server: Box<dyn Fn(bool) + Send + Sync>,
     thread: Option<thread::JoinHandle<io::Result<()>>>,
 }
 
@@ -74,21 +76,21 @@
     }
 }
 
-struct PerThread<H> {
+struct ThreadService<H> {
     handler: Rc<H>,
-    open: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-impl<H> ReadyService for PerThread<H> {
+impl<H> ReadyService for ThreadService<H> {
     type Ready = Option<OwnedSemaphorePermit>;
 
-    /// The permit is kept by the connection that is accepted next, until it closes.
+    /// Waits for a connection permit, which the next accepted connection holds until it closes.
     async fn ready(&self) -> Self::Ready {
-        self.open.clone().acquire_owned().await.ok()
+        self.permits.clone().acquire_owned().await.ok()
     }
 }
 
-impl<H> Service<WebRequest> for PerThread<H>
+impl<H> Service<WebRequest> for ThreadService<H>
 where
     H: Handler,
 {
@@ -101,24 +103,31 @@
 }
 
 impl Server {
-    /// Starts threads that accept from `listener` and answer with what `make`
-    /// makes once on each thread.
+    /// Starts threads that accept connections from `listener`. Each thread handles requests with
+    /// the handler that `make_handler` creates for it.
     ///
     /// # Errors
-    /// When the listener or a thread cannot be set up.
-    pub fn start<F, H>(listener: TcpListener, limits: ServerLimits, make: F) -> io::Result<Self>
+    /// If the listener or a thread cannot be set up.
+    pub fn start<F, H>(
+        listener: TcpListener,
+        limits: ServerLimits,
+        make_handler: F,
+    ) -> io::Result<Self>
     where
         F: Fn() -> H + Send + Sync + Clone + 'static,
         H: Handler,
     {
         let address = listener.local_addr()?;
-        // A caller that stops reading leaves a write hanging, which the server's own
-        // timers do not see: it would hold its connection until it pleases. The
-        // system closes it; accepted connections take the setting from here.
+        // A caller that stops reading blocks a write, which the server's own timers do not
+        // cover, so it could hold its connection without limit. TCP_USER_TIMEOUT makes the
+        // kernel close the connection; accepted sockets inherit it from the listener.
         SockRef::from(&listener).set_tcp_user_timeout(Some(limits.stall_timeout))?;
-        let open = Arc::new(Semaphore::new(limits.connections.max(1)));
+        let permits = Arc::new(Semaphore::new(limits.connections.max(1)));
         let build = fn_build(async move |()| {
-            Ok::<_, Infallible>(PerThread { handler: Rc::new(make()), open: open.clone() })
+            Ok::<_, Infallible>(ThreadService {
+                handler: Rc::new(make_handler()),
+                permits: permits.clone(),
+            })
         });
         let mut server = HttpServer::serve(build)
             .server_threads(1)
@@ -127,7 +136,7 @@
             .keep_alive_timeout(limits.idle_timeout)
             .request_head_timeout(limits.head_timeout)
             .max_read_buf_size::<HEAD_MAX>()
-            .max_write_buf_size::<WRITE_BUFFER>()
+            .max_write_buf_size::<WRITE_BUFFER_BYTES>()
             .max_request_headers::<HEADERS_MAX>()
             .listen(listener)?
             .run();
@@ -135,56 +144,58 @@
         let thread = thread::Builder::new()
             .name(format!("http-{}", address.port()))
             .spawn(move || server.wait())?;
-        let tell_stop = Box::new(move |graceful| stop.stop(graceful));
-        Ok(Self { address, tell_stop, thread: Some(thread) })
+        let stop_server = Box::new(move |graceful| stop.stop(graceful));
+        Ok(Self { address, stop_server, thread: Some(thread) })
     }
 
-    /// Where it listens; tells the port when 0 was asked for.
+    /// Address of the listener, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, lets connections end for at most `grace`, and closes the
-    /// rest. Idle connections never end by themselves in that time: what is in
-    /// flight is to be waited for before.
+    /// Stops accepting, waits at most `grace` for open connections to end and closes the
+    /// rest. Idle connections do not end by themselves in that time, so the caller should
+    /// wait for requests in flight before it calls this.
     pub fn stop(self, grace: Duration) {
         if !grace.is_zero() {
-            (self.tell_stop)(true);
-            if self.ended_within(grace) {
+            (self.stop_server)(true);
+            if self.wait_for_exit(grace) {
                 return;
             }
         }
-        (self.tell_stop)(false);
-        self.ended_within(FORCED_WAIT);
+        (self.stop_server)(false);
+        self.wait_for_exit(FORCED_STOP_TIMEOUT);
     }
 
-    fn ended_within(&self, time: Duration) -> bool {
+    /// Waits at most this long and returns whether the server's thread has ended.
+    fn wait_for_exit(&self, time_limit: Duration) -> bool {
         let started = std::time::Instant::now();
-        let ended = || self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished);
-        while !ended() && started.elapsed() < time {
+        let finished = || self.thread.as_ref().is_none_or(thread::JoinHandle::is_finished);
+        while !finished() && started.elapsed() < time_limit {
             thread::sleep(Duration::from_millis(5));
         }
-        ended()
+        finished()
     }
 }
 
-/// What is wrong with the body of a request.
+/// Why the body of a request cannot be read.
 #[derive(Debug, displaydoc::Display)]
 pub enum RequestBodyError {
     /// the body is over {0} bytes; send less
     TooLarge(usize),
-    /// the body did not come in time; send it without pauses
+    /// the body was not received in time; send it without pauses
     TooSlow,
-    /// the body broke off; send it whole
+    /// the body ended early; send all of it
     Broken,
 }
 
 impl std::error::Error for RequestBodyError {}
 
-/// Reads a whole body of at most `limit` bytes within `time`.
+/// Reads a complete body of at most `limit` bytes within `time`.
 ///
 /// # Errors
-/// [`RequestBodyError`]; the rest of the body is not read.
+/// [`RequestBodyError`] if the body is too large, too slow or truncated; the rest of it is not
+/// read.
 pub async fn read_body(
     body: RequestBody,
     limit: usize,
@@ -194,11 +205,11 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let whole = collect(body, limit);
-    tokio::time::timeout(time, whole).await.unwrap_or(Err(RequestBodyError::TooSlow))
+    let complete_body = collect_body(body, limit);
+    tokio::time::timeout(time, complete_body).await.unwrap_or(Err(RequestBodyError::TooSlow))
 }
 
-async fn collect(body: RequestBody, limit: usize) -> Result<Bytes, RequestBodyError> {
+async fn collect_body(body: RequestBody, limit: usize) -> Result<Bytes, RequestBodyError> {
     use xitca_web::body::{Body, Frame};
     let mut body = std::pin::pin!(body);
     let mut first: Option<Bytes> = None;
@@ -221,6 +232,7 @@
         }
     }
     let first = first.unwrap_or_default();
+    // A body in one chunk is returned without a copy.
     if rest.is_empty() {
         return Ok(first);
     }
--- a/tools/pairs.py
+++ b/tools/pairs.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Plays the same days under several policies and compares them in pairs.
+"""Plays the same days under several policies and compares the results in pairs.
 
     tools/pairs.py --bench PROGRAM --site FILE --days DAY,... --seeds N[-M] \
         --why TEXT POLICY.toml [POLICY.toml ...]
 
-The first policy is what the others are compared with; `shipped` stands for the policy
-that ships, `NAME=REPO` for the build in another folder. Each policy is played in a
-scratch copy of this repository's deploy files and built programs, so build them first.
-One line a policy: mean difference of each figure with its 95 % interval, over how many
-pairs, and which days broke a rule. The journal's entries of all plays are copied to
-this repository, the outputs of the plays stay in the scratch folder.
+The other policies are compared with the first one. `shipped` selects the default policy,
+`NAME=REPO` the build in another repository folder. Each policy is played in a scratch copy
+of this repository's deploy files and release build, so build the programs first. For each
+policy the output shows the mean of each figure, its mean difference with the 95 % confidence
+interval and the number of pairs, and the days on which a rule was broken. The journal entries
+of all plays are copied to this repository; their outputs stay in the scratch folder.
 """
 
 import argparse
@@ -24,14 +24,15 @@
 import tempfile
 
 REPO = pathlib.Path(__file__).resolve().parent.parent
-VARIABLE = "YUCCALINK_POLICY"
+POLICY_VARIABLE = "YUCCALINK_POLICY"
 FIGURES = ("worth", "whole day", "worst windows", "worst class")
-# The 97.5 % point of Student's t for a few degrees of freedom; the normal one beyond.
-STUDENT = {1: 12.7, 2: 4.3, 3: 3.18, 4: 2.78, 5: 2.57, 7: 2.36, 10: 2.23, 15: 2.13, 20: 2.09, 30: 2.04}
+# 97.5 % quantile of Student's t distribution by degrees of freedom. An entry also serves the
+# numbers of degrees below it; above the last entry the normal quantile 1.96 is used.
+T_QUANTILES = {1: 12.7, 2: 4.3, 3: 3.18, 4: 2.78, 5: 2.57, 7: 2.36, 10: 2.23, 15: 2.13, 20: 2.09, 30: 2.04}
 
 
 class Play:
-    """One day under one policy, as its report says."""
+    """The figures of one day under one policy, parsed from the report of the bench."""
 
     def __init__(self, text):
         self.text = text
@@ -55,15 +56,15 @@
         return float(found[1]) if found else 0.0
 
     def short(self):
-        """What the day was short of, though no rule was broken."""
+        """Returns the lines on gates that the day missed without breaking a rule."""
         return re.findall(r"^short of the gate: .*$", self.text, re.M)
 
     def broken(self):
         return re.findall(r"^.*(?:BROKEN|broken rule|GATE failed|breaks|FAULT).*$", self.text, re.M)[:3]
 
 
-def scratch(folder, policy):
-    """A copy of what the bench needs, with the policy in its deploy file."""
+def create_scratch_copy(folder, policy):
+    """Copies what the bench needs to `folder` and sets the policy in the deploy file."""
     repo = REPO
     if "=" in policy:
         name, path = policy.split("=", 1)
@@ -83,7 +84,7 @@
     text = re.sub(r'^build = .*$', 'build = "true"', system.read_text(), flags=re.M)
     if policy != "shipped":
         shutil.copy(policy, copy / "deploy" / "policy.toml")
-        text += f'env = {{ {VARIABLE} = "deploy/policy.toml" }}\n'
+        text += f'env = {{ {POLICY_VARIABLE} = "deploy/policy.toml" }}\n'
     system.write_text(text)
     quiet = {"cwd": copy, "check": True, "stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL}
     (copy / ".gitignore").write_text("/target\n")
@@ -108,18 +109,18 @@
     return Play(text)
 
 
-def interval(differences):
-    """Mean, and half of its 95 % interval."""
+def confidence_interval(differences):
+    """Returns the mean and the half-width of its 95 % confidence interval."""
     mean = statistics.fmean(differences)
     if len(differences) < 2:
         return mean, math.inf
     freedom = len(differences) - 1
-    factor = next((t for most, t in STUDENT.items() if freedom <= most), 1.96)
+    factor = next((t for limit, t in T_QUANTILES.items() if freedom <= limit), 1.96)
     return mean, factor * statistics.stdev(differences) / math.sqrt(len(differences))
 
 
 def compare(base, other):
-    """A text on the differences of all figures that both have."""
+    """Formats the mean differences of all figures that both policies have."""
     names = list(FIGURES)
     for p in other:
         names += [name for name in p.figures if name not in names]
@@ -129,10 +130,10 @@
                  if name in b.figures and name in o.figures]
         if not pairs:
             continue
-        mean, half = interval([o - b for b, o in pairs])
+        mean, half_width = confidence_interval([o - b for b, o in pairs])
         digits = 1 if "," in name else 4
         parts.append(f"  {name:24} {statistics.fmean(o for _, o in pairs):8.{digits}f}"
-                     f"  {mean:+.{digits}f} +- {half:.{digits}f}  ({len(pairs)} pairs)")
+                     f"  {mean:+.{digits}f} +- {half_width:.{digits}f}  ({len(pairs)} pairs)")
     return "\n".join(parts)
 
 
@@ -144,8 +145,8 @@
     parser.add_argument("--seeds", required=True, help="N or N-M")
     parser.add_argument("--why", required=True)
     parser.add_argument("--jobs", type=int, default=5)
-    parser.add_argument("--small", action="store_true", help="play the small twins of large days")
-    parser.add_argument("--cpu", action="store_true", help="charge processor time")
+    parser.add_argument("--small", action="store_true", help="play the small variants of large days")
+    parser.add_argument("--cpu", action="store_true", help="account processor time")
     parser.add_argument("--keep", help="folder for outputs")
     parser.add_argument("policies", nargs="+")
     args = parser.parse_args()
@@ -156,22 +157,22 @@
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
         sys.exit(f"{folder} is not empty; name a new folder with --keep")
-    copies = [scratch(folder, policy) for policy in args.policies]
+    copies = [create_scratch_copy(folder, policy) for policy in args.policies]
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         plays = {name: [pool.submit(play, args, name, copy, day, seed) for day, seed in days]
                  for name, copy in copies}
-        plays = {name: [one.result() for one in several] for name, several in plays.items()}
+        plays = {name: [one.result() for one in results] for name, results in plays.items()}
     for name, copy in copies:
         if (copy / "journal").is_dir():
             shutil.copytree(copy / "journal", REPO / "journal", dirs_exist_ok=True)
     base_name = copies[0][0]
-    for name, several in plays.items():
-        failed = [day for day, p in zip(days, several) if not p.figures]
-        broken = [(day, line) for day, p in zip(days, several) for line in p.broken()]
+    for name, results in plays.items():
+        failed = [day for day, p in zip(days, results) if not p.figures]
+        broken = [(day, line) for day, p in zip(days, results) for line in p.broken()]
         against = "itself" if name == base_name else base_name
         print(f"{name} against {against}, {pathlib.Path(args.site).stem}:")
-        print(compare(plays[base_name], several))
-        short = [(day, line) for day, p in zip(days, several) for line in p.short()]
+        print(compare(plays[base_name], results))
+        short = [(day, line) for day, p in zip(days, results) for line in p.short()]
         print(f"  short: {len(short)} of {len(days)} {short}")
         print(f"  broken rules: {broken or 'none'}; not played: {failed or 'none'}", flush=True)
     print(f"outputs in {folder}")
